--- a/packages/daemon/src/martenquay_daemon/allowances/escrow.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/escrow.py
@@ -196,7 +196,7 @@
         """
         account = self._refill(team)
         account.promised += units
-        rate = account.pace.rate * self.rights.find_part()
+        rate = account.pace.rate * self.rights.find_usable_share()
         if rate <= 0:
             return _UNKNOWN_WAIT_S
         wait_s = (account.promised - account.pile.level) / rate
@@ -223,7 +223,7 @@
         return terms.Units(
             account.pile.total,
             account.pile.debt,
-            self.rights.find_part(),
+            self.rights.find_usable_share(),
             account.find_asked(trio.current_time()),
         )
 
@@ -323,7 +323,7 @@
     def _is_short(self, account: _Account, units: float) -> bool:
         """Tell whether a request would take units from those on time."""
         now = trio.current_time()
-        comes = account.pace.rate * self.rights.find_part()
+        comes = account.pace.rate * self.rights.find_usable_share()
         if account.find_asked(now) <= comes:
             return False
         full = self._find_full(account)
@@ -377,7 +377,7 @@
     def _find_full(self, account: _Account) -> float:
         """Return the units that this daemon's part may come to."""
         full = account.pace.rate * account.pace.life_s
-        return full * self.rights.find_part()
+        return full * self.rights.find_usable_share()
 
     def _is_to_give(self, team: str) -> bool:
         """Tell whether another daemon waits for units that are here."""
--- a/packages/daemon/src/martenquay_daemon/allowances/rights.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/rights.py
@@ -166,7 +166,7 @@
             found.append(Span(start, span.end, span.part))
         return reversed(found)
 
-    def find_part(self) -> float:
+    def find_usable_share(self) -> float:
         """Return the part that may be minted now."""
         now = trio.current_time()
         return self._find_own_now(now) + sum(
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
@@ -89,7 +89,7 @@
         """Tell whether there is a part that no hub has yet."""
         return (
             self._links.find_keeper() is not None
-            and self._units.rights.find_part() > 0
+            and self._units.rights.find_usable_share() > 0
         )
 
     def create_loan(self) -> messages.LoanLine | None:
@@ -141,7 +141,9 @@
         before this one was lost.
         """
         expected = self._roster.find_zone_part(self._zone)
-        has_most = self._units.rights.find_part() >= _MOST_PARTS * expected
+        has_most = (
+            self._units.rights.find_usable_share() >= _MOST_PARTS * expected
+        )
         now = trio.current_time()
         if self._links.is_mesh() or has_most:
             self._lacking_since = math.inf
@@ -176,7 +178,7 @@
         teams = self._store.table.catalog.teams
         team = next((one for one in teams if one.name == want.team), None)
         passed = messages.UnitsReply(want.number, _Verdict.PASSED)
-        if team is None or self._units.rights.find_part() <= 0:
+        if team is None or self._units.rights.find_usable_share() <= 0:
             reply(passed)
             return
         wish = terms.Wish(want.units, want.reserve, want.is_late)
--- a/tests/test_allowances/test_rights.py
+++ b/tests/test_allowances/test_rights.py
@@ -25,9 +25,9 @@
             await trio.sleep(1.0)
             loan = lender.lend("hub.1", 7)
             self.assertAlmostEqual(0.1, loan.part)
-            self.assertEqual(0.0, lender.find_part())
+            self.assertEqual(0.0, lender.find_usable_share())
             await trio.sleep(rights.LENT_S + 0.5)
-            self.assertAlmostEqual(0.1, lender.find_part())
+            self.assertAlmostEqual(0.1, lender.find_usable_share())
             self.assertAlmostEqual(0.15, _sum_spans(lender))
 
         self.run_clocked(scenario)
@@ -42,11 +42,11 @@
             # However late it comes, it ends before the lender mints again.
             await trio.sleep(0.8)
             hub.borrow("entry-1", "entry-1.1", loan, reported_at)
-            self.assertAlmostEqual(0.1, hub.find_part())
+            self.assertAlmostEqual(0.1, hub.find_usable_share())
             await trio.sleep(5.0)
             left_s = rights.LENT_S - 0.5 - 0.8
             self.assertAlmostEqual(0.1 * left_s, _sum_spans(hub))
-            self.assertEqual(0.0, hub.find_part())
+            self.assertEqual(0.0, hub.find_usable_share())
 
         self.run_clocked(scenario)
 
@@ -58,7 +58,7 @@
             loan = lender.lend("hub.1", 7)
             await trio.sleep(rights.LENT_S + 0.1)
             hub.borrow("entry-1", "entry-1.1", loan, reported_at)
-            self.assertEqual(0.0, hub.find_part())
+            self.assertEqual(0.0, hub.find_usable_share())
 
         self.run_clocked(scenario)
 
@@ -76,11 +76,13 @@
             for _ in range(4):
                 loan = lender.lend("hub.2", 3)
                 second.borrow("e", "e.1", loan, trio.current_time())
-                total = sum(one.find_part() for one in (lender, first, second))
+                total = sum(
+                    one.find_usable_share() for one in (lender, first, second)
+                )
                 self.assertAlmostEqual(0.1, total)
                 await trio.sleep(0.5)
-            self.assertEqual(0.0, first.find_part())
-            self.assertAlmostEqual(0.1, second.find_part())
+            self.assertEqual(0.0, first.find_usable_share())
+            self.assertAlmostEqual(0.1, second.find_usable_share())
 
         self.run_clocked(scenario)
 
@@ -93,10 +95,10 @@
             hub.borrow("e", "e.1", loan, now)
             await trio.sleep(0.5)
             hub.end_loans_of_others("e", "e.2")
-            self.assertEqual(0.0, hub.find_part())
+            self.assertEqual(0.0, hub.find_usable_share())
             # A message of the process before that comes only now.
             hub.borrow("e", "e.1", loan, trio.current_time())
-            self.assertEqual(0.0, hub.find_part())
+            self.assertEqual(0.0, hub.find_usable_share())
             self.assertAlmostEqual(0.05, _sum_spans(hub))
 
         self.run_clocked(scenario)
@@ -111,15 +113,15 @@
                 lambda: own, _WINDOW_S, lambda: sole_since[0]
             )
             await trio.sleep(0.4)
-            self.assertEqual(0.0, one.find_part())
+            self.assertEqual(0.0, one.find_usable_share())
             self.assertIsNone(one.lend("hub.1", 1))
             sole_since[0] = trio.current_time()
             await trio.sleep(0.1)
-            self.assertAlmostEqual(0.1, one.find_part())
+            self.assertAlmostEqual(0.1, one.find_usable_share())
             self.assertAlmostEqual(0.01, _sum_spans(one))
             other = rights.MintRights(lambda: own, _WINDOW_S, lambda: math.inf)
             await trio.sleep(rights.LENT_S + 0.1)
-            self.assertAlmostEqual(0.1, other.find_part())
+            self.assertAlmostEqual(0.1, other.find_usable_share())
 
         self.run_clocked(scenario)
 
--- a/tests/test_fleet/test_unit_news.py
+++ b/tests/test_fleet/test_unit_news.py
@@ -151,6 +151,6 @@
             hub = self._build(0.0)
             # It is meant for another process.
             hub.take_subscriber(digest, trio.current_time())
-            self.assertEqual(0.0, self.rights.find_part())
+            self.assertEqual(0.0, self.rights.find_usable_share())
 
         self.run_clocked(scenario)
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -320,7 +320,7 @@
 
     def _decide(self, address: str, want: messages.WantUnits) -> None:
         wish = terms.Wish(want.units, want.reserve, want.is_late)
-        if self._rights.find_part() <= 0:
+        if self._rights.find_usable_share() <= 0:
             passed = messages.UnitsVerdict.PASSED
             self._tell(address, messages.UnitsReply(want.number, passed))
             return
