--- a/packages/daemon/src/martenquay_daemon/backpressure/send_order.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/send_order.py
@@ -32,7 +32,7 @@
 
     def find_place(self, runner: runners.Runner) -> send_shares.Place:
         """Return this daemon's place for a runner."""
-        if self._roster.find_part() <= 0:
+        if self._roster.find_own_share() <= 0:
             # Those that have not read of it would not make room for it.
             others = self._roster.list_instances() - {self._instance}
             return send_shares.Place(len(others), len(others) + 1)
--- a/packages/daemon/src/martenquay_daemon/fleet/roster.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/roster.py
@@ -137,7 +137,7 @@
         others = sorted(self._listed - {self._instance})
         return [one for one in others if self._heard_at[one] < oldest]
 
-    def find_part(self) -> float:
+    def find_own_share(self) -> float:
         """Return this daemon's part; 0 while others do not reckon with it."""
         if self._needed_end is None:
             return 0.0
--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -383,7 +383,7 @@
             _find_tolerance(bounds),
             rights.MintRights(
                 lambda: rights.OwnPart(
-                    self._roster.find_part(), self._roster.part_since
+                    self._roster.find_own_share(), self._roster.part_since
                 ),
                 bounds.allowance_window_s,
                 self.links.find_sole_since,
--- a/tests/allowance_fleet.py
+++ b/tests/allowance_fleet.py
@@ -138,7 +138,7 @@
         self._waiting: list[_Waiting] = []
         mint_rights = rights.MintRights(
             lambda: rights.OwnPart(
-                self._roster.find_part(), self._roster.part_since
+                self._roster.find_own_share(), self._roster.part_since
             ),
             BOUNDS.window_s,
         )
--- a/tests/test_fleet/test_announcements.py
+++ b/tests/test_fleet/test_announcements.py
@@ -55,7 +55,7 @@
             await trio.sleep(0.1)
             self.assertEqual(1, self._count_written(b'"is_counted":false'))
             self.roster.note_listed("entry-1", 0, is_counted=False)
-            self.assertEqual(1.0, self.roster.find_part())
+            self.assertEqual(1.0, self.roster.find_own_share())
             await trio.sleep(0.1)
             self.assertEqual(1, self._count_written(b'"is_counted":true'))
 
@@ -69,7 +69,7 @@
             self.roster.note_removed("entry-1")
             await trio.sleep(0.1)
             self.assertEqual(1, self._count_written(b'"is_counted":false'))
-            self.assertEqual(0.0, self.roster.find_part())
+            self.assertEqual(0.0, self.roster.find_own_share())
 
         self._run(scenario)
 
--- a/tests/test_fleet/test_roster.py
+++ b/tests/test_fleet/test_roster.py
@@ -47,11 +47,11 @@
         one = roster.Roster("a")
         for offset, (name, zone) in enumerate(["by", "cy", "ax"]):
             one.note_listed(name, offset, is_counted=name != "a", zone=zone)
-        self.assertEqual(0.0, one.find_part())
+        self.assertEqual(0.0, one.find_own_share())
         one.note_zone_told("y", 2)
-        self.assertEqual(0.0, one.find_part())
+        self.assertEqual(0.0, one.find_own_share())
         one.note_zone_told("y", 3)
-        self.assertAlmostEqual(1 / 3, one.find_part())
+        self.assertAlmostEqual(1 / 3, one.find_own_share())
         # A hub tells the least of what its zone's daemons have told.
         self.assertEqual(0, one.find_zone_end("y", 3))
         one.note_told("b", 3)
@@ -65,7 +65,7 @@
     ) -> None:
         one = roster.Roster("c")
         _read(one, "ab", counted="ab")
-        self.assertEqual(0.0, one.find_part())
+        self.assertEqual(0.0, one.find_own_share())
 
     @_in_trio
     def test_a_new_daemon_takes_its_part_when_all_others_reckon_with_it(
@@ -74,18 +74,18 @@
         one = roster.Roster("c")
         _read(one, "abc", counted="ab")
         one.note_told("a", 3)
-        self.assertEqual(0.0, one.find_part())
+        self.assertEqual(0.0, one.find_own_share())
         one.note_told("b", 2)
-        self.assertEqual(0.0, one.find_part())
+        self.assertEqual(0.0, one.find_own_share())
         one.note_told("b", 3)
-        self.assertAlmostEqual(1 / 3, one.find_part())
+        self.assertAlmostEqual(1 / 3, one.find_own_share())
         self.assertTrue(one.counted.is_set())
 
     @_in_trio
     def test_a_daemon_that_starts_anew_goes_by_its_announcement(self) -> None:
         one = roster.Roster("a")
         _read(one, "abc", counted="abc")
-        self.assertAlmostEqual(1 / 3, one.find_part())
+        self.assertAlmostEqual(1 / 3, one.find_own_share())
 
     @_in_trio
     def test_older_news_of_another_daemon_take_nothing_back(self) -> None:
@@ -93,16 +93,16 @@
         _read(one, "ab", counted="a")
         one.note_told("a", 2)
         one.note_told("a", 1)
-        self.assertAlmostEqual(0.5, one.find_part())
+        self.assertAlmostEqual(0.5, one.find_own_share())
 
     @_in_trio
     def test_a_daemon_that_is_taken_off_the_list_has_no_part(self) -> None:
         one = roster.Roster("a")
         _read(one, "abc", counted="abc")
         one.note_removed("c")
-        self.assertAlmostEqual(0.5, one.find_part())
+        self.assertAlmostEqual(0.5, one.find_own_share())
         one.note_removed("a")
-        self.assertEqual(0.0, one.find_part())
+        self.assertEqual(0.0, one.find_own_share())
 
     @_in_trio
     def test_parts_never_exceed_one_while_daemons_read_at_their_own_pace(
@@ -126,6 +126,6 @@
                 read[name] += 1
             for one in daemons.values():
                 one.note_told(name, read[name])
-            total = sum(one.find_part() for one in daemons.values())
+            total = sum(one.find_own_share() for one in daemons.values())
             self.assertLessEqual(total, 1.0 + 1e-9)
         self.assertAlmostEqual(1.0, total)
