--- a/packages/daemon/src/martenquay_daemon/allowances/rights.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/rights.py
@@ -194,7 +194,7 @@
             return held + own, 0.0
         return held, own
 
-    def lend(self, receiver: str, heard: int) -> Loan | None:
+    def delegate(self, receiver: str, heard: int) -> Loan | None:
         """Lend this instance's part, for a while from now.
 
         Args:
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
@@ -97,7 +97,7 @@
         keeper = self._links.find_keeper()
         if keeper is None:
             return None
-        loan = self._units.rights.lend(keeper.member, keeper.number)
+        loan = self._units.rights.delegate(keeper.member, keeper.number)
         if loan is None:
             return None
         return messages.LoanLine(
