--- a/packages/daemon/src/martenquay_daemon/allowances/rights.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/rights.py
@@ -220,7 +220,7 @@
         """Tell whether a loan is still good that was larger than the part."""
         return trio.current_time() < self._larger_until
 
-    def borrow(
+    def accept_delegation(
         self, instance: str, member: str, loan: Loan, reported_at: float
     ) -> None:
         """Take another instance's part for a while.
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
@@ -132,7 +132,9 @@
             line.starts_ms / _MS,
             line.ends_ms / _MS,
         )
-        mint_rights.borrow(digest.instance, digest.member, loan, reported_at)
+        mint_rights.accept_delegation(
+            digest.instance, digest.member, loan, reported_at
+        )
 
     def lacks_parts(self) -> bool:
         """Tell whether this daemon has yet to be lent most of its zone's parts.
--- a/tests/test_allowances/test_rights.py
+++ b/tests/test_allowances/test_rights.py
@@ -41,7 +41,7 @@
             loan = lender.delegate("hub.1", 7)
             # However late it comes, it ends before the lender mints again.
             await trio.sleep(0.8)
-            hub.borrow("entry-1", "entry-1.1", loan, reported_at)
+            hub.accept_delegation("entry-1", "entry-1.1", loan, reported_at)
             self.assertAlmostEqual(0.1, hub.find_usable_share())
             await trio.sleep(5.0)
             left_s = rights.LENT_S - 0.5 - 0.8
@@ -57,7 +57,7 @@
             reported_at = trio.current_time()
             loan = lender.delegate("hub.1", 7)
             await trio.sleep(rights.LENT_S + 0.1)
-            hub.borrow("entry-1", "entry-1.1", loan, reported_at)
+            hub.accept_delegation("entry-1", "entry-1.1", loan, reported_at)
             self.assertEqual(0.0, hub.find_usable_share())
 
         self.run_clocked(scenario)
@@ -70,12 +70,14 @@
             first = allowance_fleet.build_rights(0.0)
             second = allowance_fleet.build_rights(0.0)
             now = trio.current_time()
-            first.borrow("e", "e.1", lender.delegate("hub.1", 1), now)
+            first.accept_delegation(
+                "e", "e.1", lender.delegate("hub.1", 1), now
+            )
             await trio.sleep(0.6)
             now = trio.current_time()
             for _ in range(4):
                 loan = lender.delegate("hub.2", 3)
-                second.borrow("e", "e.1", loan, trio.current_time())
+                second.accept_delegation("e", "e.1", loan, trio.current_time())
                 total = sum(
                     one.find_usable_share() for one in (lender, first, second)
                 )
@@ -92,12 +94,12 @@
             lender = allowance_fleet.build_rights(0.1)
             now = trio.current_time()
             loan = lender.delegate("hub.1", 1)
-            hub.borrow("e", "e.1", loan, now)
+            hub.accept_delegation("e", "e.1", loan, now)
             await trio.sleep(0.5)
             hub.end_loans_of_others("e", "e.2")
             self.assertEqual(0.0, hub.find_usable_share())
             # A message of the process before that comes only now.
-            hub.borrow("e", "e.1", loan, trio.current_time())
+            hub.accept_delegation("e", "e.1", loan, trio.current_time())
             self.assertEqual(0.0, hub.find_usable_share())
             self.assertAlmostEqual(0.05, _sum_spans(hub))
 
@@ -131,13 +133,17 @@
             lender = allowance_fleet.build_rights(0.1)
             while trio.current_time() < 0.9 * _WINDOW_S:
                 now = trio.current_time()
-                hub.borrow("e", "e.1", lender.delegate("hub.1", 1), now)
+                hub.accept_delegation(
+                    "e", "e.1", lender.delegate("hub.1", 1), now
+                )
                 await trio.sleep(0.5)
             held, fresh = hub.find_part_to_owe()
             self.assertEqual((0.0, 0.2), (held, fresh))
             for _ in range(4):
                 now = trio.current_time()
-                hub.borrow("e", "e.1", lender.delegate("hub.1", 1), now)
+                hub.accept_delegation(
+                    "e", "e.1", lender.delegate("hub.1", 1), now
+                )
                 await trio.sleep(0.5)
             held, fresh = hub.find_part_to_owe()
             self.assertAlmostEqual(0.3, held)
@@ -170,7 +176,9 @@
             lender = allowance_fleet.build_rights(0.1)
             await trio.sleep(1.0)
             start = trio.current_time()
-            hub.borrow("e", "e.1", lender.delegate("hub.1", 1), start)
+            hub.accept_delegation(
+                "e", "e.1", lender.delegate("hub.1", 1), start
+            )
             await trio.sleep(6.0)
             hub.advance()
             spans = list(hub.list_spans(0.0))
--- a/tests/test_promises/test_suspension.py
+++ b/tests/test_promises/test_suspension.py
@@ -56,7 +56,7 @@
             lender = allowance_fleet.build_rights(0.1)
             reported_at = trio.current_time()
             loan = lender.delegate("hub.1", 7)
-            hub.borrow("entry-1", "entry-1.1", loan, reported_at)
+            hub.accept_delegation("entry-1", "entry-1.1", loan, reported_at)
             self.assertAlmostEqual(0.1, hub.find_usable_share())
             self.clock.jump(_SLEEP_S)
             self.assertEqual(0.0, hub.find_usable_share())
