--- a/packages/daemon/src/martenquay_daemon/allowances/gate.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/gate.py
@@ -29,12 +29,14 @@
     def keeps_here(self) -> bool:
         """Tell whether this daemon keeps the units that it needs itself."""
 
-    async def ask(self, team: str, wish: terms.Wish) -> terms.Answer | None:
+    async def ask(
+        self, team: str, wish: terms.Wish
+    ) -> terms.AdmissionDecision | None:
         """Have a daemon decide that keeps this one's; None if none answers."""
 
     async def ask_at(
         self, address: str, team: str, wish: terms.Wish
-    ) -> terms.Answer | None:
+    ) -> terms.AdmissionDecision | None:
         """Have one daemon decide that has units; None if it says nothing."""
 
 
@@ -55,10 +57,12 @@
         self._units = units
         self._keepers = keepers
 
-    async def take(self, team: catalog.Team, wish: terms.Wish) -> terms.Answer:
+    async def take(
+        self, team: catalog.Team, wish: terms.Wish
+    ) -> terms.AdmissionDecision:
         """Spend units for a request that came to this daemon."""
         if team.rate <= 0:
-            return terms.Answer(0.0)
+            return terms.AdmissionDecision(0.0)
         if not self._keepers.keeps_here():
             answer = await self._keepers.ask(team.name, wish)
             if answer is not None:
@@ -95,7 +99,7 @@
         wish: terms.Wish,
         verdict: terms.Verdict,
         wait_s: float,
-    ) -> terms.Answer:
+    ) -> terms.AdmissionDecision:
         """Return what comes of a verdict of the units here.
 
         Args:
@@ -110,10 +114,10 @@
         standing = self._units.describe(team.name)
         match verdict:
             case terms.Admitted():
-                return terms.Answer(0.0, standing)
+                return terms.AdmissionDecision(0.0, standing)
             case _:
                 retry_s = self._units.refuse(team, wish.units)
-                return terms.Answer(retry_s, standing)
+                return terms.AdmissionDecision(retry_s, standing)
 
     async def _wait(
         self,
--- a/packages/daemon/src/martenquay_daemon/allowances/terms.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/terms.py
@@ -10,7 +10,7 @@
 
 __all__ = [
     "Admitted",
-    "Answer",
+    "AdmissionDecision",
     "Elsewhere",
     "Refused",
     "ToleranceBounds",
@@ -135,7 +135,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Answer:
+class AdmissionDecision:
     """What became of a request's wish.
 
     Attributes:
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_desk.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_desk.py
@@ -128,7 +128,9 @@
         """Tell whether this daemon keeps the units that it needs itself."""
         return self._ways.keeps_units()
 
-    async def ask(self, team: str, wish: terms.Wish) -> terms.Answer | None:
+    async def ask(
+        self, team: str, wish: terms.Wish
+    ) -> terms.AdmissionDecision | None:
         """Return a keeper's answer, or None if none comes in time.
 
         While all daemons take in a large configuration, or start, keepers
@@ -143,7 +145,7 @@
 
     async def ask_at(
         self, address: str, team: str, wish: terms.Wish
-    ) -> terms.Answer | None:
+    ) -> terms.AdmissionDecision | None:
         """Return one daemon's answer, or None if it says nothing."""
         return await self._ask_once(team, wish, [address], is_redirected=True)
 
@@ -160,7 +162,7 @@
         keepers: list[str],
         *,
         is_redirected: bool = False,
-    ) -> terms.Answer | None:
+    ) -> terms.AdmissionDecision | None:
         self._number += 1
         number = self._number
         asked_at = trio.current_time()
@@ -182,7 +184,7 @@
         reply = one.reply or one.refusal
         if reply is None and one.is_waiting:
             # It has not got the units; to wait again would only hold it up.
-            return terms.Answer(_NO_UNITS_S)
+            return terms.AdmissionDecision(_NO_UNITS_S)
         # A process that was stopped meanwhile finds an old answer.
         if reply is None or took_s > _LONGEST_S + _LATE_S:
             self._note_silence(team, keepers, took_s)
@@ -250,8 +252,8 @@
         )
 
 
-def _read_reply(reply: messages.UnitsReply) -> terms.Answer:
+def _read_reply(reply: messages.UnitsReply) -> terms.AdmissionDecision:
     units = terms.Units(reply.there, reply.owed, reply.part, reply.asked)
     is_granted = reply.verdict is messages.UnitsVerdict.GRANTED
     retry_s = 0.0 if is_granted else reply.retry_s
-    return terms.Answer(retry_s, units, reply.member)
+    return terms.AdmissionDecision(retry_s, units, reply.member)
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
@@ -206,7 +206,7 @@
         reply(self._describe(want.number, answer))
 
     def _describe(
-        self, number: int, answer: terms.Answer
+        self, number: int, answer: terms.AdmissionDecision
     ) -> messages.UnitsReply:
         is_granted = answer.is_admitted
         units = answer.units
--- a/packages/daemon/src/martenquay_daemon/forwarding/exchange.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/exchange.py
@@ -85,7 +85,7 @@
     first_event_s: float | None = None
     entries_age_ms: int | None = None
     tried_s: float = 0.0
-    granted: terms.Answer = terms.Answer(0.0)
+    granted: terms.AdmissionDecision = terms.AdmissionDecision(0.0)
     content: str = ""
     strikes_seen: int = 0
     has_runner_ended: bool = False
--- a/tests/allowance_fleet.py
+++ b/tests/allowance_fleet.py
@@ -56,14 +56,16 @@
         """Tell that it does."""
         return True
 
-    async def ask(self, team: str, wish: terms.Wish) -> terms.Answer | None:
+    async def ask(
+        self, team: str, wish: terms.Wish
+    ) -> terms.AdmissionDecision | None:
         """Return nothing: nobody else keeps any."""
         del team, wish
         return None
 
     async def ask_at(
         self, address: str, team: str, wish: terms.Wish
-    ) -> terms.Answer | None:
+    ) -> terms.AdmissionDecision | None:
         """Return nothing: nobody else is reached."""
         del address, team, wish
         return None
--- a/tests/test_allowances/test_escrow.py
+++ b/tests/test_allowances/test_escrow.py
@@ -177,7 +177,7 @@
 class _FarKeeper:
     """Implement `gate.Keepers` with one answer."""
 
-    def __init__(self, answer: terms.Answer | None) -> None:
+    def __init__(self, answer: terms.AdmissionDecision | None) -> None:
         self.asked: list[tuple[str, terms.Wish]] = []
         self._answer = answer
 
@@ -185,14 +185,16 @@
         """Tell that this daemon does not."""
         return False
 
-    async def ask(self, team: str, wish: terms.Wish) -> terms.Answer | None:
+    async def ask(
+        self, team: str, wish: terms.Wish
+    ) -> terms.AdmissionDecision | None:
         """Return the answer."""
         self.asked.append((team, wish))
         return self._answer
 
     async def ask_at(
         self, address: str, team: str, wish: terms.Wish
-    ) -> terms.Answer | None:
+    ) -> terms.AdmissionDecision | None:
         """Return the answer."""
         self.asked.append((address, wish))
         return self._answer
@@ -262,7 +264,7 @@
         async def scenario() -> None:
             units = allowance_fleet.build_escrow()
             await _fill(units)
-            keeper = _FarKeeper(terms.Answer(0.7, kept_at="hub"))
+            keeper = _FarKeeper(terms.AdmissionDecision(0.7, kept_at="hub"))
             one = self._build(units, keeper)
             answer = await one.take(_TEAM, terms.Wish(500.0))
             self.assertEqual(0.7, answer.retry_s)
@@ -280,7 +282,7 @@
             units.refill([_TEAM])
             one = self._build(units)
             one.lacks_parts = lambda: parts[0] == 0.0
-            answers: list[terms.Answer] = []
+            answers: list[terms.AdmissionDecision] = []
 
             async def ask() -> None:
                 wish = terms.Wish(500.0, patience_s=1.0)
