--- a/packages/daemon/src/martenquay_daemon/allowances/escrow.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/escrow.py
@@ -215,12 +215,12 @@
             if team.rate > 0:
                 self._refill(team)
 
-    def describe(self, team: str) -> terms.Units:
+    def describe(self, team: str) -> terms.QuotaStatus:
         """Return what decides on a team's next request, for the log."""
         account = self._accounts.get(team)
         if account is None:
-            return terms.Units()
-        return terms.Units(
+            return terms.QuotaStatus()
+        return terms.QuotaStatus(
             account.pile.total,
             account.pile.debt,
             self.rights.find_usable_share(),
--- a/packages/daemon/src/martenquay_daemon/allowances/terms.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/terms.py
@@ -14,7 +14,7 @@
     "Elsewhere",
     "Refused",
     "ToleranceBounds",
-    "Units",
+    "QuotaStatus",
     "Verdict",
     "Wish",
 ]
@@ -118,7 +118,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Units:
+class QuotaStatus:
     """A team's units at this daemon, for the log.
 
     Attributes:
@@ -146,7 +146,7 @@
     """
 
     retry_s: float
-    units: Units = Units()
+    units: QuotaStatus = QuotaStatus()
     kept_at: str = ""
 
     @property
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_desk.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_desk.py
@@ -253,7 +253,7 @@
 
 
 def _read_reply(reply: messages.UnitsReply) -> terms.AdmissionDecision:
-    units = terms.Units(reply.there, reply.owed, reply.part, reply.asked)
+    units = terms.QuotaStatus(reply.there, reply.owed, reply.part, reply.asked)
     is_granted = reply.verdict is messages.UnitsVerdict.GRANTED
     retry_s = 0.0 if is_granted else reply.retry_s
     return terms.AdmissionDecision(retry_s, units, reply.member)
