--- a/packages/daemon/src/martenquay_daemon/allowances/escrow.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/escrow.py
@@ -317,7 +317,7 @@
             return terms.Admitted()
         missing = max(missing, 1.0 - pile.level)
         if self._is_elsewhere(team, missing):
-            return terms.Elsewhere(missing, self._find_holder(team, units))
+            return terms.HeldElsewhere(missing, self._find_holder(team, units))
         return terms.Refused()
 
     def _is_short(self, account: _Account, units: float) -> bool:
--- a/packages/daemon/src/martenquay_daemon/allowances/gate.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/gate.py
@@ -69,7 +69,7 @@
                 return answer
         verdict = await self._take_here(team, wish)
         match verdict:
-            case terms.Elsewhere(holder=holder) if holder:
+            case terms.HeldElsewhere(holder=holder) if holder:
                 answer = await self._keepers.ask_at(holder, team.name, wish)
                 if answer is not None and answer.is_admitted:
                     return answer
@@ -109,7 +109,7 @@
             wait_s: How long the request may wait for units of others.
         """
         match verdict:
-            case terms.Elsewhere(missing=missing):
+            case terms.HeldElsewhere(missing=missing):
                 verdict = await self._wait(team, wish, missing, wait_s)
         standing = self._units.describe(team.name)
         match verdict:
@@ -127,11 +127,11 @@
         wait_s: float,
     ) -> terms.Verdict:
         """Wait a moment for units that others have."""
-        verdict: terms.Verdict = terms.Elsewhere(missing)
+        verdict: terms.Verdict = terms.HeldElsewhere(missing)
         self._units.note_need(team, missing)
         try:
             with trio.move_on_after(wait_s):
-                while isinstance(verdict, terms.Elsewhere):
+                while isinstance(verdict, terms.HeldElsewhere):
                     await self._units.news.wait()
                     verdict = self._units.take(team, wish, is_again=True)
         finally:
--- a/packages/daemon/src/martenquay_daemon/allowances/terms.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/terms.py
@@ -11,7 +11,7 @@
 __all__ = [
     "Admitted",
     "AdmissionDecision",
-    "Elsewhere",
+    "HeldElsewhere",
     "Refused",
     "ToleranceBounds",
     "QuotaStatus",
@@ -101,7 +101,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Elsewhere:
+class HeldElsewhere:
     """Other daemons likely have what is missing here.
 
     Attributes:
@@ -114,7 +114,7 @@
     holder: str = ""
 
 
-Verdict = Admitted | Refused | Elsewhere
+Verdict = Admitted | Refused | HeldElsewhere
 
 
 @dataclasses.dataclass(frozen=True)
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
@@ -190,15 +190,15 @@
             case terms.Refused() if self.lacks_parts():
                 reply(passed)
                 return
-            case terms.Elsewhere() if want.is_redirected:
+            case terms.HeldElsewhere() if want.is_redirected:
                 verdict = terms.Refused()
-            case terms.Elsewhere(holder=holder) if holder:
+            case terms.HeldElsewhere(holder=holder) if holder:
                 redirected = _Verdict.REDIRECTED
                 reply(
                     messages.UnitsReply(want.number, redirected, holder=holder)
                 )
                 return
-            case terms.Elsewhere():
+            case terms.HeldElsewhere():
                 reply(messages.UnitsReply(want.number, _Verdict.WAITING))
         answer = await self._gate.settle(
             team, wish, verdict, unit_desk.KEEPER_WAIT_S
--- a/tests/allowance_fleet.py
+++ b/tests/allowance_fleet.py
@@ -173,7 +173,7 @@
         match self._units.take(TEAM, terms.Wish(units)):
             case terms.Admitted():
                 return True
-            case terms.Elsewhere(missing=missing):
+            case terms.HeldElsewhere(missing=missing):
                 self._units.note_need(TEAM, missing)
                 until = trio.current_time() + _WAIT_S
                 self._waiting.append(_Waiting(units, missing, until))
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -259,7 +259,7 @@
         match self.units.take(allowance_fleet.TEAM, terms.Wish(units)):
             case terms.Admitted():
                 return True
-            case terms.Elsewhere(holder=holder) if holder:
+            case terms.HeldElsewhere(holder=holder) if holder:
                 self._asks[one.number] = one
                 self._ask_at(holder, one, is_redirected=True)
         return False
@@ -328,15 +328,15 @@
         match self.units.take(allowance_fleet.TEAM, wish, is_again=is_again):
             case terms.Admitted():
                 self._reply(address, want.number, 0.0)
-            case terms.Elsewhere() if want.is_redirected:
+            case terms.HeldElsewhere() if want.is_redirected:
                 self._reply(address, want.number, 0.5)
-            case terms.Elsewhere(holder=holder) if holder:
+            case terms.HeldElsewhere(holder=holder) if holder:
                 redirected = messages.UnitsVerdict.REDIRECTED
                 self._tell(
                     address,
                     messages.UnitsReply(want.number, redirected, holder=holder),
                 )
-            case terms.Elsewhere(missing=missing):
+            case terms.HeldElsewhere(missing=missing):
                 waiting = messages.UnitsVerdict.WAITING
                 self._tell(address, messages.UnitsReply(want.number, waiting))
                 self.units.note_need(allowance_fleet.TEAM, missing)
