--- a/packages/daemon/src/martenquay_daemon/allowances/gate.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/gate.py
@@ -57,7 +57,7 @@
         self._units = units
         self._keepers = keepers
 
-    async def take(
+    async def acquire(
         self, team: catalog.Team, wish: terms.Wish
     ) -> terms.AdmissionDecision:
         """Spend units for a request that came to this daemon."""
--- a/packages/daemon/src/martenquay_daemon/forwarding/forwarder.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/forwarder.py
@@ -201,7 +201,7 @@
             current.tried_s > current.route.target_s > 0,
             _find_patience(current),
         )
-        answer = await self._parts.allowances.take(team, wish)
+        answer = await self._parts.allowances.acquire(team, wish)
         if answer.is_admitted:
             current.granted = answer
             return None
--- a/tests/test_allowances/test_escrow.py
+++ b/tests/test_allowances/test_escrow.py
@@ -219,7 +219,7 @@
             answers: list[bool] = []
 
             async def ask() -> None:
-                answer = await one.take(_TEAM, terms.Wish(500.0))
+                answer = await one.acquire(_TEAM, terms.Wish(500.0))
                 answers.append(answer.is_admitted)
 
             async with trio.open_nursery() as nursery:
@@ -241,7 +241,7 @@
             one = self._build(units)
             units.hear("b", 1, {_TEAM.name: sharing.Holding(9_000.0, 0.0)})
             started = trio.current_time()
-            answer = await one.take(_TEAM, terms.Wish(500.0))
+            answer = await one.acquire(_TEAM, terms.Wish(500.0))
             self.assertGreater(answer.retry_s, 0.0)
             self.assertLessEqual(trio.current_time() - started, 0.21)
 
@@ -254,7 +254,7 @@
             one = self._build(units)
             units.hear("b", 1, {_TEAM.name: sharing.Holding(10.0, 0.0)})
             started = trio.current_time()
-            answer = await one.take(_TEAM, terms.Wish(500.0))
+            answer = await one.acquire(_TEAM, terms.Wish(500.0))
             self.assertGreater(answer.retry_s, 0.0)
             self.assertEqual(started, trio.current_time())
 
@@ -266,7 +266,7 @@
             await _fill(units)
             keeper = _FarKeeper(terms.AdmissionDecision(0.7, kept_at="hub"))
             one = self._build(units, keeper)
-            answer = await one.take(_TEAM, terms.Wish(500.0))
+            answer = await one.acquire(_TEAM, terms.Wish(500.0))
             self.assertEqual(0.7, answer.retry_s)
             self.assertEqual([(_TEAM.name, terms.Wish(500.0))], keeper.asked)
 
@@ -286,7 +286,7 @@
 
             async def ask() -> None:
                 wish = terms.Wish(500.0, patience_s=1.0)
-                answers.append(await one.take(_TEAM, wish))
+                answers.append(await one.acquire(_TEAM, wish))
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(ask)
@@ -300,7 +300,7 @@
             units.take(_TEAM, terms.Wish(10 * _RATE))
             started = trio.current_time()
             wish = terms.Wish(9 * _RATE, patience_s=0.3)
-            answer = await one.take(_TEAM, wish)
+            answer = await one.acquire(_TEAM, wish)
             self.assertFalse(answer.is_admitted)
             self.assertLess(trio.current_time() - started, 0.4)
 
@@ -311,7 +311,7 @@
             units = allowance_fleet.build_escrow()
             await _fill(units)
             one = self._build(units, _FarKeeper(None))
-            answer = await one.take(_TEAM, terms.Wish(500.0))
+            answer = await one.acquire(_TEAM, terms.Wish(500.0))
             self.assertTrue(answer.is_admitted)
 
         self.run_clocked(scenario)
@@ -321,7 +321,7 @@
             units = allowance_fleet.build_escrow(0.0)
             one = self._build(units)
             wish = terms.Wish(1e9)
-            answer = await one.take(builders.build_team(), wish)
+            answer = await one.acquire(builders.build_team(), wish)
             self.assertTrue(answer.is_admitted)
 
         self.run_clocked(scenario)
