--- a/packages/daemon/src/martenquay_daemon/allowances/escrow.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/escrow.py
@@ -173,7 +173,7 @@
         self._accounts: dict[str, _Account] = {}
         self._others: dict[str, _Other] = {}
 
-    def take(
+    def try_spend(
         self, team: catalog.Team, wish: terms.Wish, *, is_again: bool = False
     ) -> terms.Verdict:
         """Spend units if they are there.
--- a/packages/daemon/src/martenquay_daemon/allowances/gate.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/gate.py
@@ -85,12 +85,12 @@
         gave up; a second later there was enough for all.
         """
         end = trio.current_time() + wish.patience_s
-        verdict = self._units.take(team, wish)
+        verdict = self._units.try_spend(team, wish)
         while isinstance(verdict, terms.Refused) and self.lacks_parts():
             if trio.current_time() >= end:
                 break
             await trio.sleep(_LOOK_S)
-            verdict = self._units.take(team, wish, is_again=True)
+            verdict = self._units.try_spend(team, wish, is_again=True)
         return verdict
 
     async def settle(
@@ -133,7 +133,7 @@
             with trio.move_on_after(wait_s):
                 while isinstance(verdict, terms.HeldElsewhere):
                     await self._units.news.wait()
-                    verdict = self._units.take(team, wish, is_again=True)
+                    verdict = self._units.try_spend(team, wish, is_again=True)
         finally:
             self._units.note_need(team, -missing)
         return verdict
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
@@ -185,7 +185,7 @@
             return
         wish = terms.Wish(want.units, want.reserve, want.is_late)
         # Demand is counted where callers come from, not where units are.
-        verdict = self._units.take(team, wish, is_again=want.is_redirected)
+        verdict = self._units.try_spend(team, wish, is_again=want.is_redirected)
         match verdict:
             case terms.Refused() if self.lacks_parts():
                 reply(passed)
--- a/tests/allowance_fleet.py
+++ b/tests/allowance_fleet.py
@@ -170,7 +170,7 @@
 
     def ask(self, units: float) -> bool:
         """Ask for units for the team; tell whether they may be spent."""
-        match self._units.take(TEAM, terms.Wish(units)):
+        match self._units.try_spend(TEAM, terms.Wish(units)):
             case terms.Admitted():
                 return True
             case terms.HeldElsewhere(missing=missing):
@@ -183,7 +183,7 @@
         """Return the units of requests that were let in after a wait."""
         admitted = []
         for one in list(self._waiting):
-            verdict = self._units.take(
+            verdict = self._units.try_spend(
                 TEAM, terms.Wish(one.units), is_again=True
             )
             is_admitted = isinstance(verdict, terms.Admitted)
--- a/tests/test_allowances/test_escrow.py
+++ b/tests/test_allowances/test_escrow.py
@@ -26,7 +26,7 @@
 def _count_admitted(units: escrow.EscrowLedger, wish: terms.Wish) -> int:
     """Ask until it is refused; return how often it was not."""
     count = 0
-    while isinstance(units.take(_TEAM, wish), terms.Admitted):
+    while isinstance(units.try_spend(_TEAM, wish), terms.Admitted):
         count += 1
     return count
 
@@ -60,12 +60,12 @@
             await _fill(units)
             _count_admitted(units, terms.Wish(100.0))
             self.assertIsInstance(
-                units.take(_TEAM, terms.Wish(8_000.0)), terms.Refused
+                units.try_spend(_TEAM, terms.Wish(8_000.0)), terms.Refused
             )
             await trio.sleep(_BOUNDS.window_s)
             units.refill([_TEAM])
             large = terms.Wish(_RATE * _LIFE_S + 20_000.0)
-            self.assertIsInstance(units.take(_TEAM, large), terms.Admitted)
+            self.assertIsInstance(units.try_spend(_TEAM, large), terms.Admitted)
             self.assertGreater(units.describe(_TEAM.name).owed, 10_000.0)
 
         self.run_clocked(scenario)
@@ -75,7 +75,7 @@
             units = allowance_fleet.build_escrow()
             await _fill(units)
             # More is asked for than comes.
-            units.take(_TEAM, terms.Wish(2 * _RATE))
+            units.try_spend(_TEAM, terms.Wish(2 * _RATE))
             late = _count_admitted(units, terms.Wish(500.0, is_late=True))
             on_time = _count_admitted(units, terms.Wish(500.0))
             self.assertGreater(late, 10)
@@ -89,10 +89,10 @@
         async def scenario() -> None:
             units = allowance_fleet.build_escrow()
             await _fill(units)
-            units.take(_TEAM, terms.Wish(0.6 * _RATE * _LIFE_S))
+            units.try_spend(_TEAM, terms.Wish(0.6 * _RATE * _LIFE_S))
             await trio.sleep(0.8)
             wish = terms.Wish(200.0, is_late=True)
-            self.assertIsInstance(units.take(_TEAM, wish), terms.Admitted)
+            self.assertIsInstance(units.try_spend(_TEAM, wish), terms.Admitted)
 
         self.run_clocked(scenario)
 
@@ -297,7 +297,7 @@
             self.assertTrue(answers[0].is_admitted)
             # It is not held for longer than it may wait.
             parts[0] = 0.0
-            units.take(_TEAM, terms.Wish(10 * _RATE))
+            units.try_spend(_TEAM, terms.Wish(10 * _RATE))
             started = trio.current_time()
             wish = terms.Wish(9 * _RATE, patience_s=0.3)
             answer = await one.acquire(_TEAM, wish)
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -256,7 +256,7 @@
             self._ask_next(one)
             return False
         one.keepers = []
-        match self.units.take(allowance_fleet.TEAM, terms.Wish(units)):
+        match self.units.try_spend(allowance_fleet.TEAM, terms.Wish(units)):
             case terms.Admitted():
                 return True
             case terms.HeldElsewhere(holder=holder) if holder:
@@ -325,7 +325,9 @@
             self._tell(address, messages.UnitsReply(want.number, passed))
             return
         is_again = want.is_redirected
-        match self.units.take(allowance_fleet.TEAM, wish, is_again=is_again):
+        match self.units.try_spend(
+            allowance_fleet.TEAM, wish, is_again=is_again
+        ):
             case terms.Admitted():
                 self._reply(address, want.number, 0.0)
             case terms.HeldElsewhere() if want.is_redirected:
@@ -359,7 +361,7 @@
 
     def _take_waits(self, now: float) -> None:
         for one in list(self._waits):
-            verdict = self.units.take(
+            verdict = self.units.try_spend(
                 allowance_fleet.TEAM, terms.Wish(one.units), is_again=True
             )
             is_admitted = isinstance(verdict, terms.Admitted)
