--- a/packages/daemon/src/martenquay_daemon/allowances/escrow.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/escrow.py
@@ -253,7 +253,7 @@
                 ]
         return gifts
 
-    def hear(
+    def apply_balances(
         self,
         member: str,
         number: int,
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
@@ -77,7 +77,9 @@
             )
             for team, line in note.pools.items()
         }
-        self._units.hear(note.member, note.number, holdings, note.address)
+        self._units.apply_balances(
+            note.member, note.number, holdings, note.address
+        )
         line = note.gifts.get(self._member)
         if line is None:
             return
--- a/tests/allowance_fleet.py
+++ b/tests/allowance_fleet.py
@@ -216,7 +216,7 @@
             return
         self._heard[news.member] = news.number
         self._roster.note_told(news.instance, news.members_end)
-        self._units.hear(news.member, news.number, news.holdings)
+        self._units.apply_balances(news.member, news.number, news.holdings)
         gift = news.gifts.get(self.member)
         told_at = self._told.find(gift.heard) if gift is not None else None
         if gift is not None and told_at is not None:
--- a/tests/test_allowances/test_escrow.py
+++ b/tests/test_allowances/test_escrow.py
@@ -105,7 +105,7 @@
             told_at = trio.current_time()
             there = giver.describe(_TEAM.name).there
             holding = sharing.Holding(0.0, 20_000.0)
-            giver.hear("b", 7, {_TEAM.name: holding})
+            giver.apply_balances("b", 7, {_TEAM.name: holding})
             gift = giver.give([_TEAM])["b"]
             given = sum(units for units, _ in gift.parcels[_TEAM.name])
             self.assertEqual(7, gift.heard)
@@ -137,7 +137,9 @@
         async def scenario() -> None:
             giver = allowance_fleet.build_escrow(0.5)
             await _fill(giver)
-            giver.hear("b", 1, {_TEAM.name: sharing.Holding(0.0, 20_000.0)})
+            giver.apply_balances(
+                "b", 1, {_TEAM.name: sharing.Holding(0.0, 20_000.0)}
+            )
             await trio.sleep(1.5)
             self.assertEqual({}, giver.give([_TEAM]))
 
@@ -214,7 +216,9 @@
             units = allowance_fleet.build_escrow(0.0)
             units.refill([_TEAM])
             one = self._build(units)
-            units.hear("b", 1, {_TEAM.name: sharing.Holding(9_000.0, 0.0)})
+            units.apply_balances(
+                "b", 1, {_TEAM.name: sharing.Holding(9_000.0, 0.0)}
+            )
             told_at = trio.current_time()
             answers: list[bool] = []
 
@@ -239,7 +243,9 @@
             units = allowance_fleet.build_escrow(0.0)
             units.refill([_TEAM])
             one = self._build(units)
-            units.hear("b", 1, {_TEAM.name: sharing.Holding(9_000.0, 0.0)})
+            units.apply_balances(
+                "b", 1, {_TEAM.name: sharing.Holding(9_000.0, 0.0)}
+            )
             started = trio.current_time()
             answer = await one.acquire(_TEAM, terms.Wish(500.0))
             self.assertGreater(answer.retry_s, 0.0)
@@ -252,7 +258,9 @@
             units = allowance_fleet.build_escrow(0.0)
             units.refill([_TEAM])
             one = self._build(units)
-            units.hear("b", 1, {_TEAM.name: sharing.Holding(10.0, 0.0)})
+            units.apply_balances(
+                "b", 1, {_TEAM.name: sharing.Holding(10.0, 0.0)}
+            )
             started = trio.current_time()
             answer = await one.acquire(_TEAM, terms.Wish(500.0))
             self.assertGreater(answer.retry_s, 0.0)
