--- a/packages/daemon/src/martenquay_daemon/allowances/escrow.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/escrow.py
@@ -235,7 +235,9 @@
             for team, account in self._accounts.items()
         }
 
-    def give(self, teams: Iterable[catalog.Team]) -> dict[str, Gift]:
+    def create_transfers(
+        self, teams: Iterable[catalog.Team]
+    ) -> dict[str, Gift]:
         """Take out what others lack more; return it by receiver."""
         gifts: dict[str, Gift] = {}
         now = trio.current_time()
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
@@ -60,7 +60,7 @@
         self._told.note(self._number)
         teams = self._store.table.catalog.teams
         self._units.refill(teams)
-        gifts = self._units.give(teams)
+        gifts = self._units.create_transfers(teams)
         return messages.UnitsNote(
             self._member,
             self._links.address,
--- a/tests/allowance_fleet.py
+++ b/tests/allowance_fleet.py
@@ -200,7 +200,7 @@
         self.is_hurried = False
         self._number += 1
         self._told.note(self._number)
-        gifts = self._units.give([TEAM])
+        gifts = self._units.create_transfers([TEAM])
         return News(
             self.instance,
             self.member,
--- a/tests/test_allowances/test_escrow.py
+++ b/tests/test_allowances/test_escrow.py
@@ -106,7 +106,7 @@
             there = giver.describe(_TEAM.name).there
             holding = sharing.Holding(0.0, 20_000.0)
             giver.apply_balances("b", 7, {_TEAM.name: holding})
-            gift = giver.give([_TEAM])["b"]
+            gift = giver.create_transfers([_TEAM])["b"]
             given = sum(units for units, _ in gift.parcels[_TEAM.name])
             self.assertEqual(7, gift.heard)
             self.assertAlmostEqual(
@@ -141,7 +141,7 @@
                 "b", 1, {_TEAM.name: sharing.Holding(0.0, 20_000.0)}
             )
             await trio.sleep(1.5)
-            self.assertEqual({}, giver.give([_TEAM]))
+            self.assertEqual({}, giver.create_transfers([_TEAM]))
 
         self.run_clocked(scenario)
 
