--- a/packages/daemon/src/martenquay_daemon/allowances/escrow.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/escrow.py
@@ -272,7 +272,7 @@
         if any(self._is_to_give(team) for team in holdings):
             self._hurry()
 
-    def accept(self, gift: Gift, told_at: float) -> None:
+    def accept_transfer(self, gift: Gift, told_at: float) -> None:
         """Take units that another daemon has given.
 
         Args:
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
@@ -85,7 +85,7 @@
             return
         told_at = self._told.find(line.heard)
         if told_at is not None:
-            self._units.accept(_read_gift(line), told_at)
+            self._units.accept_transfer(_read_gift(line), told_at)
 
     def is_to_lend(self) -> bool:
         """Tell whether there is a part that no hub has yet."""
--- a/tests/allowance_fleet.py
+++ b/tests/allowance_fleet.py
@@ -220,4 +220,4 @@
         gift = news.gifts.get(self.member)
         told_at = self._told.find(gift.heard) if gift is not None else None
         if gift is not None and told_at is not None:
-            self._units.accept(gift, told_at)
+            self._units.accept_transfer(gift, told_at)
--- a/tests/test_allowances/test_escrow.py
+++ b/tests/test_allowances/test_escrow.py
@@ -112,7 +112,7 @@
             self.assertAlmostEqual(
                 there - given, giver.describe(_TEAM.name).there
             )
-            receiver.accept(gift, told_at)
+            receiver.accept_transfer(gift, told_at)
             self.assertAlmostEqual(given, receiver.describe(_TEAM.name).there)
             await trio.sleep(_LIFE_S)
             receiver.refill([_TEAM])
@@ -126,7 +126,7 @@
             receiver.refill([_TEAM])
             told_at = trio.current_time()
             await trio.sleep(2.0)
-            receiver.accept(
+            receiver.accept_transfer(
                 escrow.Gift(1, {_TEAM.name: [(900.0, 0.9)]}), told_at
             )
             self.assertEqual(0.0, receiver.describe(_TEAM.name).there)
@@ -232,7 +232,7 @@
                 needed = units.list_holdings()[_TEAM.name].needed
                 self.assertAlmostEqual(500.0, needed)
                 gift = escrow.Gift(1, {_TEAM.name: [(600.0, 0.9)]})
-                units.accept(gift, told_at)
+                units.accept_transfer(gift, told_at)
             self.assertEqual([True], answers)
             self.assertEqual(0.0, units.list_holdings()[_TEAM.name].needed)
 
