--- a/packages/daemon/src/martenquay_daemon/duties/lease.py
+++ b/packages/daemon/src/martenquay_daemon/duties/lease.py
@@ -107,7 +107,7 @@
             self.fence, self._valid_end, int(left_s * _MS)
         )
 
-    def hear(
+    def apply_status(
         self, member: str, news: messages.LeaseNews | None, *, is_leaving: bool
     ) -> None:
         """Take what another daemon tells of the lease."""
--- a/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
@@ -148,7 +148,7 @@
     def take_digest(self, digest: messages.Digest) -> None:
         """Spread what another daemon of a small fleet tells."""
         sources = self._sources
-        sources.lease.hear(
+        sources.lease.apply_status(
             digest.member, digest.lease, is_leaving=digest.is_leaving
         )
         sources.loads.replace_source(digest.member, _list_loads(digest.loads))
@@ -199,11 +199,11 @@
             self._sources.orders.take_order(line.offset, order)
 
     def _hear_lease(self, summary: messages.ZoneSummary) -> None:
-        hear = self._sources.lease.hear
+        apply_status = self._sources.lease.apply_status
         if summary.lease is not None:
-            hear(summary.lease_member, summary.lease, is_leaving=False)
+            apply_status(summary.lease_member, summary.lease, is_leaving=False)
         for member in summary.leaving:
-            hear(member, None, is_leaving=True)
+            apply_status(member, None, is_leaving=True)
 
 
 def _list_loads(
--- a/tests/test_duties/test_lease.py
+++ b/tests/test_duties/test_lease.py
@@ -63,7 +63,7 @@
     """Hand on the first one's news as digests do."""
     while True:
         news = first.create_news()
-        second.hear("entry-1.aa", news, is_leaving=False)
+        second.apply_status("entry-1.aa", news, is_leaving=False)
         await trio.sleep(0.25)
 
 
@@ -193,7 +193,7 @@
             async with _hold(first) as nursery:
                 nursery.start_soon(second.run)
                 news = first.create_news()
-                second.hear("entry-1.aa", news, is_leaving=False)
+                second.apply_status("entry-1.aa", news, is_leaving=False)
                 for _ in range(200):
                     await trio.sleep(0.1)
                     self.assertTrue(first.is_held())
@@ -207,7 +207,7 @@
             first, _ = self._create(store, "entry-1")
             async with _hold(first):
                 news = messages.LeaseNews(first.fence, 40, 2000)
-                first.hear("entry-9.aa", news, is_leaving=False)
+                first.apply_status("entry-9.aa", news, is_leaving=False)
                 await trio.sleep(10.0)
                 self.assertTrue(first.is_held())
 
@@ -254,7 +254,7 @@
                 nursery.start_soon(_tell, first, second)
                 await trio.sleep(5.0)
                 await first.release()
-                second.hear("entry-1.aa", None, is_leaving=True)
+                second.apply_status("entry-1.aa", None, is_leaving=True)
                 released_at = trio.current_time()
                 self.assertFalse(first.is_held())
                 await self._wait_held(second)
