--- a/packages/daemon/src/martenquay_daemon/backpressure/leaving_words.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/leaving_words.py
@@ -67,7 +67,7 @@
         for runner_id, born_ms in told.items():
             self._keep(runner_id, born_ms, "daemon")
 
-    def list_heard(self) -> dict[str, int | None]:
+    def list_recent_reports(self) -> dict[str, int | None]:
         """Return what others are to be told, the newest first."""
         oldest = trio.current_time() - _TELL_S
         found = [
--- a/tests/test_backpressure/test_leaving_words.py
+++ b/tests/test_backpressure/test_leaving_words.py
@@ -42,10 +42,10 @@
             words = leaving_words.LeavingWords()
             words.note_answer(_RUNNER)
             other = leaving_words.LeavingWords()
-            other.take_told(words.list_heard())
+            other.take_told(words.list_recent_reports())
             self.assertTrue(other.holds(_RUNNER))
             await trio.sleep(31.0)
-            self.assertEqual({}, words.list_heard())
+            self.assertEqual({}, words.list_recent_reports())
 
         self.run_clocked(scenario)
 
@@ -76,6 +76,6 @@
                 words.note_answer(builders.build_runner(id=f"r-{number}"))
             self.assertTrue(words.holds(builders.build_runner(id="r-4999")))
             self.assertFalse(words.holds(builders.build_runner(id="r-0")))
-            self.assertEqual(32, len(words.list_heard()))
+            self.assertEqual(32, len(words.list_recent_reports()))
 
         self.run_clocked(scenario)
