--- a/packages/daemon/src/martenquay_daemon/backpressure/runner_limits.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/runner_limits.py
@@ -118,7 +118,7 @@
             if folded is not known:
                 self._keep(runner_id, known, folded, is_own=False)
 
-    def list_heard(
+    def list_recent_reports(
         self, *, is_relayed: bool
     ) -> list[tuple[str, limit_words.LimitWord]]:
         """Return what was heard lately, the newest first.
--- a/packages/daemon/src/martenquay_daemon/fleet/runner_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/runner_news.py
@@ -40,7 +40,7 @@
 
     def create(self, *, is_hub: bool) -> messages.RunnerWords:
         """Return what to tell, as old as it is now."""
-        limits = self._limits.list_heard(is_relayed=is_hub)
+        limits = self._limits.list_recent_reports(is_relayed=is_hub)
         leaving = self._leaving.list_recent_reports()
         if not limits and not leaving:
             return messages.NO_WORDS
--- a/tests/limit_days.py
+++ b/tests/limit_days.py
@@ -294,7 +294,7 @@
         words = [
             word
             for one in heard
-            for word in one.limits.list_heard(is_relayed=False)
+            for word in one.limits.list_recent_reports(is_relayed=False)
         ]
         if not words:
             return
--- a/tests/test_backpressure/test_runner_limits.py
+++ b/tests/test_backpressure/test_runner_limits.py
@@ -122,8 +122,8 @@
             limits.take_told([(_RUNNER.id, word)])
             self.assertFalse(_take_turn(limits, _RUNNER))
             # Only what a runner said to this daemon is told as its own.
-            self.assertEqual([], limits.list_heard(is_relayed=False))
-            relayed = dict(limits.list_heard(is_relayed=True))
+            self.assertEqual([], limits.list_recent_reports(is_relayed=False))
+            relayed = dict(limits.list_recent_reports(is_relayed=True))
             self.assertEqual(word.heard_at, relayed[_RUNNER.id].heard_at)
 
         self.run_clocked(scenario)
@@ -157,7 +157,7 @@
             told = builders.build_runner_limits()
             late = builders.build_runner_limits(rank=5, daemons=6)
             told.note_answer(_RUNNER, _LIMITED, trio.current_time())
-            words = told.list_heard(is_relayed=False)
+            words = told.list_recent_reports(is_relayed=False)
             await trio.sleep(0.4)
             late.take_told(
                 [
@@ -170,7 +170,7 @@
                 told.note_answer(
                     _RUNNER, signals.NO_SIGNALS, trio.current_time()
                 )
-                late.take_told(told.list_heard(is_relayed=False))
+                late.take_told(told.list_recent_reports(is_relayed=False))
             self.assertFalse(late.is_limited(_RUNNER))
 
         self.run_clocked(scenario)
@@ -185,7 +185,7 @@
                     _RUNNER, signals.NO_SIGNALS, trio.current_time()
                 )
             # Answers of a runner that is well are no news.
-            self.assertEqual([], limits.list_heard(is_relayed=True))
+            self.assertEqual([], limits.list_recent_reports(is_relayed=True))
             self.assertEqual(set(), limits.list_ids())
 
         self.run_clocked(scenario)
@@ -201,7 +201,9 @@
                 limits.is_limited(builders.build_runner(id="runner-0"))
             )
             self.assertTrue(limits.is_limited(runner))
-            self.assertEqual(32, len(limits.list_heard(is_relayed=True)))
+            self.assertEqual(
+                32, len(limits.list_recent_reports(is_relayed=True))
+            )
 
         self.run_clocked(scenario)
 
