--- a/bench/runner_limits.py
+++ b/bench/runner_limits.py
@@ -25,13 +25,17 @@
 _SILENT_S = 5.0
 
 
-def _share_evenly(limit: float, place: send_shares.Place) -> send_shares.Share:
+def _share_evenly(
+    limit: float, place: send_shares.SenderRank
+) -> send_shares.Share:
     """Give each daemon one part of as many as there are."""
     rate = max(limit, _LEAST_PER_S)
     return send_shares.HolderPace((place.rank + 1) / rate, place.daemons / rate)
 
 
-def _give_to_one(limit: float, place: send_shares.Place) -> send_shares.Share:
+def _give_to_one(
+    limit: float, place: send_shares.SenderRank
+) -> send_shares.Share:
     """Give all to the first; the others wait for it to fall silent."""
     rate = max(limit, _LEAST_PER_S)
     if place.rank == 0:
@@ -44,13 +48,15 @@
     )
 
 
-def _only_ask(limit: float, place: send_shares.Place) -> send_shares.Share:
+def _only_ask(limit: float, place: send_shares.SenderRank) -> send_shares.Share:
     """Send nothing but what tells that the limit is over."""
     del limit
     return send_shares.find_share(_LEAST_PER_S, place)
 
 
-_WAYS: dict[str, Callable[[float, send_shares.Place], send_shares.Share]] = {
+_WAYS: dict[
+    str, Callable[[float, send_shares.SenderRank], send_shares.Share]
+] = {
     "each one part": _share_evenly,
     "one holder": _give_to_one,
     "few holders": send_shares.find_share,
--- a/packages/daemon/src/martenquay_daemon/backpressure/runner_limits.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/runner_limits.py
@@ -63,9 +63,9 @@
 
     def __init__(
         self,
-        find_place: Callable[[runners.Runner], send_shares.Place],
+        find_place: Callable[[runners.Runner], send_shares.SenderRank],
         find_share: Callable[
-            [float, send_shares.Place], send_shares.Share
+            [float, send_shares.SenderRank], send_shares.Share
         ] = send_shares.find_share,
     ) -> None:
         self.observe: Callable[[str, str], None] = observers.ignore_change
--- a/packages/daemon/src/martenquay_daemon/backpressure/send_order.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/send_order.py
@@ -28,14 +28,14 @@
         self._instance = instance
         self._roster = known
         self._changes = -1
-        self._places: dict[str, send_shares.Place] = {}
+        self._places: dict[str, send_shares.SenderRank] = {}
 
-    def find_place(self, runner: runners.Runner) -> send_shares.Place:
+    def find_place(self, runner: runners.Runner) -> send_shares.SenderRank:
         """Return this daemon's place for a runner."""
         if self._roster.find_own_share() <= 0:
             # Those that have not read of it would not make room for it.
             others = self._roster.list_instances() - {self._instance}
-            return send_shares.Place(len(others), len(others) + 1)
+            return send_shares.SenderRank(len(others), len(others) + 1)
         if self._changes != self._roster.changes or len(self._places) > _MOST:
             self._changes = self._roster.changes
             self._places.clear()
@@ -44,11 +44,11 @@
             place = self._places[runner.id] = self._rank(runner)
         return place
 
-    def _rank(self, runner: runners.Runner) -> send_shares.Place:
+    def _rank(self, runner: runners.Runner) -> send_shares.SenderRank:
         zones = self._roster.list_zones()
         own = self._score(runner, self._instance, zones)
         before = sum(self._score(runner, one, zones) > own for one in zones)
-        return send_shares.Place(before, len(zones))
+        return send_shares.SenderRank(before, len(zones))
 
     def _score(
         self, runner: runners.Runner, instance: str, zones: dict[str, str]
--- a/packages/daemon/src/martenquay_daemon/backpressure/send_shares.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/send_shares.py
@@ -16,7 +16,7 @@
 __all__ = [
     "AskSlot",
     "HolderPace",
-    "Place",
+    "SenderRank",
     "Share",
     "find_pace_s",
     "find_share",
@@ -39,7 +39,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Place:
+class SenderRank:
     """Where a daemon stands among those that may send to a runner.
 
     Attributes:
@@ -89,7 +89,7 @@
     return 1 / max(limit_per_s, _LEAST_PER_S)
 
 
-def find_share(limit_per_s: float, place: Place) -> Share:
+def find_share(limit_per_s: float, place: SenderRank) -> Share:
     """Return what one daemon may send; no two daemons have the same turn."""
     rate = max(limit_per_s, _LEAST_PER_S)
     daemons = max(1, place.daemons)
--- a/tests/limit_days.py
+++ b/tests/limit_days.py
@@ -109,7 +109,7 @@
 async def play_day(
     day: LimitDay,
     find_share: Callable[
-        [float, send_shares.Place], send_shares.Share
+        [float, send_shares.SenderRank], send_shares.Share
     ] = send_shares.find_share,
 ) -> Played:
     """Play a day; the clock has to jump."""
@@ -120,7 +120,9 @@
     def __init__(
         self,
         day: LimitDay,
-        find_share: Callable[[float, send_shares.Place], send_shares.Share],
+        find_share: Callable[
+            [float, send_shares.SenderRank], send_shares.Share
+        ],
     ) -> None:
         self._day = day
         self._share = find_share
@@ -167,12 +169,12 @@
             lambda _: self._find_place(name), self._share
         )
 
-    def _find_place(self, name: str) -> send_shares.Place:
+    def _find_place(self, name: str) -> send_shares.SenderRank:
         one = self._daemons[name]
         if not one.is_counted:
-            return send_shares.Place(len(one.listed), len(one.listed) + 1)
+            return send_shares.SenderRank(len(one.listed), len(one.listed) + 1)
         ranked = rendezvous.rank_candidates(_RUNNER.id, one.listed)
-        return send_shares.Place(ranked.index(name), len(ranked))
+        return send_shares.SenderRank(ranked.index(name), len(ranked))
 
     def _draw_faults(self) -> None:
         kinds = [self._cut, self._kill, self._join]
--- a/tests/serving_builders.py
+++ b/tests/serving_builders.py
@@ -129,7 +129,7 @@
     rank: int = 0, daemons: int = 1
 ) -> runner_limits.RunnerLimits:
     """Return the limits of a daemon that has the same place for each runner."""
-    place = send_shares.Place(rank, daemons)
+    place = send_shares.SenderRank(rank, daemons)
     return runner_limits.RunnerLimits(lambda _: place)
 
 
--- a/tests/test_backpressure/test_runner_limits.py
+++ b/tests/test_backpressure/test_runner_limits.py
@@ -236,10 +236,10 @@
         self,
     ) -> None:
         def keep_alone(
-            limit: float, place: send_shares.Place
+            limit: float, place: send_shares.SenderRank
         ) -> send_shares.Share:
             del place
-            return send_shares.find_share(limit, send_shares.Place(0, 1))
+            return send_shares.find_share(limit, send_shares.SenderRank(0, 1))
 
         async def scenario() -> None:
             day = limit_days.LimitDay(25, 1.0, 1)
--- a/tests/test_backpressure/test_send_shares.py
+++ b/tests/test_backpressure/test_send_shares.py
@@ -15,7 +15,7 @@
             for limit in (0.1, 0.5, 1.0, 5.0, 50.0, 1000.0):
                 shares = [
                     send_shares.find_share(
-                        limit, send_shares.Place(rank, daemons)
+                        limit, send_shares.SenderRank(rank, daemons)
                     )
                     for rank in range(daemons)
                 ]
@@ -24,7 +24,7 @@
 
     def test_first_requests_come_one_after_the_other(self) -> None:
         shares = [
-            send_shares.find_share(5.0, send_shares.Place(rank, 70))
+            send_shares.find_share(5.0, send_shares.SenderRank(rank, 70))
             for rank in range(70)
         ]
         firsts = [one.first_s for one in _list_holders(shares)]
@@ -34,7 +34,7 @@
     def test_others_have_slots_that_no_two_share(self) -> None:
         for limit in (0.1, 1.0, 50.0):
             shares = [
-                send_shares.find_share(limit, send_shares.Place(rank, 70))
+                send_shares.find_share(limit, send_shares.SenderRank(rank, 70))
                 for rank in range(70)
             ]
             slots = [s for s in shares if isinstance(s, send_shares.AskSlot)]
@@ -46,7 +46,7 @@
             self.assertGreaterEqual(slots[0].first_s, 5.0)
 
     def test_one_of_two_holders_may_be_gone(self) -> None:
-        share = send_shares.find_share(0.1, send_shares.Place(1, 6))
+        share = send_shares.find_share(0.1, send_shares.SenderRank(1, 6))
         self.assertIsInstance(share, send_shares.HolderPace)
 
 
