--- a/packages/daemon/src/martenquay_daemon/backpressure/parts.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/parts.py
@@ -54,7 +54,7 @@
     """
     order = send_order.SendOrder(instance, known)
     limits = runner_limits.RunnerLimits(order.find_place)
-    asked_rests = rests.Rests()
+    asked_rests = rests.RunnerBackoffs()
     for words in (limits, leaving, asked_rests):
         words.observe = observe
     limits.hurry = leaving.hurry = hurry
--- a/packages/daemon/src/martenquay_daemon/backpressure/rests.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/rests.py
@@ -16,7 +16,7 @@
 
     from martenquay_core.serving import runners
 
-__all__ = ["Rests"]
+__all__ = ["RunnerBackoffs"]
 
 _LOG = logs.create_log("backpressure")
 # After its rest a runner gets one request, and the next one when that is
@@ -41,7 +41,7 @@
     tried_at: float = -math.inf
 
 
-class Rests:
+class RunnerBackoffs:
     """Rests by runner id; they are this daemon's alone.
 
     Attributes:
--- a/packages/daemon/src/martenquay_daemon/backpressure/runner_gate.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/runner_gate.py
@@ -53,7 +53,7 @@
         self,
         limits: runner_limits.RunnerLimits,
         leaving: leaving_words.LeavingWords,
-        asked_rests: rests.Rests,
+        asked_rests: rests.RunnerBackoffs,
     ) -> None:
         self._limits = limits
         self._leaving = leaving
--- a/tests/serving_builders.py
+++ b/tests/serving_builders.py
@@ -136,7 +136,9 @@
 def build_runner_gate() -> runner_gate.RunnerGate:
     """Return what a daemon that is alone has been told of runners: nothing."""
     return runner_gate.RunnerGate(
-        build_runner_limits(), leaving_words.LeavingWords(), rests.Rests()
+        build_runner_limits(),
+        leaving_words.LeavingWords(),
+        rests.RunnerBackoffs(),
     )
 
 
--- a/tests/test_engines/test_placer.py
+++ b/tests/test_engines/test_placer.py
@@ -50,7 +50,7 @@
         self.ejector = ejection.Ejector()
         self.limits = builders.build_runner_limits()
         self.gate = runner_gate.RunnerGate(
-            self.limits, directory.leaving, rests.Rests()
+            self.limits, directory.leaving, rests.RunnerBackoffs()
         )
         return placer.Placer(
             "a",
