--- a/packages/daemon/src/martenquay_daemon/fleet/messages.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/messages.py
@@ -21,7 +21,7 @@
     "LeaseNews",
     "LimitLine",
     "LoadLine",
-    "OrderLine",
+    "RolloutOrderEntry",
     "ParcelLine",
     "PeerLine",
     "PoolLine",
@@ -104,7 +104,7 @@
     slowing_ms: int
 
 
-class OrderLine(msgspec.Struct, frozen=True, array_like=True):
+class RolloutOrderEntry(msgspec.Struct, frozen=True, array_like=True):
     """An operator's order to move a service to a version.
 
     Attributes:
@@ -272,7 +272,7 @@
     demand: dict[str, float]
     reading: dict[str, ReadingLine]
     trials: dict[str, TrialLine]
-    orders: list[OrderLine]
+    orders: list[RolloutOrderEntry]
     runner_words: RunnerWords
 
 
@@ -374,7 +374,7 @@
     heard: int
     number: int
     reading: dict[str, ReadingLine]
-    orders: list[OrderLine]
+    orders: list[RolloutOrderEntry]
     runner_words: RunnerWords
 
 
--- a/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
@@ -191,7 +191,7 @@
         self._sources.estimates.replace_source(member, {})
         self._sources.trials.replace_source(member, {})
 
-    def _take_orders(self, lines: list[messages.OrderLine]) -> None:
+    def _take_orders(self, lines: list[messages.RolloutOrderEntry]) -> None:
         for line in lines:
             order = rollouts.RolloutOrder(
                 line.service, line.version, line.duration_s
@@ -215,9 +215,9 @@
     }
 
 
-def _write_order(rollout: book.Rollout) -> messages.OrderLine:
+def _write_order(rollout: book.Rollout) -> messages.RolloutOrderEntry:
     order = rollout.order
-    return messages.OrderLine(
+    return messages.RolloutOrderEntry(
         order.service, order.version, order.duration_s, rollout.offset
     )
 
--- a/tests/test_fleet/test_order_copies.py
+++ b/tests/test_fleet/test_order_copies.py
@@ -10,7 +10,7 @@
 
 _FACTS = hub.HubFacts(3, 0, 0, 0, 0, messages.NO_WORDS)
 _SILENT_S = 2.0
-_ORDER = messages.OrderLine("model", "v2", 12.0, 7)
+_ORDER = messages.RolloutOrderEntry("model", "v2", 12.0, 7)
 
 
 class OrderCopyTest(clocked.ClockedTestCase):
