--- a/packages/daemon/src/martenquay_daemon/duties/capacity_keeper.py
+++ b/packages/daemon/src/martenquay_daemon/duties/capacity_keeper.py
@@ -88,7 +88,7 @@
 
     def __init__(self, parts: CapacityParts) -> None:
         self._parts = parts
-        self._lines: dict[tuple[str, str, bool], order_line.OrderLine] = {}
+        self._lines: dict[tuple[str, str, bool], order_line.CapacityOrder] = {}
         self._needs: dict[str, slow_fall.SlowFall] = {}
         self._comforts: dict[str, slow_fall.SlowFall] = {}
         self._rises: dict[str, slow_fall.SlowFall] = {}
@@ -291,7 +291,7 @@
     ) -> None:
         wanted = order.wanted
         key = (service, order.zone, order.is_reclaimable)
-        line = self._lines.setdefault(key, order_line.OrderLine())
+        line = self._lines.setdefault(key, order_line.CapacityOrder())
         serving = state.count(order.zone, is_reclaimable=order.is_reclaimable)
         line.note_serving(serving)
         if not line.is_due(trio.current_time(), wanted, state.limits.boot_s):
--- a/packages/daemon/src/martenquay_daemon/duties/order_line.py
+++ b/packages/daemon/src/martenquay_daemon/duties/order_line.py
@@ -7,7 +7,7 @@
 
 import trio
 
-__all__ = ["OrderLine"]
+__all__ = ["CapacityOrder"]
 
 # A refused order is tried again after this, not in a tight loop.
 _REFUSED_S = 1.5
@@ -21,7 +21,7 @@
 
 
 @dataclasses.dataclass
-class OrderLine:
+class CapacityOrder:
     """The last order of one kind in one zone.
 
     Attributes:
