--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -136,7 +136,7 @@
         # Other zones' hubs that were asked for units, and until when they are
         # kept linked.
         self._asked_hubs: dict[str, float] = {}
-        self.desk = unit_desk.UnitDesk(self)
+        self.quota_client = unit_desk.UnitDesk(self)
         self._zone.find_members_end = self._find_zone_end
         self._zone.create_runner_words = self._create_runner_words
 
@@ -272,7 +272,7 @@
             case messages.WantUnits():
                 self._answer_units(message, reply)
             case messages.UnitsReply():
-                self.desk.take_reply(source, message)
+                self.quota_client.take_reply(source, message)
             case messages.UnitsNote():
                 if self.listeners is not None:
                     self.listeners.take_units(message)
--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -390,8 +390,8 @@
             ),
             self.links.hurry_units,
         )
-        self.links.desk.observe = self.metrics.note_units_asked
-        self._gate = gate.create_gate(self._units, self.links.desk)
+        self.links.quota_client.observe = self.metrics.note_units_asked
+        self._gate = gate.create_gate(self._units, self.links.quota_client)
         self._unit_news = unit_news.UnitNews(
             self.member,
             self._settings.zone,
--- a/tests/test_fleet/test_links.py
+++ b/tests/test_fleet/test_links.py
@@ -316,9 +316,9 @@
                 keeper := asker.links.find_keeper()
             ) is None or keeper.member != "entry-1.aa":
                 await trio.sleep(0.01)
-            self.assertFalse(asker.links.desk.keeps_here())
+            self.assertFalse(asker.links.quota_client.keeps_here())
             wish = terms.Wish(500.0, 1)
-            answer = await asker.links.desk.ask("florists", wish)
+            answer = await asker.links.quota_client.ask("florists", wish)
             self.assertTrue(answer.is_admitted)
             self.assertEqual("entry-1.aa", answer.kept_at)
             self.assertEqual("florists", daemons[1].asked[0].team)
@@ -344,7 +344,7 @@
             found = set()
             with trio.move_on_after(5.0):
                 while not found:
-                    answer = await asker.links.desk.ask(
+                    answer = await asker.links.quota_client.ask(
                         "florists", terms.Wish(500.0)
                     )
                     found = {answer.kept_at} if answer else set()
@@ -363,8 +363,8 @@
                 notes = daemons[number].notes
                 while not any(n.member == f"entry-{keeper}.aa" for n in notes):
                     await trio.sleep(0.01)
-            self.assertTrue(daemons[0].links.desk.keeps_here())
-            self.assertFalse(daemons[2].links.desk.keeps_here())
+            self.assertTrue(daemons[0].links.quota_client.keeps_here())
+            self.assertFalse(daemons[2].links.quota_client.keeps_here())
             self.assertEqual([], daemons[-1].notes)
 
         self._run(scenario, 18, 2)
