--- a/packages/daemon/src/martenquay_daemon/discovery/catalog_sink.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/catalog_sink.py
@@ -21,9 +21,9 @@
     def replace_all(self, snapshot: ports.Snapshot) -> None:
         """Take the newest records; a missing one changes nothing."""
         for record in snapshot.records:
-            self.take(record)
+            self.apply_change(record)
 
-    def take(self, record: ports.KeyedRecord) -> None:
+    def apply_change(self, record: ports.KeyedRecord) -> None:
         """Offer the record to the store if it is the catalog."""
         if record.key == self._key and record.value is not None:
             self._store.offer(record.value, f"log offset {record.offset}")
--- a/packages/daemon/src/martenquay_daemon/discovery/joint_sink.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/joint_sink.py
@@ -22,7 +22,7 @@
         for sink in self._sinks:
             sink.replace_all(snapshot)
 
-    def take(self, record: ports.KeyedRecord) -> None:
+    def apply_change(self, record: ports.KeyedRecord) -> None:
         """Tell all."""
         for sink in self._sinks:
-            sink.take(record)
+            sink.apply_change(record)
--- a/packages/daemon/src/martenquay_daemon/discovery/keyed_follower.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/keyed_follower.py
@@ -39,7 +39,7 @@
     def replace_all(self, snapshot: ports.Snapshot) -> None:
         """Take the newest record of each key; other keys are gone."""
 
-    def take(self, record: ports.KeyedRecord) -> None:
+    def apply_change(self, record: ports.KeyedRecord) -> None:
         """Take one more record."""
 
 
@@ -168,7 +168,7 @@
         except ValueError as error:
             self._note_unreadable(1, str(error))
             return
-        self._sink.take(record)
+        self._sink.apply_change(record)
 
     def _note_unreadable(self, count: int, problem: str) -> None:
         """Count records that say nothing of any key; the others hold."""
--- a/packages/daemon/src/martenquay_daemon/discovery/runner_directory.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/runner_directory.py
@@ -63,7 +63,7 @@
         """Take the newest entries; runners without one are gone."""
         self._apply(self.entries.replace_all(snapshot))
 
-    def take(self, record: ports.KeyedRecord) -> None:
+    def apply_change(self, record: ports.KeyedRecord) -> None:
         """Take one entry, or the end of one."""
         self._apply([self.entries.take(record)])
 
--- a/packages/daemon/src/martenquay_daemon/fleet/announcements.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/announcements.py
@@ -54,9 +54,9 @@
     def replace_all(self, snapshot: ports.Snapshot) -> None:
         """Take all announcements."""
         for record in snapshot.records:
-            self.take(record)
+            self.apply_change(record)
 
-    def take(self, record: ports.KeyedRecord) -> None:
+    def apply_change(self, record: ports.KeyedRecord) -> None:
         """Take one announcement."""
         if record.value is None:
             self._roster.note_removed(record.key)
--- a/packages/daemon/src/martenquay_daemon/quarantine/desk.py
+++ b/packages/daemon/src/martenquay_daemon/quarantine/desk.py
@@ -113,7 +113,7 @@
                 contents=len(self._table),
             )
 
-    def take(self, record: ports.KeyedRecord) -> None:
+    def apply_change(self, record: ports.KeyedRecord) -> None:
         """Take one strike, or the end of one."""
         strike = self._decode(record)
         if strike is None:
--- a/packages/daemon/src/martenquay_daemon/rollouts/records.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/records.py
@@ -48,9 +48,9 @@
     def replace_all(self, snapshot: ports.Snapshot) -> None:
         """Take the newest step of each service; a missing one holds on."""
         for record in snapshot.records:
-            self.take(record)
+            self.apply_change(record)
 
-    def take(self, record: ports.KeyedRecord) -> None:
+    def apply_change(self, record: ports.KeyedRecord) -> None:
         """Take one step."""
         if record.value is None:
             return
@@ -85,9 +85,9 @@
     def replace_all(self, snapshot: ports.Snapshot) -> None:
         """Take the newest records; a missing one changes nothing."""
         for record in snapshot.records:
-            self.take(record)
+            self.apply_change(record)
 
-    def take(self, record: ports.KeyedRecord) -> None:
+    def apply_change(self, record: ports.KeyedRecord) -> None:
         """Take the record if it is an order."""
         if record.value is None:
             return
--- a/tests/placing_days.py
+++ b/tests/placing_days.py
@@ -267,7 +267,7 @@
             address=f"127.0.0.1:{number}",
             slots=_SLOTS,
         )
-        directory.take(ports.KeyedRecord(number, f"r-{number}", value))
+        directory.apply_change(ports.KeyedRecord(number, f"r-{number}", value))
     return directory
 
 
--- a/tests/serving_scene.py
+++ b/tests/serving_scene.py
@@ -228,7 +228,7 @@
         )
         key = self._records.runners[value].id
         offset = self.log.put(builders.TOPICS.runners, key, value)
-        self.directory.take(ports.KeyedRecord(offset, key, value))
+        self.directory.apply_change(ports.KeyedRecord(offset, key, value))
         self.follower.skip_to(offset + 1)
 
     def let_leave(self, number: int) -> None:
@@ -244,7 +244,7 @@
         """Have the entry of a runner lapse."""
         found = self._records.runners[b"runner %d" % number]
         offset = self.log.put(builders.TOPICS.runners, found.id, b"")
-        self.directory.take(ports.KeyedRecord(offset, found.id, None))
+        self.directory.apply_change(ports.KeyedRecord(offset, found.id, None))
 
     async def ask(self, raw: bytes) -> Reply:
         """Send bytes on a connection of their own and read one answer."""
--- a/tests/test_backpressure/test_leaving_words.py
+++ b/tests/test_backpressure/test_leaving_words.py
@@ -57,14 +57,14 @@
             )
             records.runners[b"ready"] = _RUNNER
             entry = ports.KeyedRecord(4, _RUNNER.id, b"ready")
-            directory.take(entry)
+            directory.apply_change(entry)
             directory.leaving.note_answer(_RUNNER)
-            directory.take(ports.KeyedRecord(5, _RUNNER.id, b"ready"))
+            directory.apply_change(ports.KeyedRecord(5, _RUNNER.id, b"ready"))
             self.assertEqual([], directory.list_usable("desk"))
             directory.replace_all(ports.Snapshot((entry,), 6))
             self.assertEqual([], directory.list_usable("desk"))
-            directory.take(ports.KeyedRecord(7, _RUNNER.id, None))
-            directory.take(ports.KeyedRecord(8, _RUNNER.id, b"ready"))
+            directory.apply_change(ports.KeyedRecord(7, _RUNNER.id, None))
+            directory.apply_change(ports.KeyedRecord(8, _RUNNER.id, b"ready"))
             self.assertEqual([], directory.list_usable("desk"))
 
         self.run_clocked(scenario)
--- a/tests/test_discovery/test_followers.py
+++ b/tests/test_discovery/test_followers.py
@@ -32,7 +32,7 @@
         """Remember a snapshot's keys."""
         self.snapshots.append(sorted(r.key for r in snapshot.records))
 
-    def take(self, record: ports.KeyedRecord) -> None:
+    def apply_change(self, record: ports.KeyedRecord) -> None:
         """Remember a record."""
         self.records.append((record.offset, record.key))
 
@@ -44,11 +44,11 @@
         super().__init__()
         self._bad = bad
 
-    def take(self, record: ports.KeyedRecord) -> None:
+    def apply_change(self, record: ports.KeyedRecord) -> None:
         """Remember a record, or raise."""
         if record.key == self._bad:
             raise ValueError("this is no record")
-        super().take(record)
+        super().apply_change(record)
 
 
 class KeyedFollowerTest(clocked.ClockedTestCase):
@@ -185,8 +185,8 @@
     def test_other_keys_of_the_topic_are_passed_over(self) -> None:
         store = self._build()
         sink = catalog_sink.CatalogSink(store, "config")
-        sink.take(ports.KeyedRecord(1, "other", b"4"))
+        sink.apply_change(ports.KeyedRecord(1, "other", b"4"))
         self.assertEqual(0, store.version)
-        sink.take(ports.KeyedRecord(2, "config", b"4"))
-        sink.take(ports.KeyedRecord(3, "config", None))
+        sink.apply_change(ports.KeyedRecord(2, "config", b"4"))
+        sink.apply_change(ports.KeyedRecord(3, "config", None))
         self.assertEqual(4, store.version)
--- a/tests/test_discovery/test_refresher.py
+++ b/tests/test_discovery/test_refresher.py
@@ -26,7 +26,7 @@
         """Take a snapshot's keys."""
         self.keys = [record.key for record in snapshot.records]
 
-    def take(self, record: ports.KeyedRecord) -> None:
+    def apply_change(self, record: ports.KeyedRecord) -> None:
         """Take one key."""
         self.keys.append(record.key)
 
--- a/tests/test_discovery/test_runner_directory.py
+++ b/tests/test_discovery/test_runner_directory.py
@@ -36,11 +36,13 @@
         value = repr(runner).encode()
         self.records.runners[value] = runner
         self.offset += 1
-        self.directory.take(ports.KeyedRecord(self.offset, runner.id, value))
+        self.directory.apply_change(
+            ports.KeyedRecord(self.offset, runner.id, value)
+        )
 
     def _drop(self, key: str) -> None:
         self.offset += 1
-        self.directory.take(ports.KeyedRecord(self.offset, key, None))
+        self.directory.apply_change(ports.KeyedRecord(self.offset, key, None))
 
     def _list(self) -> list[str]:
         return sorted(r.id for r in self.directory.list_usable("desk"))
@@ -168,8 +170,8 @@
             self.directory.on_unusable = noted.append
             self._put(id="r-1")
             self._put(id="r-2", address="127.0.0.1:2")
-            self.directory.take(ports.KeyedRecord(9, "r-1", b"broken"))
-            self.directory.take(ports.KeyedRecord(10, "r-1", b"broken"))
+            self.directory.apply_change(ports.KeyedRecord(9, "r-1", b"broken"))
+            self.directory.apply_change(ports.KeyedRecord(10, "r-1", b"broken"))
             self.assertEqual(["r-2"], self._list())
             self.assertEqual(["r-1", "r-1"], noted)
             self.offset = 10
--- a/tests/test_duties/test_capacity_keeper.py
+++ b/tests/test_duties/test_capacity_keeper.py
@@ -70,7 +70,7 @@
         )
         value = repr(runner).encode()
         self.records.runners[value] = runner
-        self.directory.take(ports.KeyedRecord(number, runner.id, value))
+        self.directory.apply_change(ports.KeyedRecord(number, runner.id, value))
 
     def _run(self, scenario) -> None:
         async def run() -> None:
@@ -187,7 +187,9 @@
         async def scenario() -> None:
             await self._lose_two_zones()
             for number in (1, 2, 3, 4, 5, 10, 11, 12):
-                self.directory.take(ports.KeyedRecord(99, f"r-{number}", None))
+                self.directory.apply_change(
+                    ports.KeyedRecord(99, f"r-{number}", None)
+                )
             await trio.sleep(1.0)
             cheap = self._list_orders(is_reclaimable=True)
             self.assertEqual([("a", 3), ("b", 3)], cheap)
@@ -204,7 +206,9 @@
             self.cloud.received.clear()
             # Meanwhile the entries of those that left lapse.
             for number in (1, 2, 3, 4, 5, 10, 11, 12, 13, 14, 15):
-                self.directory.take(ports.KeyedRecord(99, f"r-{number}", None))
+                self.directory.apply_change(
+                    ports.KeyedRecord(99, f"r-{number}", None)
+                )
             await trio.sleep(2.0)
             self.assertEqual([], self._list_orders(is_reclaimable=False))
 
--- a/tests/test_engines/test_placer.py
+++ b/tests/test_engines/test_placer.py
@@ -43,7 +43,9 @@
                 slots=_RUNNER_SLOTS,
             )
             records.runners[b"%d" % number] = runner
-            directory.take(ports.KeyedRecord(number, runner.id, b"%d" % number))
+            directory.apply_change(
+                ports.KeyedRecord(number, runner.id, b"%d" % number)
+            )
         self.ledger = loads.LoadLedger()
         self.estimates = model.RunnerModel()
         self.silent: set[str] = set()
--- a/tests/test_fleet/test_links.py
+++ b/tests/test_fleet/test_links.py
@@ -188,7 +188,7 @@
         async def scenario(daemons: list[_Daemon]) -> None:
             first, second = daemons
             sink = catalog_sink.CatalogSink(first.store, "config")
-            sink.take(ports.KeyedRecord(0, "config", b"3"))
+            sink.apply_change(ports.KeyedRecord(0, "config", b"3"))
             second.links.add_peer(first.find_place())
             while second.store.version != 3:
                 await trio.sleep(0.01)
@@ -199,7 +199,7 @@
         async def scenario(daemons: list[_Daemon]) -> None:
             first, second = daemons
             first.contact.note_answer()
-            first.directory.take(ports.KeyedRecord(4, "r-1", b"r"))
+            first.directory.apply_change(ports.KeyedRecord(4, "r-1", b"r"))
             first.follower.skip_to(5)
             second.links.add_peer(first.find_place())
             while not second.directory.list_usable("desk"):
@@ -214,7 +214,7 @@
             _introduce(daemons)
             # Also from a daemon that is no hub.
             sink = catalog_sink.CatalogSink(daemons[-1].store, "config")
-            sink.take(ports.KeyedRecord(0, "config", b"3"))
+            sink.apply_change(ports.KeyedRecord(0, "config", b"3"))
             while any(one.store.version != 3 for one in daemons):
                 await trio.sleep(0.01)
 
@@ -236,7 +236,9 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(read)
                 for one in hubs:
-                    one.directory.take(ports.KeyedRecord(4, "r-1", b"r"))
+                    one.directory.apply_change(
+                        ports.KeyedRecord(4, "r-1", b"r")
+                    )
                     one.follower.skip_to(5)
                 while any(
                     not one.directory.list_usable("desk") for one in daemons
@@ -247,7 +249,9 @@
                 for one in daemons[4:]:
                     self.assertFalse(one.links.needs_log())
                 for one in hubs:
-                    one.directory.take(ports.KeyedRecord(6, "r-1", None))
+                    one.directory.apply_change(
+                        ports.KeyedRecord(6, "r-1", None)
+                    )
                     one.follower.skip_to(7)
                 while any(one.directory.list_usable("desk") for one in daemons):
                     await trio.sleep(0.01)
--- a/tests/test_rollouts/test_book.py
+++ b/tests/test_rollouts/test_book.py
@@ -86,7 +86,9 @@
             payload = records.encode_step(platform, step)
             found = book.RolloutBook()
             found.take_order(3, _order("v3"))
-            records.StepSink(found).take(platform.split_keyed(payload, 0))
+            records.StepSink(found).apply_change(
+                platform.split_keyed(payload, 0)
+            )
             self.assertEqual(step, found.find("model").step)
 
         self.run_clocked(scenario)
@@ -99,11 +101,13 @@
             orders = records.OrderSink(builders.FakeRecords(), found)
             for number in range(200):
                 raw = rng.randbytes(rng.randrange(1, 40))
-                steps.take(ports.KeyedRecord(number, "model", raw))
-                orders.take(ports.KeyedRecord(number, "rollout/model", raw))
-                orders.take(ports.KeyedRecord(number, "config", raw))
+                steps.apply_change(ports.KeyedRecord(number, "model", raw))
+                orders.apply_change(
+                    ports.KeyedRecord(number, "rollout/model", raw)
+                )
+                orders.apply_change(ports.KeyedRecord(number, "config", raw))
             good = ports.KeyedRecord(900, "rollout/model", b"model v2 12")
-            orders.take(good)
+            orders.apply_change(good)
             self.assertEqual("v2", found.find("model").order.version)
 
         self.run_clocked(scenario)
--- a/tests/test_rollouts/test_keeper.py
+++ b/tests/test_rollouts/test_keeper.py
@@ -40,7 +40,9 @@
                 software=software,
                 address=f"127.0.0.1:{number}",
             )
-            self.directory.take(ports.KeyedRecord(number, f"r-{number}", value))
+            self.directory.apply_change(
+                ports.KeyedRecord(number, f"r-{number}", value)
+            )
         self.orders = keyed_follower.KeyedFollower(
             platform,
             log_contact,
