--- a/packages/daemon/src/martenquay_daemon/discovery/runner_directory.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/runner_directory.py
@@ -126,7 +126,7 @@
     def _apply(self, changes: Iterable[runner_entries.EntryChange]) -> None:
         for change in changes:
             match change:
-                case runner_entries.Told(runner=runner):
+                case runner_entries.EntryUpdated(runner=runner):
                     self._note_told(runner)
                 case runner_entries.Ended(runner_id=runner_id):
                     self._unusable.discard(runner_id)
--- a/packages/daemon/src/martenquay_daemon/discovery/runner_entries.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/runner_entries.py
@@ -23,7 +23,7 @@
     "Lives",
     "RunnerCopy",
     "RunnerEntries",
-    "Told",
+    "EntryUpdated",
     "Unusable",
 ]
 
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Told:
+class EntryUpdated:
     """An entry says something new.
 
     Attributes:
@@ -84,7 +84,7 @@
     problem: str
 
 
-EntryChange = Told | Lives | Ended | Unusable
+EntryChange = EntryUpdated | Lives | Ended | Unusable
 
 
 @dataclasses.dataclass(frozen=True)
@@ -165,7 +165,7 @@
             return Lives()
         self._entries[copy.key] = _Entry(copy, runner)
         self._note_change(copy.offset)
-        return Told(runner, previous)
+        return EntryUpdated(runner, previous)
 
     def _store_unusable(
         self, copy: RunnerCopy, known: _Entry | None, problem: str
