--- a/packages/daemon/src/martenquay_daemon/discovery/runner_directory.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/runner_directory.py
@@ -135,7 +135,7 @@
                     runner_id=runner_id, problem=problem
                 ):
                     self._note_unusable(runner_id, problem)
-                case runner_entries.Lives():
+                case runner_entries.EntryConfirmed():
                     pass
 
     def _note_told(self, runner: runners.Runner) -> None:
--- a/packages/daemon/src/martenquay_daemon/discovery/runner_entries.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/runner_entries.py
@@ -20,7 +20,7 @@
 __all__ = [
     "Ended",
     "EntryChange",
-    "Lives",
+    "EntryConfirmed",
     "RunnerCopy",
     "RunnerEntries",
     "EntryUpdated",
@@ -56,7 +56,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Lives:
+class EntryConfirmed:
     """An entry says only that its runner still lives."""
 
 
@@ -84,7 +84,7 @@
     problem: str
 
 
-EntryChange = EntryUpdated | Lives | Ended | Unusable
+EntryChange = EntryUpdated | EntryConfirmed | Ended | Unusable
 
 
 @dataclasses.dataclass(frozen=True)
@@ -150,7 +150,7 @@
     def _store(self, copy: RunnerCopy) -> EntryChange:
         known = self._entries.get(copy.key)
         if known is not None and copy.offset < known.copy.offset:
-            return Lives()
+            return EntryConfirmed()
         previous = known.runner if known is not None else None
         try:
             runner = self._codec.decode_runner(copy.key, copy.value)
@@ -158,11 +158,11 @@
             return self._store_unusable(copy, known, str(error))
         if previous is not None and _is_older(runner, previous):
             # Written by the process before, and late.
-            return Lives()
+            return EntryConfirmed()
         if previous is not None and not _is_change(previous, runner):
             # The copy stays at the record that said this first: heartbeats
             # of a thousand runners are not worth handing on.
-            return Lives()
+            return EntryConfirmed()
         self._entries[copy.key] = _Entry(copy, runner)
         self._note_change(copy.offset)
         return EntryUpdated(runner, previous)
