--- a/packages/daemon/src/martenquay_daemon/allowances/escrow.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/escrow.py
@@ -174,7 +174,11 @@
         self._others: dict[str, _Other] = {}
 
     def try_spend(
-        self, team: catalog.Team, wish: terms.Wish, *, is_again: bool = False
+        self,
+        team: catalog.Team,
+        wish: terms.AdmissionRequest,
+        *,
+        is_again: bool = False,
     ) -> terms.Verdict:
         """Spend units if they are there.
 
@@ -301,7 +305,10 @@
         self._others.clear()
 
     def _decide(
-        self, team: catalog.Team, account: _Account, wish: terms.Wish
+        self,
+        team: catalog.Team,
+        account: _Account,
+        wish: terms.AdmissionRequest,
     ) -> terms.Verdict:
         pile = account.pile
         units = wish.units
--- a/packages/daemon/src/martenquay_daemon/allowances/gate.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/gate.py
@@ -30,12 +30,12 @@
         """Tell whether this daemon keeps the units that it needs itself."""
 
     async def ask(
-        self, team: str, wish: terms.Wish
+        self, team: str, wish: terms.AdmissionRequest
     ) -> terms.AdmissionDecision | None:
         """Have a daemon decide that keeps this one's; None if none answers."""
 
     async def ask_at(
-        self, address: str, team: str, wish: terms.Wish
+        self, address: str, team: str, wish: terms.AdmissionRequest
     ) -> terms.AdmissionDecision | None:
         """Have one daemon decide that has units; None if it says nothing."""
 
@@ -58,7 +58,7 @@
         self._keepers = keepers
 
     async def acquire(
-        self, team: catalog.Team, wish: terms.Wish
+        self, team: catalog.Team, wish: terms.AdmissionRequest
     ) -> terms.AdmissionDecision:
         """Spend units for a request that came to this daemon."""
         if team.rate <= 0:
@@ -76,7 +76,7 @@
         return await self.settle(team, wish, verdict, _WAIT_S)
 
     async def _take_here(
-        self, team: catalog.Team, wish: terms.Wish
+        self, team: catalog.Team, wish: terms.AdmissionRequest
     ) -> terms.Verdict:
         """Return the verdict of the units here, once there can be some.
 
@@ -96,7 +96,7 @@
     async def settle(
         self,
         team: catalog.Team,
-        wish: terms.Wish,
+        wish: terms.AdmissionRequest,
         verdict: terms.Verdict,
         wait_s: float,
     ) -> terms.AdmissionDecision:
@@ -122,7 +122,7 @@
     async def _wait(
         self,
         team: catalog.Team,
-        wish: terms.Wish,
+        wish: terms.AdmissionRequest,
         missing: float,
         wait_s: float,
     ) -> terms.Verdict:
--- a/packages/daemon/src/martenquay_daemon/allowances/terms.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/terms.py
@@ -16,7 +16,7 @@
     "ToleranceBounds",
     "QuotaStatus",
     "Verdict",
-    "Wish",
+    "AdmissionRequest",
 ]
 
 # Units reach a runner so much later than they are spent here, at the most but
@@ -73,7 +73,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Wish:
+class AdmissionRequest:
     """What a request asks of its team's allowance.
 
     Attributes:
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_desk.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_desk.py
@@ -129,7 +129,7 @@
         return self._ways.keeps_units()
 
     async def ask(
-        self, team: str, wish: terms.Wish
+        self, team: str, wish: terms.AdmissionRequest
     ) -> terms.AdmissionDecision | None:
         """Return a keeper's answer, or None if none comes in time.
 
@@ -144,7 +144,7 @@
                 return answer
 
     async def ask_at(
-        self, address: str, team: str, wish: terms.Wish
+        self, address: str, team: str, wish: terms.AdmissionRequest
     ) -> terms.AdmissionDecision | None:
         """Return one daemon's answer, or None if it says nothing."""
         return await self._ask_once(team, wish, [address], is_redirected=True)
@@ -158,7 +158,7 @@
     async def _ask_once(
         self,
         team: str,
-        wish: terms.Wish,
+        wish: terms.AdmissionRequest,
         keepers: list[str],
         *,
         is_redirected: bool = False,
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
@@ -185,7 +185,7 @@
         if team is None or self._units.rights.find_usable_share() <= 0:
             reply(passed)
             return
-        wish = terms.Wish(want.units, want.reserve, want.is_late)
+        wish = terms.AdmissionRequest(want.units, want.reserve, want.is_late)
         # Demand is counted where callers come from, not where units are.
         verdict = self._units.try_spend(team, wish, is_again=want.is_redirected)
         match verdict:
--- a/packages/daemon/src/martenquay_daemon/forwarding/forwarder.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/forwarder.py
@@ -195,7 +195,7 @@
         team = current.team
         if team is None:
             return None
-        wish = terms.Wish(
+        wish = terms.AdmissionRequest(
             current.units,
             self._find_reserve(current),
             current.tried_s > current.route.target_s > 0,
--- a/tests/allowance_fleet.py
+++ b/tests/allowance_fleet.py
@@ -57,14 +57,14 @@
         return True
 
     async def ask(
-        self, team: str, wish: terms.Wish
+        self, team: str, wish: terms.AdmissionRequest
     ) -> terms.AdmissionDecision | None:
         """Return nothing: nobody else keeps any."""
         del team, wish
         return None
 
     async def ask_at(
-        self, address: str, team: str, wish: terms.Wish
+        self, address: str, team: str, wish: terms.AdmissionRequest
     ) -> terms.AdmissionDecision | None:
         """Return nothing: nobody else is reached."""
         del address, team, wish
@@ -170,7 +170,7 @@
 
     def ask(self, units: float) -> bool:
         """Ask for units for the team; tell whether they may be spent."""
-        match self._units.try_spend(TEAM, terms.Wish(units)):
+        match self._units.try_spend(TEAM, terms.AdmissionRequest(units)):
             case terms.Admitted():
                 return True
             case terms.HeldElsewhere(missing=missing):
@@ -184,7 +184,7 @@
         admitted = []
         for one in list(self._waiting):
             verdict = self._units.try_spend(
-                TEAM, terms.Wish(one.units), is_again=True
+                TEAM, terms.AdmissionRequest(one.units), is_again=True
             )
             is_admitted = isinstance(verdict, terms.Admitted)
             if is_admitted:
--- a/tests/test_allowances/test_escrow.py
+++ b/tests/test_allowances/test_escrow.py
@@ -23,7 +23,9 @@
     units.refill([_TEAM])
 
 
-def _count_admitted(units: escrow.EscrowLedger, wish: terms.Wish) -> int:
+def _count_admitted(
+    units: escrow.EscrowLedger, wish: terms.AdmissionRequest
+) -> int:
     """Ask until it is refused; return how often it was not."""
     count = 0
     while isinstance(units.try_spend(_TEAM, wish), terms.Admitted):
@@ -36,7 +38,7 @@
         async def scenario() -> None:
             units = allowance_fleet.build_escrow()
             await _fill(units)
-            count = _count_admitted(units, terms.Wish(100.0))
+            count = _count_admitted(units, terms.AdmissionRequest(100.0))
             self.assertLessEqual(100.0 * count, _RATE * _LIFE_S)
             self.assertGreater(100.0 * count, 0.8 * _RATE * _LIFE_S)
 
@@ -58,13 +60,14 @@
         async def scenario() -> None:
             units = allowance_fleet.build_escrow()
             await _fill(units)
-            _count_admitted(units, terms.Wish(100.0))
+            _count_admitted(units, terms.AdmissionRequest(100.0))
             self.assertIsInstance(
-                units.try_spend(_TEAM, terms.Wish(8_000.0)), terms.Refused
+                units.try_spend(_TEAM, terms.AdmissionRequest(8_000.0)),
+                terms.Refused,
             )
             await trio.sleep(_BOUNDS.window_s)
             units.refill([_TEAM])
-            large = terms.Wish(_RATE * _LIFE_S + 20_000.0)
+            large = terms.AdmissionRequest(_RATE * _LIFE_S + 20_000.0)
             self.assertIsInstance(units.try_spend(_TEAM, large), terms.Admitted)
             self.assertGreater(units.describe(_TEAM.name).owed, 10_000.0)
 
@@ -75,9 +78,11 @@
             units = allowance_fleet.build_escrow()
             await _fill(units)
             # More is asked for than comes.
-            units.try_spend(_TEAM, terms.Wish(2 * _RATE))
-            late = _count_admitted(units, terms.Wish(500.0, is_late=True))
-            on_time = _count_admitted(units, terms.Wish(500.0))
+            units.try_spend(_TEAM, terms.AdmissionRequest(2 * _RATE))
+            late = _count_admitted(
+                units, terms.AdmissionRequest(500.0, is_late=True)
+            )
+            on_time = _count_admitted(units, terms.AdmissionRequest(500.0))
             self.assertGreater(late, 10)
             self.assertGreater(on_time, 0.8 * late)
 
@@ -89,9 +94,11 @@
         async def scenario() -> None:
             units = allowance_fleet.build_escrow()
             await _fill(units)
-            units.try_spend(_TEAM, terms.Wish(0.6 * _RATE * _LIFE_S))
+            units.try_spend(
+                _TEAM, terms.AdmissionRequest(0.6 * _RATE * _LIFE_S)
+            )
             await trio.sleep(0.8)
-            wish = terms.Wish(200.0, is_late=True)
+            wish = terms.AdmissionRequest(200.0, is_late=True)
             self.assertIsInstance(units.try_spend(_TEAM, wish), terms.Admitted)
 
         self.run_clocked(scenario)
@@ -180,7 +187,7 @@
     """Implement `gate.Keepers` with one answer."""
 
     def __init__(self, answer: terms.AdmissionDecision | None) -> None:
-        self.asked: list[tuple[str, terms.Wish]] = []
+        self.asked: list[tuple[str, terms.AdmissionRequest]] = []
         self._answer = answer
 
     def keeps_here(self) -> bool:
@@ -188,14 +195,14 @@
         return False
 
     async def ask(
-        self, team: str, wish: terms.Wish
+        self, team: str, wish: terms.AdmissionRequest
     ) -> terms.AdmissionDecision | None:
         """Return the answer."""
         self.asked.append((team, wish))
         return self._answer
 
     async def ask_at(
-        self, address: str, team: str, wish: terms.Wish
+        self, address: str, team: str, wish: terms.AdmissionRequest
     ) -> terms.AdmissionDecision | None:
         """Return the answer."""
         self.asked.append((address, wish))
@@ -223,7 +230,7 @@
             answers: list[bool] = []
 
             async def ask() -> None:
-                answer = await one.acquire(_TEAM, terms.Wish(500.0))
+                answer = await one.acquire(_TEAM, terms.AdmissionRequest(500.0))
                 answers.append(answer.is_admitted)
 
             async with trio.open_nursery() as nursery:
@@ -247,7 +254,7 @@
                 "b", 1, {_TEAM.name: sharing.Holding(9_000.0, 0.0)}
             )
             started = trio.current_time()
-            answer = await one.acquire(_TEAM, terms.Wish(500.0))
+            answer = await one.acquire(_TEAM, terms.AdmissionRequest(500.0))
             self.assertGreater(answer.retry_s, 0.0)
             self.assertLessEqual(trio.current_time() - started, 0.21)
 
@@ -262,7 +269,7 @@
                 "b", 1, {_TEAM.name: sharing.Holding(10.0, 0.0)}
             )
             started = trio.current_time()
-            answer = await one.acquire(_TEAM, terms.Wish(500.0))
+            answer = await one.acquire(_TEAM, terms.AdmissionRequest(500.0))
             self.assertGreater(answer.retry_s, 0.0)
             self.assertEqual(started, trio.current_time())
 
@@ -274,9 +281,11 @@
             await _fill(units)
             keeper = _FarKeeper(terms.AdmissionDecision(0.7, kept_at="hub"))
             one = self._build(units, keeper)
-            answer = await one.acquire(_TEAM, terms.Wish(500.0))
+            answer = await one.acquire(_TEAM, terms.AdmissionRequest(500.0))
             self.assertEqual(0.7, answer.retry_s)
-            self.assertEqual([(_TEAM.name, terms.Wish(500.0))], keeper.asked)
+            self.assertEqual(
+                [(_TEAM.name, terms.AdmissionRequest(500.0))], keeper.asked
+            )
 
         self.run_clocked(scenario)
 
@@ -293,7 +302,7 @@
             answers: list[terms.AdmissionDecision] = []
 
             async def ask() -> None:
-                wish = terms.Wish(500.0, patience_s=1.0)
+                wish = terms.AdmissionRequest(500.0, patience_s=1.0)
                 answers.append(await one.acquire(_TEAM, wish))
 
             async with trio.open_nursery() as nursery:
@@ -305,9 +314,9 @@
             self.assertTrue(answers[0].is_admitted)
             # It is not held for longer than it may wait.
             parts[0] = 0.0
-            units.try_spend(_TEAM, terms.Wish(10 * _RATE))
+            units.try_spend(_TEAM, terms.AdmissionRequest(10 * _RATE))
             started = trio.current_time()
-            wish = terms.Wish(9 * _RATE, patience_s=0.3)
+            wish = terms.AdmissionRequest(9 * _RATE, patience_s=0.3)
             answer = await one.acquire(_TEAM, wish)
             self.assertFalse(answer.is_admitted)
             self.assertLess(trio.current_time() - started, 0.4)
@@ -319,7 +328,7 @@
             units = allowance_fleet.build_escrow()
             await _fill(units)
             one = self._build(units, _FarKeeper(None))
-            answer = await one.acquire(_TEAM, terms.Wish(500.0))
+            answer = await one.acquire(_TEAM, terms.AdmissionRequest(500.0))
             self.assertTrue(answer.is_admitted)
 
         self.run_clocked(scenario)
@@ -328,7 +337,7 @@
         async def scenario() -> None:
             units = allowance_fleet.build_escrow(0.0)
             one = self._build(units)
-            wish = terms.Wish(1e9)
+            wish = terms.AdmissionRequest(1e9)
             answer = await one.acquire(builders.build_team(), wish)
             self.assertTrue(answer.is_admitted)
 
--- a/tests/test_fleet/test_links.py
+++ b/tests/test_fleet/test_links.py
@@ -321,7 +321,7 @@
             ) is None or keeper.member != "entry-1.aa":
                 await trio.sleep(0.01)
             self.assertFalse(asker.links.quota_client.keeps_here())
-            wish = terms.Wish(500.0, 1)
+            wish = terms.AdmissionRequest(500.0, 1)
             answer = await asker.links.quota_client.ask("florists", wish)
             self.assertTrue(answer.is_admitted)
             self.assertEqual("entry-1.aa", answer.kept_at)
@@ -349,7 +349,7 @@
             with trio.move_on_after(5.0):
                 while not found:
                     answer = await asker.links.quota_client.ask(
-                        "florists", terms.Wish(500.0)
+                        "florists", terms.AdmissionRequest(500.0)
                     )
                     found = {answer.kept_at} if answer else set()
             self.assertTrue(found <= {"entry-0.aa", "entry-2.aa"})
--- a/tests/test_fleet/test_unit_desk.py
+++ b/tests/test_fleet/test_unit_desk.py
@@ -8,7 +8,7 @@
 from martenquay_daemon.fleet import messages, unit_desk
 from tests import clocked
 
-_WISH = terms.Wish(500.0, 1)
+_WISH = terms.AdmissionRequest(500.0, 1)
 _GRANTED = messages.UnitsVerdict.GRANTED
 _REFUSED = messages.UnitsVerdict.REFUSED
 _PASSED = messages.UnitsVerdict.PASSED
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -256,7 +256,9 @@
             self._ask_next(one)
             return False
         one.keepers = []
-        match self.units.try_spend(allowance_fleet.TEAM, terms.Wish(units)):
+        match self.units.try_spend(
+            allowance_fleet.TEAM, terms.AdmissionRequest(units)
+        ):
             case terms.Admitted():
                 return True
             case terms.HeldElsewhere(holder=holder) if holder:
@@ -319,7 +321,7 @@
         return 0.0 if is_late else one.units
 
     def _decide(self, address: str, want: messages.WantUnits) -> None:
-        wish = terms.Wish(want.units, want.reserve, want.is_late)
+        wish = terms.AdmissionRequest(want.units, want.reserve, want.is_late)
         if self._rights.find_usable_share() <= 0:
             passed = messages.UnitsVerdict.PASSED
             self._tell(address, messages.UnitsReply(want.number, passed))
@@ -362,7 +364,9 @@
     def _take_waits(self, now: float) -> None:
         for one in list(self._waits):
             verdict = self.units.try_spend(
-                allowance_fleet.TEAM, terms.Wish(one.units), is_again=True
+                allowance_fleet.TEAM,
+                terms.AdmissionRequest(one.units),
+                is_again=True,
             )
             is_admitted = isinstance(verdict, terms.Admitted)
             if is_admitted or now >= one.until:
