--- a/packages/daemon/src/martenquay_daemon/allowances/escrow.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/escrow.py
@@ -86,7 +86,7 @@
     heard: int
     heard_at: float
     address: str
-    holdings: dict[str, sharing.Holding]
+    holdings: dict[str, sharing.QuotaBalance]
     given: dict[str, float] = dataclasses.field(default_factory=dict)
     taken: dict[str, float] = dataclasses.field(default_factory=dict)
 
@@ -137,10 +137,12 @@
         kept = math.exp((self.asked_at - now) / _DEMAND_MEMORY_S)
         return kept * self.asked
 
-    def hold(self, now: float, may_owe: float) -> sharing.Holding:
+    def hold(self, now: float, may_owe: float) -> sharing.QuotaBalance:
         """Return what there is, for others and for reckoning with them."""
         asked = self.find_asked(now)
-        return sharing.Holding(self.pile.level, asked, self.needed, may_owe)
+        return sharing.QuotaBalance(
+            self.pile.level, asked, self.needed, may_owe
+        )
 
 
 class EscrowLedger:
@@ -231,7 +233,7 @@
             account.find_asked(trio.current_time()),
         )
 
-    def list_holdings(self) -> dict[str, sharing.Holding]:
+    def list_holdings(self) -> dict[str, sharing.QuotaBalance]:
         """Return what this daemon has, by team."""
         now = trio.current_time()
         return {
@@ -263,7 +265,7 @@
         self,
         member: str,
         number: int,
-        holdings: dict[str, sharing.Holding],
+        holdings: dict[str, sharing.QuotaBalance],
         address: str = "",
     ) -> None:
         """Take what another daemon has told of its units."""
@@ -413,7 +415,9 @@
         account.minted = 0.0
         return gifts
 
-    def _list_others(self, team: catalog.Team) -> dict[str, sharing.Holding]:
+    def _list_others(
+        self, team: catalog.Team
+    ) -> dict[str, sharing.QuotaBalance]:
         """Return what others have, with what was given to them since."""
         oldest = trio.current_time() - _FRESH_S
         found = {}
@@ -422,7 +426,7 @@
             if holding is None or other.heard_at < oldest:
                 continue
             given = other.given.get(team.name, 0.0)
-            found[member] = sharing.Holding(
+            found[member] = sharing.QuotaBalance(
                 holding.level + given,
                 holding.asked,
                 max(0.0, holding.needed - given),
--- a/packages/daemon/src/martenquay_daemon/allowances/sharing.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/sharing.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-__all__ = ["Holding", "find_flow_gifts", "find_gifts"]
+__all__ = ["QuotaBalance", "find_flow_gifts", "find_gifts"]
 
 # Each daemon keeps a part of the units as if it were asked for so much of an
 # even part of the rate besides: the next request may come to any of them.
@@ -27,7 +27,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Holding:
+class QuotaBalance:
     """What a daemon has of one team's units.
 
     Attributes:
@@ -49,7 +49,7 @@
 
 
 def find_gifts(
-    own: Holding, others: Mapping[str, Holding], rate: float
+    own: QuotaBalance, others: Mapping[str, QuotaBalance], rate: float
 ) -> dict[str, float]:
     """Return the units to be given away, by receiver.
 
@@ -69,7 +69,10 @@
 
 
 def find_flow_gifts(
-    own: Holding, others: Mapping[str, Holding], minted: float, rate: float
+    own: QuotaBalance,
+    others: Mapping[str, QuotaBalance],
+    minted: float,
+    rate: float,
 ) -> dict[str, float]:
     """Return what is passed on of what was minted while units are scarce.
 
@@ -100,7 +103,7 @@
 
 
 def _find_for_need(
-    own: Holding, others: Mapping[str, Holding]
+    own: QuotaBalance, others: Mapping[str, QuotaBalance]
 ) -> dict[str, float]:
     """Return what goes to waiting requests, each daemon a part of it."""
     needs = {name: one.needed for name, one in others.items() if one.needed > 0}
@@ -117,7 +120,7 @@
 
 
 def _find_excess(
-    own: Holding, others: Mapping[str, Holding], rate: float
+    own: QuotaBalance, others: Mapping[str, QuotaBalance], rate: float
 ) -> dict[str, float]:
     """Return what evens out holdings by what they are asked for."""
     count = 1 + len(others)
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
@@ -72,7 +72,7 @@
     def take_note(self, note: messages.UnitsNote) -> None:
         """Take what another daemon says of its units and hands over."""
         holdings = {
-            team: sharing.Holding(
+            team: sharing.QuotaBalance(
                 line.level, line.asked, line.needed, line.may_owe
             )
             for team, line in note.pools.items()
--- a/tests/allowance_fleet.py
+++ b/tests/allowance_fleet.py
@@ -105,7 +105,7 @@
     member: str
     number: int
     members_end: int
-    holdings: dict[str, sharing.Holding]
+    holdings: dict[str, sharing.QuotaBalance]
     gifts: dict[str, escrow.Gift]
 
 
--- a/tests/test_allowances/test_escrow.py
+++ b/tests/test_allowances/test_escrow.py
@@ -111,7 +111,7 @@
             await _fill(giver)
             told_at = trio.current_time()
             there = giver.describe(_TEAM.name).there
-            holding = sharing.Holding(0.0, 20_000.0)
+            holding = sharing.QuotaBalance(0.0, 20_000.0)
             giver.apply_balances("b", 7, {_TEAM.name: holding})
             gift = giver.create_transfers([_TEAM])["b"]
             given = sum(units for units, _ in gift.parcels[_TEAM.name])
@@ -145,7 +145,7 @@
             giver = allowance_fleet.build_escrow(0.5)
             await _fill(giver)
             giver.apply_balances(
-                "b", 1, {_TEAM.name: sharing.Holding(0.0, 20_000.0)}
+                "b", 1, {_TEAM.name: sharing.QuotaBalance(0.0, 20_000.0)}
             )
             await trio.sleep(1.5)
             self.assertEqual({}, giver.create_transfers([_TEAM]))
@@ -224,7 +224,7 @@
             units.refill([_TEAM])
             one = self._build(units)
             units.apply_balances(
-                "b", 1, {_TEAM.name: sharing.Holding(9_000.0, 0.0)}
+                "b", 1, {_TEAM.name: sharing.QuotaBalance(9_000.0, 0.0)}
             )
             told_at = trio.current_time()
             answers: list[bool] = []
@@ -251,7 +251,7 @@
             units.refill([_TEAM])
             one = self._build(units)
             units.apply_balances(
-                "b", 1, {_TEAM.name: sharing.Holding(9_000.0, 0.0)}
+                "b", 1, {_TEAM.name: sharing.QuotaBalance(9_000.0, 0.0)}
             )
             started = trio.current_time()
             answer = await one.acquire(_TEAM, terms.AdmissionRequest(500.0))
@@ -266,7 +266,7 @@
             units.refill([_TEAM])
             one = self._build(units)
             units.apply_balances(
-                "b", 1, {_TEAM.name: sharing.Holding(10.0, 0.0)}
+                "b", 1, {_TEAM.name: sharing.QuotaBalance(10.0, 0.0)}
             )
             started = trio.current_time()
             answer = await one.acquire(_TEAM, terms.AdmissionRequest(500.0))
--- a/tests/test_allowances/test_sharing.py
+++ b/tests/test_allowances/test_sharing.py
@@ -11,14 +11,14 @@
 
 class FindGiftsTest(testtools.TestCase):
     def test_equal_daemons_hand_nothing_over(self) -> None:
-        one = sharing.Holding(50.0, 10.0)
+        one = sharing.QuotaBalance(50.0, 10.0)
         self.assertEqual({}, sharing.find_gifts(one, {"b": one}, _RATE))
 
     def test_units_go_to_the_daemon_that_is_asked_for_more(self) -> None:
-        own = sharing.Holding(50.0, 0.0)
+        own = sharing.QuotaBalance(50.0, 0.0)
         others = {
-            "busy": sharing.Holding(10.0, 80.0),
-            "idle": sharing.Holding(50.0, 0.0),
+            "busy": sharing.QuotaBalance(10.0, 80.0),
+            "idle": sharing.QuotaBalance(50.0, 0.0),
         }
         gifts = sharing.find_gifts(own, others, _RATE)
         self.assertEqual(["busy"], list(gifts))
@@ -26,8 +26,8 @@
         self.assertLess(gifts["busy"], own.level)
 
     def test_gifts_of_all_add_up_to_what_is_missing(self) -> None:
-        busy = sharing.Holding(0.0, 90.0)
-        idle = sharing.Holding(50.0, 0.0)
+        busy = sharing.QuotaBalance(0.0, 90.0)
+        idle = sharing.QuotaBalance(50.0, 0.0)
         given = 2 * sum(
             sharing.find_gifts(idle, {"busy": busy, "x": idle}, _RATE).values()
         )
@@ -36,26 +36,26 @@
         self.assertAlmostEqual(wanted, given)
 
     def test_a_waiting_request_gets_from_each_a_part(self) -> None:
-        own = sharing.Holding(50.0, 10.0)
+        own = sharing.QuotaBalance(50.0, 10.0)
         others = {
-            "waits": sharing.Holding(50.0, 10.0, needed=30.0),
-            "third": sharing.Holding(100.0, 10.0),
+            "waits": sharing.QuotaBalance(50.0, 10.0, needed=30.0),
+            "third": sharing.QuotaBalance(100.0, 10.0),
         }
         gifts = sharing.find_gifts(own, others, _RATE)
         self.assertAlmostEqual(10.0, gifts["waits"])
 
     def test_for_a_waiting_request_a_daemon_goes_into_debt(self) -> None:
-        own = sharing.Holding(0.0, 10.0, may_owe=20.0)
-        others = {"waits": sharing.Holding(0.0, 10.0, needed=8.0)}
+        own = sharing.QuotaBalance(0.0, 10.0, may_owe=20.0)
+        others = {"waits": sharing.QuotaBalance(0.0, 10.0, needed=8.0)}
         gifts = sharing.find_gifts(own, others, _RATE)
         self.assertAlmostEqual(8.0, gifts["waits"])
 
     def test_a_daemon_whose_own_requests_wait_keeps_what_it_has(self) -> None:
-        own = sharing.Holding(10.0, 50.0, needed=20.0)
-        others = {"waits": sharing.Holding(10.0, 50.0, needed=20.0)}
+        own = sharing.QuotaBalance(10.0, 50.0, needed=20.0)
+        others = {"waits": sharing.QuotaBalance(10.0, 50.0, needed=20.0)}
         self.assertEqual({}, sharing.find_gifts(own, others, _RATE))
 
     def test_a_trifle_is_not_handed_over(self) -> None:
-        own = sharing.Holding(50.5, 10.0)
-        others = {"b": sharing.Holding(49.5, 10.0)}
+        own = sharing.QuotaBalance(50.5, 10.0)
+        others = {"b": sharing.QuotaBalance(49.5, 10.0)}
         self.assertEqual({}, sharing.find_gifts(own, others, _RATE))
