--- a/packages/daemon/src/martenquay_daemon/quarantine/desk.py
+++ b/packages/daemon/src/martenquay_daemon/quarantine/desk.py
@@ -52,7 +52,7 @@
         self._topic = topic
         self._table = table
         table.on_dropped = self._tidy
-        self._unwritten: dict[strikes.Strike, bytes] = {}
+        self._unwritten: dict[strikes.CrashRecord, bytes] = {}
         self._has_news = trio.Event()
         self._told_foreign_at = -math.inf
 
@@ -81,7 +81,7 @@
             crash: What else the log tells of it.
         """
         self.on_strike()
-        strike = strikes.Strike(content, seen + 1, runner)
+        strike = strikes.CrashRecord(content, seen + 1, runner)
         if not self._table.add(strike):
             return
         self._tell(strike, "this daemon", crash)
@@ -152,20 +152,20 @@
             self._has_news = trio.Event()
         return True
 
-    def _write(self, strike: strikes.Strike, payload: bytes) -> None:
+    def _write(self, strike: strikes.CrashRecord, payload: bytes) -> None:
         self._unwritten[strike] = payload
         self._has_news.set()
 
-    def _tidy(self, dropped: list[strikes.Strike]) -> None:
+    def _tidy(self, dropped: list[strikes.CrashRecord]) -> None:
         if not self.may_tidy():
             return
         for strike in dropped:
             self._write(strike, records.encode_end(self._log, strike))
 
-    def _is_known(self, strike: strikes.Strike) -> bool:
+    def _is_known(self, strike: strikes.CrashRecord) -> bool:
         return self._table.has(strike)
 
-    def _decode(self, record: ports.KeyedRecord) -> strikes.Strike | None:
+    def _decode(self, record: ports.KeyedRecord) -> strikes.CrashRecord | None:
         try:
             return records.decode_strike(record)
         except ValueError as error:
@@ -177,7 +177,7 @@
 
     def _tell(
         self,
-        strike: strikes.Strike,
+        strike: strikes.CrashRecord,
         found_at: str,
         crash: records.Crash | None,
     ) -> None:
--- a/packages/daemon/src/martenquay_daemon/quarantine/records.py
+++ b/packages/daemon/src/martenquay_daemon/quarantine/records.py
@@ -29,7 +29,7 @@
 
 
 def encode_crash(
-    log: ports.LogPort, strike: strikes.Strike, crash: Crash
+    log: ports.LogPort, strike: strikes.CrashRecord, crash: Crash
 ) -> bytes:
     """Return the payload that puts a strike into force.
 
@@ -39,12 +39,12 @@
     return log.join_keyed(_join_key(strike), msgspec.json.encode(crash))
 
 
-def encode_end(log: ports.LogPort, strike: strikes.Strike) -> bytes:
+def encode_end(log: ports.LogPort, strike: strikes.CrashRecord) -> bytes:
     """Return the payload that takes a strike back."""
     return log.join_keyed(_join_key(strike), b"")
 
 
-def decode_strike(record: ports.KeyedRecord) -> strikes.Strike:
+def decode_strike(record: ports.KeyedRecord) -> strikes.CrashRecord:
     """Return the strike that a record is about.
 
     Raises:
@@ -53,9 +53,9 @@
     content, number, runner = [*record.key.split(_SEPARATOR, 2), "", ""][:3]
     if not content or not number.isdecimal() or not runner:
         raise ValueError(f"{record.key!r} names no strike")
-    return strikes.Strike(content, int(number), runner)
+    return strikes.CrashRecord(content, int(number), runner)
 
 
-def _join_key(strike: strikes.Strike) -> str:
+def _join_key(strike: strikes.CrashRecord) -> str:
     words = [strike.content, str(strike.number), strike.runner]
     return _SEPARATOR.join(words)
--- a/packages/daemon/src/martenquay_daemon/quarantine/strikes.py
+++ b/packages/daemon/src/martenquay_daemon/quarantine/strikes.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-__all__ = ["MOST_ROUNDS", "Strike", "StrikeTable"]
+__all__ = ["MOST_ROUNDS", "CrashRecord", "StrikeTable"]
 
 # Streams that did no harm were seen to end with two runners in 0.7 s, for they
 # were sent on to the one that crashed next. Of 278 that ran on runners which
@@ -39,7 +39,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Strike:
+class CrashRecord:
     """A runner that ended under a content.
 
     Attributes:
@@ -57,7 +57,7 @@
 
 @dataclasses.dataclass
 class _Record:
-    strikes: set[Strike]
+    strikes: set[CrashRecord]
     struck_at: float
 
     def count_rounds(self) -> int:
@@ -84,7 +84,7 @@
         read_clock: Callable[[], float],
         most_contents: int = _MOST_CONTENTS,
     ) -> None:
-        self.on_dropped: Callable[[list[Strike]], None] = _ignore
+        self.on_dropped: Callable[[list[CrashRecord]], None] = _ignore
         self._read_clock = read_clock
         self._most_contents = most_contents
         # The one struck last stands last.
@@ -96,7 +96,7 @@
         """Return how many contents have strikes."""
         return len(self._records)
 
-    def has(self, strike: Strike) -> bool:
+    def has(self, strike: CrashRecord) -> bool:
         """Tell whether a strike is known."""
         record = self._records.get(strike.content)
         return record is not None and strike in record.strikes
@@ -123,7 +123,7 @@
         left_s = record.struck_at + hold_s - self._read_clock()
         return left_s if left_s > 0 else None
 
-    def add(self, strike: Strike) -> bool:
+    def add(self, strike: CrashRecord) -> bool:
         """Take a strike; tell whether it is news."""
         record = self._records.get(strike.content)
         if record is None:
@@ -137,7 +137,7 @@
         self._forget_old()
         return True
 
-    def take_back(self, strike: Strike) -> None:
+    def take_back(self, strike: CrashRecord) -> None:
         """Drop one strike."""
         record = self._records.get(strike.content)
         if record is None:
@@ -146,13 +146,13 @@
         if not record.strikes:
             del self._records[strike.content]
 
-    def clear(self, content: str) -> list[Strike]:
+    def clear(self, content: str) -> list[CrashRecord]:
         """Drop a content, which was answered; return its strikes."""
         record = self._records.pop(content, None)
         found = record.strikes if record else ()
         return sorted(found, key=lambda one: (one.number, one.runner))
 
-    def replace_all(self, strikes: Iterable[Strike]) -> None:
+    def replace_all(self, strikes: Iterable[CrashRecord]) -> None:
         """Take the strikes that there are; others are gone."""
         wanted = set(strikes)
         known = {
@@ -167,7 +167,7 @@
 
     def _forget_old(self) -> None:
         oldest = self._read_clock() - _FORGET_S
-        dropped: list[Strike] = []
+        dropped: list[CrashRecord] = []
         while self._records:
             content, record = next(iter(self._records.items()))
             if record.struck_at >= oldest:
@@ -186,5 +186,5 @@
         return next(iter(self._records))
 
 
-def _ignore(strikes: list[Strike]) -> None:
+def _ignore(strikes: list[CrashRecord]) -> None:
     del strikes
--- a/tests/test_promises/test_suspension.py
+++ b/tests/test_promises/test_suspension.py
@@ -101,7 +101,7 @@
         async def scenario() -> None:
             table = strikes.StrikeTable(trio.current_time)
             for number in range(strikes.MOST_ROUNDS):
-                table.add(strikes.Strike("a", number, "runner-1"))
+                table.add(strikes.CrashRecord("a", number, "runner-1"))
             told_s = table.find_hold("a")
             self.clock.jump(_SLEEP_S)
             self.assertEqual(told_s - _SLEEP_S, table.find_hold("a"))
--- a/tests/test_quarantine/test_strikes.py
+++ b/tests/test_quarantine/test_strikes.py
@@ -25,9 +25,9 @@
     return strikes.StrikeTable(clock, most), clock
 
 
-def _strike(table: strikes.StrikeTable, content: str) -> strikes.Strike:
+def _strike(table: strikes.StrikeTable, content: str) -> strikes.CrashRecord:
     number = table.find_latest(content) + 1
-    strike = strikes.Strike(content, number, f"runner-{number}")
+    strike = strikes.CrashRecord(content, number, f"runner-{number}")
     table.add(strike)
     return strike
 
@@ -76,7 +76,9 @@
     def _end_at_once(self, table: strikes.StrikeTable, count: int) -> None:
         number = table.find_latest("a") + 1
         for place in range(count):
-            table.add(strikes.Strike("a", number, f"runner-{number}-{place}"))
+            table.add(
+                strikes.CrashRecord("a", number, f"runner-{number}-{place}")
+            )
 
     def test_numbers_go_on_where_some_were_taken_back(self) -> None:
         table, _ = _build_table()
@@ -106,7 +108,7 @@
 class ForgettingTest(testtools.TestCase):
     def test_a_content_without_a_crash_for_two_days_is_forgotten(self) -> None:
         table, clock = _build_table()
-        dropped: list[strikes.Strike] = []
+        dropped: list[strikes.CrashRecord] = []
         table.on_dropped = dropped.extend
         old = _strike(table, "a")
         clock.now = 48 * _HOUR_S + 1.0
@@ -125,7 +127,7 @@
 
 
 _STRIKE = strategies.builds(
-    strikes.Strike,
+    strikes.CrashRecord,
     strategies.sampled_from("abc"),
     strategies.integers(1, 6),
     strategies.sampled_from(["r-1", "r-2", "r-3"]),
@@ -142,7 +144,8 @@
         )
     )
     def test_two_daemons_that_read_the_same_reach_one_verdict(
-        self, orders: tuple[list[strikes.Strike], list[strikes.Strike]]
+        self,
+        orders: tuple[list[strikes.CrashRecord], list[strikes.CrashRecord]],
     ) -> None:
         verdicts = []
         for order in orders:
@@ -158,7 +161,9 @@
         strategies.lists(_STRIKE, max_size=12),
     )
     def test_a_snapshot_replaces_all_that_came_before(
-        self, before: list[strikes.Strike], after: list[strikes.Strike]
+        self,
+        before: list[strikes.CrashRecord],
+        after: list[strikes.CrashRecord],
     ) -> None:
         table, _ = _build_table()
         for strike in before:
