--- a/packages/daemon/src/martenquay_daemon/fleet/messages.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/messages.py
@@ -32,7 +32,7 @@
     "TrialLine",
     "UnitsNote",
     "UnitsReply",
-    "UnitsVerdict",
+    "QuotaVerdict",
     "WantState",
     "WantUnits",
     "ZoneExchange",
@@ -469,7 +469,7 @@
     is_redirected: bool
 
 
-class UnitsVerdict(enum.IntEnum):
+class QuotaVerdict(enum.IntEnum):
     """What a daemon answers that was asked for units."""
 
     GRANTED = 0
@@ -498,7 +498,7 @@
     """
 
     number: int
-    verdict: UnitsVerdict
+    verdict: QuotaVerdict
     retry_s: float = 0.0
     holder: str = ""
     member: str = ""
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_desk.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_desk.py
@@ -89,17 +89,17 @@
     def take(self, source: str, reply: messages.UnitsReply) -> None:
         """Take one keeper's answer."""
         match reply.verdict:
-            case messages.UnitsVerdict.GRANTED:
+            case messages.QuotaVerdict.GRANTED:
                 self.reply = reply
-            case messages.UnitsVerdict.REFUSED if source == self.first:
+            case messages.QuotaVerdict.REFUSED if source == self.first:
                 self.reply = reply
-            case messages.UnitsVerdict.REFUSED:
+            case messages.QuotaVerdict.REFUSED:
                 self.refusal = reply
-            case messages.UnitsVerdict.WAITING:
+            case messages.QuotaVerdict.WAITING:
                 self.is_waiting = True
-            case messages.UnitsVerdict.PASSED:
+            case messages.QuotaVerdict.PASSED:
                 self.passed += 1
-            case messages.UnitsVerdict.REDIRECTED:
+            case messages.QuotaVerdict.REDIRECTED:
                 self.holder = self.first = reply.holder
         self.news.set()
         self.news = trio.Event()
@@ -254,6 +254,6 @@
 
 def _read_reply(reply: messages.UnitsReply) -> terms.AdmissionDecision:
     units = terms.QuotaStatus(reply.there, reply.owed, reply.part, reply.asked)
-    is_granted = reply.verdict is messages.UnitsVerdict.GRANTED
+    is_granted = reply.verdict is messages.QuotaVerdict.GRANTED
     retry_s = 0.0 if is_granted else reply.retry_s
     return terms.AdmissionDecision(retry_s, units, reply.member)
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
@@ -19,7 +19,7 @@
 
 __all__ = ["UnitNews"]
 
-_Verdict = messages.UnitsVerdict
+_Verdict = messages.QuotaVerdict
 _MS = 1000
 # Some of a zone's daemons may be gone, or lend to another hub.
 _MOST_PARTS = 0.8
--- a/tests/test_fleet/test_links.py
+++ b/tests/test_fleet/test_links.py
@@ -106,7 +106,7 @@
 
     async def _answer_units(self, want, reply) -> None:
         self.asked.append(want)
-        verdict = messages.UnitsVerdict.GRANTED
+        verdict = messages.QuotaVerdict.GRANTED
         reply(
             messages.UnitsReply(want.number, verdict, member=f"{self.name}.aa")
         )
--- a/tests/test_fleet/test_unit_desk.py
+++ b/tests/test_fleet/test_unit_desk.py
@@ -9,10 +9,10 @@
 from tests import clocked
 
 _WISH = terms.AdmissionRequest(500.0, 1)
-_GRANTED = messages.UnitsVerdict.GRANTED
-_REFUSED = messages.UnitsVerdict.REFUSED
-_PASSED = messages.UnitsVerdict.PASSED
-_REDIRECTED = messages.UnitsVerdict.REDIRECTED
+_GRANTED = messages.QuotaVerdict.GRANTED
+_REFUSED = messages.QuotaVerdict.REFUSED
+_PASSED = messages.QuotaVerdict.PASSED
+_REDIRECTED = messages.QuotaVerdict.REDIRECTED
 
 
 class _Ways:
@@ -26,7 +26,7 @@
 
     def __init__(self) -> None:
         self.keepers = ["hub-1", "hub-2", "far-1", "far-2"]
-        self.answers: dict[str, list[tuple[float, messages.UnitsVerdict]]] = {}
+        self.answers: dict[str, list[tuple[float, messages.QuotaVerdict]]] = {}
         self.sent: list[str] = []
         self.holder = ""
         self.unlinked: set[str] = set()
@@ -152,7 +152,7 @@
     def test_a_request_that_waited_in_vain_is_not_held_up_again(self) -> None:
         async def scenario() -> None:
             self.ways.answers["hub-1"] = [
-                (0.003, messages.UnitsVerdict.WAITING)
+                (0.003, messages.QuotaVerdict.WAITING)
             ]
             started = trio.current_time()
             answer = await self.desk.ask("florists", _WISH)
@@ -164,7 +164,7 @@
     def test_a_keeper_that_waits_for_units_is_not_asked_around(self) -> None:
         async def scenario() -> None:
             self.ways.answers["hub-1"] = [
-                (0.003, messages.UnitsVerdict.WAITING),
+                (0.003, messages.QuotaVerdict.WAITING),
                 (0.11, _GRANTED),
             ]
             answer = await self.desk.ask("florists", _WISH)
--- a/tests/test_fleet/test_unit_news.py
+++ b/tests/test_fleet/test_unit_news.py
@@ -11,7 +11,7 @@
 from tests import serving_builders as builders
 
 _TEAM = allowance_fleet.TEAM
-_Verdict = messages.UnitsVerdict
+_Verdict = messages.QuotaVerdict
 
 
 class _Links:
@@ -79,7 +79,7 @@
 
     async def _ask(
         self, news: unit_news.UnitNews, units: float, team: str = _TEAM.name
-    ) -> list[messages.UnitsVerdict]:
+    ) -> list[messages.QuotaVerdict]:
         replies: list[messages.UnitsReply] = []
         want = messages.WantUnits(7, team, units, 0, False, False)
         await news.answer(want, replies.append)
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -303,18 +303,18 @@
         match reply.verdict:
             case _ if one is None:
                 return 0.0
-            case messages.UnitsVerdict.WAITING:
+            case messages.QuotaVerdict.WAITING:
                 one.keepers.clear()
                 return 0.0
-            case messages.UnitsVerdict.PASSED:
+            case messages.QuotaVerdict.PASSED:
                 if one.keepers:
                     self._ask_next(one)
                 return 0.0
-            case messages.UnitsVerdict.REDIRECTED:
+            case messages.QuotaVerdict.REDIRECTED:
                 one.keepers.clear()
                 self._ask_at(reply.holder, one, is_redirected=True)
                 return 0.0
-            case messages.UnitsVerdict.REFUSED:
+            case messages.QuotaVerdict.REFUSED:
                 return 0.0
         del self._asks[reply.number]
         is_late = trio.current_time() - one.asked_at > _LONGEST_S
@@ -323,7 +323,7 @@
     def _decide(self, address: str, want: messages.WantUnits) -> None:
         wish = terms.AdmissionRequest(want.units, want.reserve, want.is_late)
         if self._rights.find_usable_share() <= 0:
-            passed = messages.UnitsVerdict.PASSED
+            passed = messages.QuotaVerdict.PASSED
             self._tell(address, messages.UnitsReply(want.number, passed))
             return
         is_again = want.is_redirected
@@ -335,13 +335,13 @@
             case terms.HeldElsewhere() if want.is_redirected:
                 self._reply(address, want.number, 0.5)
             case terms.HeldElsewhere(holder=holder) if holder:
-                redirected = messages.UnitsVerdict.REDIRECTED
+                redirected = messages.QuotaVerdict.REDIRECTED
                 self._tell(
                     address,
                     messages.UnitsReply(want.number, redirected, holder=holder),
                 )
             case terms.HeldElsewhere(missing=missing):
-                waiting = messages.UnitsVerdict.WAITING
+                waiting = messages.QuotaVerdict.WAITING
                 self._tell(address, messages.UnitsReply(want.number, waiting))
                 self.units.note_need(allowance_fleet.TEAM, missing)
                 until = trio.current_time() + unit_desk.KEEPER_WAIT_S
@@ -394,9 +394,9 @@
         self._tell(address, want)
 
     def _reply(self, address: str, number: int, retry_s: float) -> None:
-        verdict = messages.UnitsVerdict.GRANTED
+        verdict = messages.QuotaVerdict.GRANTED
         if retry_s > 0:
-            verdict = messages.UnitsVerdict.REFUSED
+            verdict = messages.QuotaVerdict.REFUSED
         reply = messages.UnitsReply(number, verdict, retry_s)
         self._tell(address, reply)
 
