--- a/packages/daemon/src/martenquay_daemon/backpressure/limit_words.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/limit_words.py
@@ -9,7 +9,7 @@
 
 import dataclasses
 
-__all__ = ["LimitWord", "choose_later_end", "fold_told", "fold_word"]
+__all__ = ["LimitReport", "choose_later_end", "fold_told", "fold_word"]
 
 # A word that comes back from the daemons that were told it seems younger by
 # the time of its way; taken for a new one it would never grow old.
@@ -20,7 +20,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class LimitWord:
+class LimitReport:
     """What one answer says of a runner's limit; times are trio's.
 
     Attributes:
@@ -37,7 +37,9 @@
     heard_at: float
 
 
-def fold_word(known: LimitWord | None, word: LimitWord) -> LimitWord | None:
+def fold_word(
+    known: LimitReport | None, word: LimitReport
+) -> LimitReport | None:
     """Return the newest word of a runner; None if no limit was ever named."""
     if known is not None and _is_later_process(known, word):
         return known
@@ -61,14 +63,16 @@
     )
 
 
-def choose_later_end(known: LimitWord, word: LimitWord) -> LimitWord:
+def choose_later_end(known: LimitReport, word: LimitReport) -> LimitReport:
     """Return the later of two words that say that there is no limit."""
     if _is_later_process(known, word) or word.sent_at < known.sent_at:
         return known
     return word
 
 
-def fold_told(known: LimitWord | None, word: LimitWord) -> LimitWord | None:
+def fold_told(
+    known: LimitReport | None, word: LimitReport
+) -> LimitReport | None:
     """Return the newest word, with one that another daemon has told."""
     if (
         known is not None
@@ -83,7 +87,7 @@
     return word if newest is told else newest
 
 
-def _is_later_process(one: LimitWord, other: LimitWord) -> bool:
+def _is_later_process(one: LimitReport, other: LimitReport) -> bool:
     if one.born_ms is None or other.born_ms is None:
         return False
     return one.born_ms > other.born_ms
--- a/packages/daemon/src/martenquay_daemon/fleet/runner_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/runner_news.py
@@ -48,7 +48,7 @@
 
 
 def _write_words(
-    words: list[tuple[str, limit_words.LimitWord]],
+    words: list[tuple[str, limit_words.LimitReport]],
 ) -> dict[str, messages.LimitLine]:
     """Return lines for words, by runner id."""
     now = trio.current_time()
@@ -65,12 +65,12 @@
 
 def _read_words(
     lines: dict[str, messages.LimitLine],
-) -> list[tuple[str, limit_words.LimitWord]]:
+) -> list[tuple[str, limit_words.LimitReport]]:
     now = trio.current_time()
     return [
         (
             runner_id,
-            limit_words.LimitWord(
+            limit_words.LimitReport(
                 line.limit,
                 line.born_ms,
                 # Nobody hears of what is still to come.
--- a/tests/test_backpressure/test_limit_words.py
+++ b/tests/test_backpressure/test_limit_words.py
@@ -9,8 +9,8 @@
 
 def _word(
     limit: float | None, sent_at: float, heard_at: float, born: int = 1
-) -> limit_words.LimitWord:
-    return limit_words.LimitWord(limit, born, sent_at, heard_at)
+) -> limit_words.LimitReport:
+    return limit_words.LimitReport(limit, born, sent_at, heard_at)
 
 
 class FoldWordTest(testtools.TestCase):
--- a/tests/test_backpressure/test_runner_limits.py
+++ b/tests/test_backpressure/test_runner_limits.py
@@ -118,7 +118,7 @@
         async def scenario() -> None:
             limits = builders.build_runner_limits(rank=5, daemons=6)
             now = trio.current_time()
-            word = limit_words.LimitWord(1.0, 7, now - 0.2, now - 0.1)
+            word = limit_words.LimitReport(1.0, 7, now - 0.2, now - 0.1)
             limits.take_told([(_RUNNER.id, word)])
             self.assertFalse(_take_turn(limits, _RUNNER))
             # Only what a runner said to this daemon is told as its own.
