--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -75,7 +75,7 @@
     create_units: Callable[[], messages.UnitsNote]
     take_units: Callable[[messages.UnitsNote], None]
     answer_units: Callable[
-        [messages.WantUnits, Callable[[messages.UnitsReply], None]],
+        [messages.WantUnits, Callable[[messages.QuotaReply], None]],
         Awaitable[None],
     ]
     find_zone_end: Callable[[str], int]
@@ -271,7 +271,7 @@
                 reply(self._copies.create_copy(message, self._list_peers()))
             case messages.WantUnits():
                 self._answer_units(message, reply)
-            case messages.UnitsReply():
+            case messages.QuotaReply():
                 self.quota_client.take_reply(source, message)
             case messages.UnitsNote():
                 if self.listeners is not None:
--- a/packages/daemon/src/martenquay_daemon/fleet/messages.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/messages.py
@@ -31,7 +31,7 @@
     "StateCopy",
     "TrialLine",
     "UnitsNote",
-    "UnitsReply",
+    "QuotaReply",
     "QuotaVerdict",
     "WantState",
     "WantUnits",
@@ -482,7 +482,7 @@
     REDIRECTED = 4
 
 
-class UnitsReply(msgspec.Struct, frozen=True, array_like=True, tag="a"):
+class QuotaReply(msgspec.Struct, frozen=True, array_like=True, tag="a"):
     """Answer `WantUnits`.
 
     Attributes:
@@ -516,7 +516,7 @@
     | StateCopy
     | UnitsNote
     | WantUnits
-    | UnitsReply
+    | QuotaReply
 )
 
 _DECODER = msgspec.msgpack.Decoder(FleetMessage)
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_desk.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_desk.py
@@ -75,8 +75,8 @@
     """
 
     first: str = ""
-    reply: messages.UnitsReply | None = None
-    refusal: messages.UnitsReply | None = None
+    reply: messages.QuotaReply | None = None
+    refusal: messages.QuotaReply | None = None
     is_waiting: bool = False
     holder: str = ""
     passed: int = 0
@@ -86,7 +86,7 @@
         """Tell whether nobody else is to be asked."""
         return self.reply is not None or self.is_waiting or bool(self.holder)
 
-    def take(self, source: str, reply: messages.UnitsReply) -> None:
+    def take(self, source: str, reply: messages.QuotaReply) -> None:
         """Take one keeper's answer."""
         match reply.verdict:
             case messages.QuotaVerdict.GRANTED:
@@ -149,7 +149,7 @@
         """Return one daemon's answer, or None if it says nothing."""
         return await self._ask_once(team, wish, [address], is_redirected=True)
 
-    def take_reply(self, source: str, reply: messages.UnitsReply) -> None:
+    def take_reply(self, source: str, reply: messages.QuotaReply) -> None:
         """Take a keeper's answer; one that nobody waits for is dropped."""
         one = self._asks.get(reply.number)
         if one is not None and one.reply is None:
@@ -252,7 +252,7 @@
         )
 
 
-def _read_reply(reply: messages.UnitsReply) -> terms.AdmissionDecision:
+def _read_reply(reply: messages.QuotaReply) -> terms.AdmissionDecision:
     units = terms.QuotaStatus(reply.there, reply.owed, reply.part, reply.asked)
     is_granted = reply.verdict is messages.QuotaVerdict.GRANTED
     retry_s = 0.0 if is_granted else reply.retry_s
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
@@ -173,7 +173,7 @@
     async def answer(
         self,
         want: messages.WantUnits,
-        reply: Callable[[messages.UnitsReply], None],
+        reply: Callable[[messages.QuotaReply], None],
     ) -> None:
         """Decide on a request of another daemon and reply.
 
@@ -181,7 +181,7 @@
         """
         teams = self._store.table.catalog.teams
         team = next((one for one in teams if one.name == want.team), None)
-        passed = messages.UnitsReply(want.number, _Verdict.PASSED)
+        passed = messages.QuotaReply(want.number, _Verdict.PASSED)
         if team is None or self._units.rights.find_usable_share() <= 0:
             reply(passed)
             return
@@ -197,11 +197,11 @@
             case terms.HeldElsewhere(holder=holder) if holder:
                 redirected = _Verdict.REDIRECTED
                 reply(
-                    messages.UnitsReply(want.number, redirected, holder=holder)
+                    messages.QuotaReply(want.number, redirected, holder=holder)
                 )
                 return
             case terms.HeldElsewhere():
-                reply(messages.UnitsReply(want.number, _Verdict.WAITING))
+                reply(messages.QuotaReply(want.number, _Verdict.WAITING))
         answer = await self._gate.settle(
             team, wish, verdict, unit_desk.KEEPER_WAIT_S
         )
@@ -209,10 +209,10 @@
 
     def _describe(
         self, number: int, answer: terms.AdmissionDecision
-    ) -> messages.UnitsReply:
+    ) -> messages.QuotaReply:
         is_granted = answer.is_admitted
         units = answer.units
-        return messages.UnitsReply(
+        return messages.QuotaReply(
             number,
             _Verdict.GRANTED if is_granted else _Verdict.REFUSED,
             answer.retry_s,
--- a/tests/test_fleet/test_links.py
+++ b/tests/test_fleet/test_links.py
@@ -108,7 +108,7 @@
         self.asked.append(want)
         verdict = messages.QuotaVerdict.GRANTED
         reply(
-            messages.UnitsReply(want.number, verdict, member=f"{self.name}.aa")
+            messages.QuotaReply(want.number, verdict, member=f"{self.name}.aa")
         )
 
     def _digest(self):
--- a/tests/test_fleet/test_unit_desk.py
+++ b/tests/test_fleet/test_unit_desk.py
@@ -51,7 +51,7 @@
         if want.is_redirected:
             self.redirected.append(address)
         for after_s, verdict in self.answers.get(address, []):
-            reply = messages.UnitsReply(
+            reply = messages.QuotaReply(
                 want.number, verdict, 0.6, self.holder, address
             )
             self.nursery.start_soon(self._reply, after_s, address, reply)
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -280,7 +280,7 @@
                 self._news.take_note(message)
             case messages.WantUnits():
                 self._decide(address, message)
-            case messages.UnitsReply():
+            case messages.QuotaReply():
                 return self._hear_reply(message)
         return 0.0
 
@@ -298,7 +298,7 @@
         for summary in report.zones:
             self._roster.note_zone_told(summary.zone, summary.members_end)
 
-    def _hear_reply(self, reply: messages.UnitsReply) -> float:
+    def _hear_reply(self, reply: messages.QuotaReply) -> float:
         one = self._asks.get(reply.number)
         match reply.verdict:
             case _ if one is None:
@@ -324,7 +324,7 @@
         wish = terms.AdmissionRequest(want.units, want.reserve, want.is_late)
         if self._rights.find_usable_share() <= 0:
             passed = messages.QuotaVerdict.PASSED
-            self._tell(address, messages.UnitsReply(want.number, passed))
+            self._tell(address, messages.QuotaReply(want.number, passed))
             return
         is_again = want.is_redirected
         match self.units.try_spend(
@@ -338,11 +338,11 @@
                 redirected = messages.QuotaVerdict.REDIRECTED
                 self._tell(
                     address,
-                    messages.UnitsReply(want.number, redirected, holder=holder),
+                    messages.QuotaReply(want.number, redirected, holder=holder),
                 )
             case terms.HeldElsewhere(missing=missing):
                 waiting = messages.QuotaVerdict.WAITING
-                self._tell(address, messages.UnitsReply(want.number, waiting))
+                self._tell(address, messages.QuotaReply(want.number, waiting))
                 self.units.note_need(allowance_fleet.TEAM, missing)
                 until = trio.current_time() + unit_desk.KEEPER_WAIT_S
                 self._waits.append(
@@ -397,7 +397,7 @@
         verdict = messages.QuotaVerdict.GRANTED
         if retry_s > 0:
             verdict = messages.QuotaVerdict.REFUSED
-        reply = messages.UnitsReply(number, verdict, retry_s)
+        reply = messages.QuotaReply(number, verdict, retry_s)
         self._tell(address, reply)
 
     def _tell_own(self, now: float) -> None:
