--- a/packages/daemon/src/martenquay_daemon/discovery/keyed_follower.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/keyed_follower.py
@@ -18,7 +18,7 @@
     from martenquay_core.serving import ports
     from martenquay_daemon.discovery import contact
 
-__all__ = ["FollowPace", "KeyedFollower", "RecordSink"]
+__all__ = ["ReadSchedule", "KeyedFollower", "RecordSink"]
 
 _LOG = logs.create_log("platform-log")
 # Refused calls are paid for like others; a second is soon enough to be up to
@@ -44,7 +44,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class FollowPace:
+class ReadSchedule:
     """How a topic is read.
 
     Attributes:
@@ -79,7 +79,7 @@
         contact: contact.LogContact,
         topic: str,
         sink: RecordSink,
-        pace: FollowPace,
+        pace: ReadSchedule,
         is_crowded: Callable[[], bool] = lambda: False,
         is_needed: Callable[[], bool] = lambda: True,
     ) -> None:
--- a/tests/entry_world.py
+++ b/tests/entry_world.py
@@ -57,7 +57,7 @@
             self.contact,
             _TOPIC,
             directory,
-            keyed_follower.FollowPace(wait_s=1.0),
+            keyed_follower.ReadSchedule(wait_s=1.0),
         )
         self.state = state_copies.FleetState(
             catalog_store.create_store(records),
--- a/tests/serving_scene.py
+++ b/tests/serving_scene.py
@@ -109,7 +109,7 @@
             log_contact,
             builders.TOPICS.runners,
             self.directory,
-            keyed_follower.FollowPace(wait_s=1.0),
+            keyed_follower.ReadSchedule(wait_s=1.0),
             is_needed=lambda: False,
         )
         self.entries = refresher.create_refresher(
@@ -130,7 +130,7 @@
             log_contact,
             builders.TOPICS.strikes,
             self.quarantine,
-            keyed_follower.FollowPace(wait_s=1.0),
+            keyed_follower.ReadSchedule(wait_s=1.0),
         )
         rng = random.Random(1)
         header_codec = codec.create_codec()
--- a/tests/test_discovery/test_followers.py
+++ b/tests/test_discovery/test_followers.py
@@ -18,7 +18,7 @@
 from tests import clocked
 from tests import serving_builders as builders
 
-_PACE = keyed_follower.FollowPace(wait_s=1.0)
+_PACE = keyed_follower.ReadSchedule(wait_s=1.0)
 
 
 class _Sink:
--- a/tests/test_discovery/test_refresher.py
+++ b/tests/test_discovery/test_refresher.py
@@ -41,7 +41,7 @@
                 contact.LogContact(),
                 "runners",
                 self.sink,
-                keyed_follower.FollowPace(wait_s=1.0),
+                keyed_follower.ReadSchedule(wait_s=1.0),
                 is_needed=lambda: is_needed,
             )
             self.refresher = refresher.create_refresher(
--- a/tests/test_fleet/test_links.py
+++ b/tests/test_fleet/test_links.py
@@ -69,7 +69,7 @@
             self.contact,
             "runners",
             self.directory,
-            keyed_follower.FollowPace(wait_s=1.0),
+            keyed_follower.ReadSchedule(wait_s=1.0),
         )
         state = state_copies.FleetState(
             self.store, self.directory, self.follower, self.contact
--- a/tests/test_fleet/test_state_copies.py
+++ b/tests/test_fleet/test_state_copies.py
@@ -25,7 +25,7 @@
         log_contact,
         "runners",
         directory,
-        keyed_follower.FollowPace(wait_s=1.0),
+        keyed_follower.ReadSchedule(wait_s=1.0),
     )
     return state_copies.FleetState(
         catalog_store.create_store(records), directory, follower, log_contact
--- a/tests/test_fleet/test_zone_mode.py
+++ b/tests/test_fleet/test_zone_mode.py
@@ -42,7 +42,7 @@
             self.contact,
             "runners",
             directory,
-            keyed_follower.FollowPace(wait_s=1.0),
+            keyed_follower.ReadSchedule(wait_s=1.0),
         )
         state = state_copies.FleetState(
             catalog_store.create_store(records),
--- a/tests/test_rollouts/test_keeper.py
+++ b/tests/test_rollouts/test_keeper.py
@@ -48,14 +48,14 @@
             log_contact,
             _TOPICS.catalog,
             records.OrderSink(codec, self.book),
-            keyed_follower.FollowPace(wait_s=2.0),
+            keyed_follower.ReadSchedule(wait_s=2.0),
         )
         self.follower = keyed_follower.KeyedFollower(
             platform,
             log_contact,
             _TOPICS.rollouts,
             records.StepSink(self.book),
-            keyed_follower.FollowPace(wait_s=2.0),
+            keyed_follower.ReadSchedule(wait_s=2.0),
         )
         self.lease = lease.create_lease(
             platform, "lease", f"{name}.aa", name, 3.0, view.FleetView(name)
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -163,7 +163,7 @@
             log_contact,
             "runners",
             directory,
-            keyed_follower.FollowPace(wait_s=1.0),
+            keyed_follower.ReadSchedule(wait_s=1.0),
         )
         self._view = view.FleetView(instance)
         self._view.is_mesh = False
