--- a/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
@@ -84,7 +84,7 @@
     usage: usage_counts.UsageCounts
     meter: demand.DemandMeter
     estimates: model.RunnerModel
-    orders: book.RolloutBook
+    orders: book.RolloutRegistry
     trials: tallies.TallyTable
     lease: lease.Lease
     links: links.FleetLinks
--- a/packages/daemon/src/martenquay_daemon/forwarding/trial_notes.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/trial_notes.py
@@ -22,7 +22,7 @@
 
     def __init__(
         self,
-        orders: book.RolloutBook,
+        orders: book.RolloutRegistry,
         trials: tallies.TallyTable,
         chooser: versions.VersionChooser,
     ) -> None:
--- a/packages/daemon/src/martenquay_daemon/rollouts/book.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/book.py
@@ -15,7 +15,7 @@
 from martenquay_core import logs
 from martenquay_core.serving import rollouts
 
-__all__ = ["Phase", "Rollout", "RolloutBook", "Step"]
+__all__ = ["Phase", "Rollout", "RolloutRegistry", "Step"]
 
 _LOG = logs.create_log("rollouts")
 # Who starts reads all orders; who runs hears of a new one from others within a
@@ -102,7 +102,7 @@
         return Phase.CANARY if self.step is None else self.step.phase
 
 
-class RolloutBook:
+class RolloutRegistry:
     """Orders and steps by service."""
 
     def __init__(self) -> None:
--- a/packages/daemon/src/martenquay_daemon/rollouts/keeper.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/keeper.py
@@ -54,7 +54,7 @@
     codec: ports.PlatformCodec
     follower: keyed_follower.KeyedFollower
     lease: lease.Lease
-    orders: book.RolloutBook
+    orders: book.RolloutRegistry
     trials: tallies.TallyTable
     directory: runner_directory.RunnerDirectory
     ledger: loads.LoadLedger
--- a/packages/daemon/src/martenquay_daemon/rollouts/parts.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/parts.py
@@ -33,7 +33,7 @@
         versions: Chooses runners by version.
     """
 
-    orders: book.RolloutBook
+    orders: book.RolloutRegistry
     order_sink: records.OrderSink
     follower: keyed_follower.KeyedFollower
     trials: tallies.TallyTable
@@ -49,7 +49,7 @@
     count_daemons: Callable[[], int],
 ) -> RolloutState:
     """Return the parts, connected to each other."""
-    orders = book.RolloutBook()
+    orders = book.RolloutRegistry()
     return RolloutState(
         orders,
         records.OrderSink(codec, orders),
--- a/packages/daemon/src/martenquay_daemon/rollouts/records.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/records.py
@@ -42,7 +42,7 @@
 class StepSink:
     """Implement `keyed_follower.RecordSink` for steps."""
 
-    def __init__(self, rollouts: book.RolloutBook) -> None:
+    def __init__(self, rollouts: book.RolloutRegistry) -> None:
         self._book = rollouts
 
     def replace_all(self, snapshot: ports.Snapshot) -> None:
@@ -77,7 +77,7 @@
     """Implement `keyed_follower.RecordSink` for operators' orders."""
 
     def __init__(
-        self, codec: ports.PlatformCodec, rollouts: book.RolloutBook
+        self, codec: ports.PlatformCodec, rollouts: book.RolloutRegistry
     ) -> None:
         self._codec = codec
         self._book = rollouts
--- a/packages/daemon/src/martenquay_daemon/rollouts/versions.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/versions.py
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        rollouts: book.RolloutBook,
+        rollouts: book.RolloutRegistry,
         rng: random.Random,
         count_daemons: Callable[[], int],
         is_log_heard: Callable[[], bool] = lambda: True,
--- a/tests/rollout_days.py
+++ b/tests/rollout_days.py
@@ -114,7 +114,7 @@
         self._played = Played()
         self._old = _build_runners("v1")
         self._new = _build_runners("v2")
-        self._book = book.RolloutBook()
+        self._book = book.RolloutRegistry()
         order = rollouts.RolloutOrder(_SERVICE, "v2", day.duration_s)
         self._book.take_order(7, order)
         self._take_step(book.Phase.CANARY, "")
--- a/tests/serving_scene.py
+++ b/tests/serving_scene.py
@@ -135,7 +135,7 @@
         rng = random.Random(1)
         header_codec = codec.create_codec()
         bounds = retry_window.RetryBounds(0.2, 10.0, 100.0)
-        orders = book.RolloutBook()
+        orders = book.RolloutRegistry()
         tolerance = terms.ToleranceBounds(8.0, 0.0, 0.0)
         self.parts = forwarder.ForwarderParts(
             store=self.store,
--- a/tests/test_rollouts/test_book.py
+++ b/tests/test_rollouts/test_book.py
@@ -39,7 +39,7 @@
 
         async def scenario() -> None:
             for order in itertools.permutations(news):
-                found = book.RolloutBook()
+                found = book.RolloutRegistry()
                 for one in order:
                     if isinstance(one, book.Step):
                         found.take_step(one)
@@ -55,7 +55,7 @@
 
     def test_no_step_leads_back_and_the_first_end_counts(self) -> None:
         async def scenario() -> None:
-            found = book.RolloutBook()
+            found = book.RolloutRegistry()
             found.take_order(3, _order("v3"))
             self.assertTrue(found.take_step(_step(3, _SWITCHING)))
             self.assertFalse(found.take_step(_step(3, _CANARY)))
@@ -68,7 +68,7 @@
 
     def test_the_same_order_again_begins_anew(self) -> None:
         async def scenario() -> None:
-            found = book.RolloutBook()
+            found = book.RolloutRegistry()
             found.take_order(3, _order("v2"))
             found.take_step(_step(3, _ROLLED_BACK, version="v2"))
             found.take_order(9, _order("v2"))
@@ -84,7 +84,7 @@
             platform = log.MemoryLog()
             step = _step(3, _SWITCHING, refused=("v1",), why="it is good")
             payload = records.encode_step(platform, step)
-            found = book.RolloutBook()
+            found = book.RolloutRegistry()
             found.take_order(3, _order("v3"))
             records.StepSink(found).apply_change(
                 platform.split_keyed(payload, 0)
@@ -96,7 +96,7 @@
     def test_what_cannot_be_read_harms_nothing_else(self) -> None:
         async def scenario() -> None:
             rng = random.Random(1)
-            found = book.RolloutBook()
+            found = book.RolloutRegistry()
             steps = records.StepSink(found)
             orders = records.OrderSink(builders.FakeRecords(), found)
             for number in range(200):
--- a/tests/test_rollouts/test_keeper.py
+++ b/tests/test_rollouts/test_keeper.py
@@ -26,7 +26,7 @@
 
     def __init__(self, name: str, platform: log.MemoryLog) -> None:
         self.log = platform
-        self.book = book.RolloutBook()
+        self.book = book.RolloutRegistry()
         self.trials = tallies.TallyTable()
         self.ledger = loads.LoadLedger()
         codec = builders.FakeRecords()
--- a/tests/test_rollouts/test_versions.py
+++ b/tests/test_rollouts/test_versions.py
@@ -26,7 +26,7 @@
 
 class VersionChooserTest(clocked.ClockedTestCase):
     def _open(self, phase: book.Phase | None = None, **changes) -> None:
-        self.book = book.RolloutBook()
+        self.book = book.RolloutRegistry()
         self.chooser = versions.VersionChooser(
             self.book, random.Random(1), lambda: 1
         )
