--- a/packages/daemon/src/martenquay_daemon/allowances/escrow.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/escrow.py
@@ -158,7 +158,7 @@
         self,
         bounds: terms.ToleranceBounds,
         mint_rights: rights.MintRights,
-        hurry: Callable[[], None],
+        notify_soon: Callable[[], None],
     ) -> None:
         """Begin without units.
 
@@ -170,7 +170,7 @@
         self.bounds = bounds
         self.rights = mint_rights
         self.news = trio.Event()
-        self._hurry = hurry
+        self._hurry = notify_soon
         self._started_at = trio.current_time()
         self._accounts: dict[str, _Account] = {}
         self._others: dict[str, _Other] = {}
@@ -485,7 +485,7 @@
 def create_escrow(
     bounds: terms.ToleranceBounds,
     mint_rights: rights.MintRights,
-    hurry: Callable[[], None],
+    notify_soon: Callable[[], None],
 ) -> EscrowLedger:
     """Return a ledger without units."""
-    return EscrowLedger(bounds, mint_rights, hurry)
+    return EscrowLedger(bounds, mint_rights, notify_soon)
--- a/packages/daemon/src/martenquay_daemon/backpressure/leaving_words.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/leaving_words.py
@@ -50,7 +50,7 @@
 
     def __init__(self) -> None:
         self.observe: Callable[[str, str], None] = observers.ignore_change
-        self.hurry: Callable[[], None] = observers.tell_nobody
+        self.notify_soon: Callable[[], None] = observers.tell_nobody
         self._words: dict[str, _Word] = {}
 
     def list_ids(self) -> set[str]:
@@ -60,7 +60,7 @@
     def note_answer(self, runner: runners.Runner) -> None:
         """Note that a runner has said so in an answer."""
         if self._keep(runner.id, runner.born_ms, "answer"):
-            self.hurry()
+            self.notify_soon()
 
     def take_told(self, told: dict[str, int | None]) -> None:
         """Take what another daemon knows: starts of processes by runner id."""
--- a/packages/daemon/src/martenquay_daemon/backpressure/parts.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/parts.py
@@ -41,7 +41,7 @@
     known: roster.Roster,
     leaving: leaving_words.LeavingWords,
     observe: Callable[[str, str], None],
-    hurry: Callable[[], None],
+    notify_soon: Callable[[], None],
 ) -> Backpressure:
     """Return the parts, connected.
 
@@ -57,6 +57,6 @@
     asked_rests = rests.RunnerBackoffs()
     for words in (limits, leaving, asked_rests):
         words.observe = observe
-    limits.hurry = leaving.hurry = hurry
+    limits.notify_soon = leaving.notify_soon = notify_soon
     gate = runner_gate.RunnerGate(limits, leaving, asked_rests)
     return Backpressure(limits, leaving, gate)
--- a/packages/daemon/src/martenquay_daemon/backpressure/runner_limits.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/runner_limits.py
@@ -69,7 +69,7 @@
         ] = send_shares.find_share,
     ) -> None:
         self.observe: Callable[[str, str], None] = observers.ignore_change
-        self.hurry: Callable[[], None] = observers.tell_nobody
+        self.notify_soon: Callable[[], None] = observers.tell_nobody
         self._find_place = find_place
         self._find_share = find_share
         self._known: dict[str, _Known] = {}
@@ -106,7 +106,7 @@
         known = self._find_word(runner.id)
         folded = limit_words.fold_word(known, word)
         if self._keep(runner.id, known, folded, is_own=True):
-            self.hurry()
+            self.notify_soon()
 
     def take_told(
         self, words: Iterable[tuple[str, limit_words.LimitReport]]
--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -171,7 +171,7 @@
         """Return how many daemons are told directly."""
         return len(self._links)
 
-    def hurry(self) -> None:
+    def notify_soon(self) -> None:
         """Have the next digest sent soon, for news that cannot wait."""
         self._wake.set()
 
--- a/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
@@ -174,7 +174,7 @@
         self._take_orders(report.orders)
         if sources.units.is_to_lend():
             # Until it is lent, this daemon's part is of no use to anybody.
-            sources.links.hurry()
+            sources.links.notify_soon()
 
     def change_mode(self) -> None:
         """Drop what was told in the other way."""
--- a/packages/daemon/src/martenquay_daemon/forwarding/attempt.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/attempt.py
@@ -60,7 +60,7 @@
         meter: demand.DemandMeter,
         estimates: model.RunnerModel,
         streams: lengths.StreamLengths,
-        hurry: Callable[[], None],
+        notify_soon: Callable[[], None],
         gate: runner_gate.RunnerGate,
     ) -> None:
         self._gate = gate
@@ -70,7 +70,7 @@
         self._meter = meter
         self._model = estimates
         self._streams = streams
-        self._hurry = hurry
+        self._hurry = notify_soon
 
     async def make(
         self,
--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -264,7 +264,7 @@
         # Hubs report at their own pace; news for them sooner than that would
         # only cost bytes, which the control traffic of 400 daemons lacks.
         if self.links.is_mesh():
-            self.links.hurry()
+            self.links.notify_soon()
 
     def _create_first_reading(self) -> first_reading.FirstReading:
         sources = {
