--- a/packages/daemon/src/martenquay_daemon/fleet/trial_lines.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/trial_lines.py
@@ -60,7 +60,7 @@
     return total
 
 
-def _write_side(side: tallies.SideTally) -> messages.SideLine:
+def _write_side(side: tallies.OutcomeTally) -> messages.SideLine:
     return messages.SideLine(
         side.answers,
         side.failures,
@@ -70,8 +70,8 @@
     )
 
 
-def _read_side(line: messages.SideLine) -> tallies.SideTally:
-    return tallies.SideTally(
+def _read_side(line: messages.SideLine) -> tallies.OutcomeTally:
+    return tallies.OutcomeTally(
         line.answers,
         line.failures,
         line.timed,
--- a/packages/daemon/src/martenquay_daemon/rollouts/tallies.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/tallies.py
@@ -5,14 +5,14 @@
 import dataclasses
 import math
 
-__all__ = ["RouteTally", "SideTally", "TallyTable", "Trial"]
+__all__ = ["RouteTally", "OutcomeTally", "TallyTable", "Trial"]
 
 # What took no time that could be measured.
 _LEAST_S = 0.001
 
 
 @dataclasses.dataclass(frozen=True)
-class SideTally:
+class OutcomeTally:
     """What runners of one version, or of all others, answered.
 
     Times are counted by their logarithms: a version that is several times
@@ -32,9 +32,9 @@
     log_sum: float = 0.0
     log_squares: float = 0.0
 
-    def add(self, other: SideTally) -> SideTally:
+    def add(self, other: OutcomeTally) -> OutcomeTally:
         """Return both together."""
-        return SideTally(
+        return OutcomeTally(
             self.answers + other.answers,
             self.failures + other.failures,
             self.timed + other.timed,
@@ -42,16 +42,16 @@
             self.log_squares + other.log_squares,
         )
 
-    def note(self, took_s: float | None) -> SideTally:
+    def note(self, took_s: float | None) -> OutcomeTally:
         """Return it with one answer more.
 
         Args:
             took_s: Until its first event, or its end; None if it failed.
         """
         if took_s is None:
-            return self.add(SideTally(1, 1))
+            return self.add(OutcomeTally(1, 1))
         taken = math.log(max(_LEAST_S, took_s))
-        return self.add(SideTally(1, 0, 1, taken, taken * taken))
+        return self.add(OutcomeTally(1, 0, 1, taken, taken * taken))
 
 
 @dataclasses.dataclass(frozen=True)
@@ -63,8 +63,8 @@
         new: By those of the version on trial.
     """
 
-    old: SideTally = SideTally()
-    new: SideTally = SideTally()
+    old: OutcomeTally = OutcomeTally()
+    new: OutcomeTally = OutcomeTally()
 
     def add(self, other: RouteTally) -> RouteTally:
         """Return both together."""
@@ -128,7 +128,7 @@
         trial = self._own.get(service)
         if trial is None or trial.order != order:
             trial = Trial(order)
-        side = SideTally().note(took_s)
+        side = OutcomeTally().note(took_s)
         tally = RouteTally(new=side) if is_new else RouteTally(old=side)
         self._own[service] = trial.add(Trial(order, {route: tally}))
 
--- a/packages/daemon/src/martenquay_daemon/rollouts/verdict.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/verdict.py
@@ -89,7 +89,7 @@
     return most + math.log(mean)
 
 
-def _compare(side: tallies.SideTally, usual: float, more: float) -> float:
+def _compare(side: tallies.OutcomeTally, usual: float, more: float) -> float:
     """Return the log odds of failing so much more often than usual."""
     worse = min(0.95, usual + more)
     good = side.answers - side.failures
@@ -117,7 +117,7 @@
     return difference / math.hypot(old_error, new_error)
 
 
-def _find_mean(side: tallies.SideTally) -> tuple[float, float]:
+def _find_mean(side: tallies.OutcomeTally) -> tuple[float, float]:
     """Return the mean of the logarithms and its standard error."""
     mean = side.log_sum / side.timed
     variance = max(0.0, side.log_squares / side.timed - mean * mean)
