--- a/packages/daemon/src/martenquay_daemon/engines/model.py
+++ b/packages/daemon/src/martenquay_daemon/engines/model.py
@@ -16,7 +16,7 @@
 
 import trio
 
-__all__ = ["Estimate", "FirstEvent", "ReadingSums", "RunnerModel"]
+__all__ = ["Estimate", "FirstEvent", "PrefillSums", "RunnerModel"]
 
 # Results fade with this time; a runner that is ordered boots in a quarter of
 # it.
@@ -80,7 +80,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class ReadingSums:
+class PrefillSums:
     """What some daemons' results say of how fast engines read.
 
     The sums are taken around the means of each daemon and urgency, so they add
@@ -101,9 +101,9 @@
     spread: float = 0.0
     slowing: float = 0.0
 
-    def add(self, other: ReadingSums) -> ReadingSums:
+    def add(self, other: PrefillSums) -> PrefillSums:
         """Return the sums over both's results."""
-        return ReadingSums(
+        return PrefillSums(
             self.results + other.results,
             self.spread + other.spread,
             self.slowing + other.slowing,
@@ -154,11 +154,11 @@
         self.zx += z * x
         self.zt += z * t
 
-    def find_reading(self) -> ReadingSums:
+    def find_reading(self) -> PrefillSums:
         """Return what the results say of reading."""
         if self.count <= 0:
-            return ReadingSums()
-        return ReadingSums(
+            return PrefillSums()
+        return PrefillSums(
             self.count,
             self.zx - self.z * self.x / self.count,
             self.zt - self.z * self.t / self.count,
@@ -198,7 +198,7 @@
     def __init__(self) -> None:
         self._reads: dict[str, dict[int, _ReadSums]] = {}
         self._holds: dict[str, _HoldSums] = {}
-        self._others: dict[str, dict[str, ReadingSums]] = {}
+        self._others: dict[str, dict[str, PrefillSums]] = {}
 
     def note_first_event(self, service: str, result: FirstEvent) -> None:
         """Learn from the first event of a stream."""
@@ -226,19 +226,19 @@
         hold = self._holds.get(service, _HoldSums(now))
         hold.fade(now)
         for told in self._others.values():
-            reading = reading.add(told.get(service, ReadingSums()))
+            reading = reading.add(told.get(service, PrefillSums()))
         return Estimate(
             1 / reading.find_read_s(),
             hold.find_hold_s(),
             reading.results >= _FLOOR,
         )
 
-    def list_own(self) -> dict[str, ReadingSums]:
+    def list_own(self) -> dict[str, PrefillSums]:
         """Return what this daemon's own results say, by service."""
         return {service: self._find_own(service) for service in self._reads}
 
     def replace_source(
-        self, source: str, reading: dict[str, ReadingSums]
+        self, source: str, reading: dict[str, PrefillSums]
     ) -> None:
         """Replace what one source has told of others; empty if it is gone."""
         if reading:
@@ -250,9 +250,9 @@
         """Forget all that was told of others."""
         self._others.clear()
 
-    def _find_own(self, service: str) -> ReadingSums:
+    def _find_own(self, service: str) -> PrefillSums:
         now = trio.current_time()
-        total = ReadingSums()
+        total = PrefillSums()
         for sums in self._reads.get(service, {}).values():
             sums.fade(now)
             total = total.add(sums.find_reading())
--- a/packages/daemon/src/martenquay_daemon/fleet/messages.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/messages.py
@@ -95,7 +95,7 @@
 
     Attributes:
         results: How many first events count.
-        spread: As in `engines.model.ReadingSums`.
+        spread: As in `engines.model.PrefillSums`.
         slowing_ms: The same, with times in milliseconds.
     """
 
--- a/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
@@ -222,7 +222,7 @@
     )
 
 
-def _write_reading(sums: model.ReadingSums) -> messages.ReadingLine:
+def _write_reading(sums: model.PrefillSums) -> messages.ReadingLine:
     return messages.ReadingLine(
         round(sums.results), round(sums.spread), round(sums.slowing * _MS)
     )
@@ -230,9 +230,9 @@
 
 def _list_reading(
     lines: dict[str, messages.ReadingLine],
-) -> dict[str, model.ReadingSums]:
+) -> dict[str, model.PrefillSums]:
     return {
-        service: model.ReadingSums(
+        service: model.PrefillSums(
             line.results, line.spread, line.slowing_ms / _MS
         )
         for service, line in lines.items()
--- a/tests/placing_days.py
+++ b/tests/placing_days.py
@@ -121,7 +121,7 @@
         self.ledger = loads.LoadLedger()
         estimates = model.RunnerModel()
         spread = 100 * 2000**2
-        learnt = model.ReadingSums(100, spread, spread / _LEARNT_TOKENS_PER_S)
+        learnt = model.PrefillSums(100, spread, spread / _LEARNT_TOKENS_PER_S)
         estimates.replace_source("fleet", {"model": learnt})
         self.placer = placer.Placer(
             "a",
