--- a/bench/fleet_cost.py
+++ b/bench/fleet_cost.py
@@ -58,7 +58,7 @@
         loan=messages.LoanLine("entry-0.aabbccdd", number, 0.0025, 0, 1800),
         members_end=900,
         loads={
-            f"i-{(first + n) % runners:010x}": messages.LoadLine(2, 900)
+            f"i-{(first + n) % runners:010x}": messages.LoadEntry(2, 900)
             for n in range(_AT_ONCE)
         },
         begun={n: dict.fromkeys(teams[:5], 3) for n in range(3)},
@@ -71,7 +71,7 @@
 
 def _fill_others(table: zones.ZoneTable, runners: int) -> None:
     """Have the other zones' hubs tell of loads at all runners."""
-    loads = {f"i-{n:010x}": messages.LoadLine(3, 1200) for n in range(runners)}
+    loads = {f"i-{n:010x}": messages.LoadEntry(3, 1200) for n in range(runners)}
     for number in range(1, _ZONES):
         summary = builders.build_summary(
             zone=f"zone-{number}",
--- a/packages/daemon/src/martenquay_daemon/fleet/messages.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/messages.py
@@ -20,7 +20,7 @@
     "LoanLine",
     "LeaseNews",
     "LimitLine",
-    "LoadLine",
+    "LoadEntry",
     "RolloutOrderEntry",
     "ParcelLine",
     "PeerLine",
@@ -46,7 +46,7 @@
 NO_WINDOW = 0
 
 
-class LoadLine(msgspec.Struct, frozen=True, array_like=True):
+class LoadEntry(msgspec.Struct, frozen=True, array_like=True):
     """What a daemon has at a runner.
 
     Attributes:
@@ -267,7 +267,7 @@
     window: int
     loan: LoanLine | None
     members_end: int
-    loads: dict[str, LoadLine]
+    loads: dict[str, LoadEntry]
     begun: dict[int, dict[str, int]]
     demand: dict[str, float]
     reading: dict[str, ReadingLine]
@@ -348,7 +348,7 @@
     """
 
     summary: ZoneSummary
-    loads: dict[str, LoadLine]
+    loads: dict[str, LoadEntry]
     runner_words: RunnerWords
 
 
@@ -370,7 +370,7 @@
 
     hub: str
     zones: list[ZoneSummary]
-    loads: dict[str, LoadLine]
+    loads: dict[str, LoadEntry]
     heard: int
     number: int
     reading: dict[str, ReadingLine]
--- a/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
@@ -128,7 +128,7 @@
             loan=sources.units.create_loan(),
             members_end=members_end,
             loads={
-                runner_id: messages.LoadLine(load.requests, load.unread_tokens)
+                runner_id: messages.LoadEntry(load.requests, load.unread_tokens)
                 for runner_id, load in sources.loads.list_own().items()
             },
             begun=sources.usage.list_counts(),
@@ -207,7 +207,7 @@
 
 
 def _list_loads(
-    lines: dict[str, messages.LoadLine],
+    lines: dict[str, messages.LoadEntry],
 ) -> dict[str, loads.RunnerLoad]:
     return {
         runner_id: loads.RunnerLoad(line.requests, line.unread_tokens)
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_sum.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_sum.py
@@ -42,7 +42,7 @@
     leaving: list[str] = dataclasses.field(default_factory=list)
     lease: messages.LeaseNews | None = None
     lease_member: str = ""
-    loads: dict[str, messages.LoadLine] = dataclasses.field(
+    loads: dict[str, messages.LoadEntry] = dataclasses.field(
         default_factory=dict
     )
     begun: usage_counts.WindowCounts = dataclasses.field(default_factory=dict)
@@ -172,8 +172,8 @@
 
 
 def add_loads(
-    total: dict[str, messages.LoadLine],
-    loads: Mapping[str, messages.LoadLine],
+    total: dict[str, messages.LoadEntry],
+    loads: Mapping[str, messages.LoadEntry],
     sign: int,
 ) -> None:
     """Add loads to a sum, or take them away with a sign of -1."""
@@ -185,7 +185,7 @@
         if requests <= 0 and unread <= 0:
             total.pop(runner_id, None)
         else:
-            total[runner_id] = messages.LoadLine(requests, unread)
+            total[runner_id] = messages.LoadEntry(requests, unread)
 
 
 def add_reading(
--- a/packages/daemon/src/martenquay_daemon/fleet/zones.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zones.py
@@ -28,7 +28,7 @@
     """
 
     summary: messages.ZoneSummary
-    loads: dict[str, messages.LoadLine]
+    loads: dict[str, messages.LoadEntry]
     heard_at: float
 
 
@@ -54,7 +54,7 @@
     def take(
         self,
         summary: messages.ZoneSummary,
-        loads: dict[str, messages.LoadLine],
+        loads: dict[str, messages.LoadEntry],
         now: float,
     ) -> bool:
         """Take a summary; tell whether it is news and counts."""
--- a/tests/test_fleet/test_links.py
+++ b/tests/test_fleet/test_links.py
@@ -124,7 +124,7 @@
             runners_changed=self.directory.entries.changed_end,
             log_age_ms=int(age_s * 1000),
             capacity=self.place.capacity,
-            loads={self.name: messages.LoadLine(1, 10)},
+            loads={self.name: messages.LoadEntry(1, 10)},
             runner_words=self.runner_news.create(is_hub=False),
         )
 
--- a/tests/test_fleet/test_zone_sum.py
+++ b/tests/test_fleet/test_zone_sum.py
@@ -31,7 +31,7 @@
             "entry-1",
             1,
             0.0,
-            loads={"r-1": messages.LoadLine(2, 50)},
+            loads={"r-1": messages.LoadEntry(2, 50)},
             begun={7: {"florists": 3}},
         )
         part = self._add_up(5.0)
@@ -40,7 +40,7 @@
 
     def test_leaving_one_out_is_adding_up_the_others(self) -> None:
         fields = {
-            "loads": {"r-1": messages.LoadLine(2, 50)},
+            "loads": {"r-1": messages.LoadEntry(2, 50)},
             "begun": {7: {"florists": 3}},
             "demand": {"model": 10.0},
             "reading": {"model": messages.ReadingLine(5, 900, 40)},
