--- a/packages/daemon/src/martenquay_daemon/allowances/escrow.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/escrow.py
@@ -157,7 +157,7 @@
     def __init__(
         self,
         bounds: terms.ToleranceBounds,
-        mint_rights: rights.MintRights,
+        mint_rights: rights.RefillShares,
         notify_soon: Callable[[], None],
     ) -> None:
         """Begin without units.
@@ -484,7 +484,7 @@
 
 def create_escrow(
     bounds: terms.ToleranceBounds,
-    mint_rights: rights.MintRights,
+    mint_rights: rights.RefillShares,
     notify_soon: Callable[[], None],
 ) -> EscrowLedger:
     """Return a ledger without units."""
--- a/packages/daemon/src/martenquay_daemon/allowances/rights.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/rights.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator
 
-__all__ = ["LENT_S", "Loan", "MintRights", "OwnPart", "Span"]
+__all__ = ["LENT_S", "Loan", "RefillShares", "OwnPart", "Span"]
 
 # A part is lent for so long and lent again twice a second. It has to outlast
 # the report that the loan counts from (up to 0.8 s old) and one digest that is
@@ -102,7 +102,7 @@
     held_since: float
 
 
-class MintRights:
+class RefillShares:
     """What this daemon may mint: its own part if not lent, and borrowed ones.
 
     Attributes:
--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -381,7 +381,7 @@
         bounds = self._settings.bounds
         self._units = escrow.create_escrow(
             _find_tolerance(bounds),
-            rights.MintRights(
+            rights.RefillShares(
                 lambda: rights.OwnPart(
                     self._roster.find_own_share(), self._roster.part_since
                 ),
--- a/tests/allowance_fleet.py
+++ b/tests/allowance_fleet.py
@@ -36,10 +36,10 @@
     return allowance * (1 + BOUNDS.overrun) + BOUNDS.slack
 
 
-def build_rights(part: float = 1.0) -> rights.MintRights:
+def build_rights(part: float = 1.0) -> rights.RefillShares:
     """Return what a daemon may mint that always had a part of the rate."""
     own = rights.OwnPart(part, -math.inf)
-    return rights.MintRights(lambda: own, BOUNDS.window_s)
+    return rights.RefillShares(lambda: own, BOUNDS.window_s)
 
 
 def build_escrow(
@@ -138,7 +138,7 @@
         self._roster = roster.Roster(instance)
         self._told = send_times.SendTimes()
         self._waiting: list[_Waiting] = []
-        mint_rights = rights.MintRights(
+        mint_rights = rights.RefillShares(
             lambda: rights.OwnPart(
                 self._roster.find_own_share(), self._roster.part_since
             ),
--- a/tests/test_allowances/test_escrow.py
+++ b/tests/test_allowances/test_escrow.py
@@ -168,7 +168,7 @@
     ) -> None:
         async def scenario() -> None:
             parts = [0.5]
-            mint_rights = rights.MintRights(
+            mint_rights = rights.RefillShares(
                 lambda: rights.OwnPart(parts[0], -math.inf), _BOUNDS.window_s
             )
             units = escrow.create_escrow(_BOUNDS, mint_rights, lambda: None)
@@ -292,7 +292,7 @@
     def test_a_keeper_waits_for_parts_that_are_yet_to_be_lent(self) -> None:
         async def scenario() -> None:
             parts = [0.0]
-            mint_rights = rights.MintRights(
+            mint_rights = rights.RefillShares(
                 lambda: rights.OwnPart(parts[0], -math.inf), _BOUNDS.window_s
             )
             units = escrow.create_escrow(_BOUNDS, mint_rights, lambda: None)
--- a/tests/test_allowances/test_rights.py
+++ b/tests/test_allowances/test_rights.py
@@ -12,7 +12,7 @@
 _WINDOW_S = allowance_fleet.BOUNDS.window_s
 
 
-def _sum_spans(one: rights.MintRights, since: float = -math.inf) -> float:
+def _sum_spans(one: rights.RefillShares, since: float = -math.inf) -> float:
     """Return the seconds of the whole rate that may be minted."""
     one.advance()
     return sum(s.part * (s.end - s.start) for s in one.list_spans(since))
@@ -111,7 +111,7 @@
         async def scenario() -> None:
             sole_since = [math.inf]
             own = rights.OwnPart(0.1, -math.inf)
-            one = rights.MintRights(
+            one = rights.RefillShares(
                 lambda: own, _WINDOW_S, lambda: sole_since[0]
             )
             await trio.sleep(0.4)
@@ -121,7 +121,9 @@
             await trio.sleep(0.1)
             self.assertAlmostEqual(0.1, one.find_usable_share())
             self.assertAlmostEqual(0.01, _sum_spans(one))
-            other = rights.MintRights(lambda: own, _WINDOW_S, lambda: math.inf)
+            other = rights.RefillShares(
+                lambda: own, _WINDOW_S, lambda: math.inf
+            )
             await trio.sleep(rights.LENT_S + 0.1)
             self.assertAlmostEqual(0.1, other.find_usable_share())
 
@@ -156,7 +158,7 @@
     def test_a_larger_loan_of_before_is_told_while_it_is_good(self) -> None:
         async def scenario() -> None:
             parts = [0.2]
-            one = rights.MintRights(
+            one = rights.RefillShares(
                 lambda: rights.OwnPart(parts[0], -math.inf), _WINDOW_S
             )
             one.delegate("hub.1", 1)
--- a/tests/test_fleet/test_unit_news.py
+++ b/tests/test_fleet/test_unit_news.py
@@ -50,7 +50,7 @@
         store = catalog_store.create_store(records)
         store.offer(b"catalog", "the test")
         self.part = part
-        self.rights = rights.MintRights(
+        self.rights = rights.RefillShares(
             lambda: rights.OwnPart(self.part, 0.0), 8.0
         )
         self.units = escrow.create_escrow(
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -173,7 +173,7 @@
             state_copies.FleetState(store, directory, follower, log_contact),
             _PACE,
         )
-        self._rights = rights.MintRights(
+        self._rights = rights.RefillShares(
             lambda: rights.OwnPart(
                 self._roster.find_own_share(), self._roster.part_since
             ),
