--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -75,7 +75,7 @@
     create_units: Callable[[], messages.UnitsNote]
     take_units: Callable[[messages.UnitsNote], None]
     answer_units: Callable[
-        [messages.WantUnits, Callable[[messages.QuotaReply], None]],
+        [messages.QuotaRequest, Callable[[messages.QuotaReply], None]],
         Awaitable[None],
     ]
     find_zone_end: Callable[[str], int]
@@ -269,7 +269,7 @@
                 self._take_report(message)
             case messages.WantState():
                 reply(self._copies.create_copy(message, self._list_peers()))
-            case messages.WantUnits():
+            case messages.QuotaRequest():
                 self._answer_units(message, reply)
             case messages.QuotaReply():
                 self.quota_client.take_reply(source, message)
@@ -287,7 +287,7 @@
 
     def _answer_units(
         self,
-        want: messages.WantUnits,
+        want: messages.QuotaRequest,
         reply: Callable[[messages.FleetMessage], None],
     ) -> None:
         """Decide on units for another daemon, in a task of its own."""
--- a/packages/daemon/src/martenquay_daemon/fleet/messages.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/messages.py
@@ -34,7 +34,7 @@
     "QuotaReply",
     "QuotaVerdict",
     "WantState",
-    "WantUnits",
+    "QuotaRequest",
     "ZoneExchange",
     "ZoneSummary",
     "decode_message",
@@ -449,7 +449,7 @@
     gifts: dict[str, GiftLine]
 
 
-class WantUnits(msgspec.Struct, frozen=True, array_like=True, tag="q"):
+class QuotaRequest(msgspec.Struct, frozen=True, array_like=True, tag="q"):
     """Ask a daemon that keeps units to spend some for a request.
 
     Attributes:
@@ -483,7 +483,7 @@
 
 
 class QuotaReply(msgspec.Struct, frozen=True, array_like=True, tag="a"):
-    """Answer `WantUnits`.
+    """Answer `QuotaRequest`.
 
     Attributes:
         number: Of the question.
@@ -515,7 +515,7 @@
     | WantState
     | StateCopy
     | UnitsNote
-    | WantUnits
+    | QuotaRequest
     | QuotaReply
 )
 
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_desk.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_desk.py
@@ -166,7 +166,7 @@
         self._number += 1
         number = self._number
         asked_at = trio.current_time()
-        want = messages.WantUnits(
+        want = messages.QuotaRequest(
             number,
             team,
             wish.units,
@@ -204,7 +204,7 @@
         return keepers
 
     async def _ask_each(
-        self, keepers: list[str], one: _Ask, want: messages.WantUnits
+        self, keepers: list[str], one: _Ask, want: messages.QuotaRequest
     ) -> None:
         """Ask one keeper after the other until one answers."""
         raw = messages.encode_message(want)
@@ -232,7 +232,7 @@
             with trio.move_on_after(_LINK_S if unlinked else _LONGEST_S):
                 await one.news.wait()
 
-    async def _follow(self, one: _Ask, want: messages.WantUnits) -> None:
+    async def _follow(self, one: _Ask, want: messages.QuotaRequest) -> None:
         """Ask the daemon that a keeper has named."""
         holder, one.holder = one.holder, ""
         again = msgspec.structs.replace(want, is_redirected=True)
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
@@ -172,7 +172,7 @@
 
     async def answer(
         self,
-        want: messages.WantUnits,
+        want: messages.QuotaRequest,
         reply: Callable[[messages.QuotaReply], None],
     ) -> None:
         """Decide on a request of another daemon and reply.
--- a/tests/test_fleet/test_links.py
+++ b/tests/test_fleet/test_links.py
@@ -58,7 +58,7 @@
         self.digests: list[messages.Digest] = []
         self.subscribers: set[str] = set()
         self.notes: list[messages.UnitsNote] = []
-        self.asked: list[messages.WantUnits] = []
+        self.asked: list[messages.QuotaRequest] = []
         self.reports: list[messages.FleetReport] = []
         self.view = view.FleetView(self.name)
         self.contact = contact.LogContact()
--- a/tests/test_fleet/test_unit_news.py
+++ b/tests/test_fleet/test_unit_news.py
@@ -81,7 +81,7 @@
         self, news: unit_news.UnitNews, units: float, team: str = _TEAM.name
     ) -> list[messages.QuotaVerdict]:
         replies: list[messages.QuotaReply] = []
-        want = messages.WantUnits(7, team, units, 0, False, False)
+        want = messages.QuotaRequest(7, team, units, 0, False, False)
         await news.answer(want, replies.append)
         return [reply.verdict for reply in replies]
 
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -278,7 +278,7 @@
                     self._hear_zones(message)
             case messages.UnitsNote():
                 self._news.take_note(message)
-            case messages.WantUnits():
+            case messages.QuotaRequest():
                 self._decide(address, message)
             case messages.QuotaReply():
                 return self._hear_reply(message)
@@ -320,7 +320,7 @@
         is_late = trio.current_time() - one.asked_at > _LONGEST_S
         return 0.0 if is_late else one.units
 
-    def _decide(self, address: str, want: messages.WantUnits) -> None:
+    def _decide(self, address: str, want: messages.QuotaRequest) -> None:
         wish = terms.AdmissionRequest(want.units, want.reserve, want.is_late)
         if self._rights.find_usable_share() <= 0:
             passed = messages.QuotaVerdict.PASSED
@@ -388,7 +388,7 @@
         self, address: str, one: _Ask, *, is_redirected: bool = False
     ) -> None:
         team = allowance_fleet.TEAM.name
-        want = messages.WantUnits(
+        want = messages.QuotaRequest(
             one.number, team, one.units, 0, False, is_redirected
         )
         self._tell(address, want)
