--- a/bench/fleet_cost.py
+++ b/bench/fleet_cost.py
@@ -64,7 +64,7 @@
         begun={n: dict.fromkeys(teams[:5], 3) for n in range(3)},
         demand={"service-1": 2500.0},
         reading={
-            "service-1": messages.ReadingLine(40, 400_000_000, 24_000_000)
+            "service-1": messages.PrefillEntry(40, 400_000_000, 24_000_000)
         },
     )
 
--- a/packages/daemon/src/martenquay_daemon/fleet/messages.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/messages.py
@@ -25,7 +25,7 @@
     "ParcelLine",
     "PeerLine",
     "PoolLine",
-    "ReadingLine",
+    "PrefillEntry",
     "RunnerWords",
     "SideLine",
     "StateCopy",
@@ -90,7 +90,7 @@
 NO_WORDS = RunnerWords({}, {})
 
 
-class ReadingLine(msgspec.Struct, frozen=True, array_like=True):
+class PrefillEntry(msgspec.Struct, frozen=True, array_like=True):
     """What results say of how fast a service's engines read prompts.
 
     Attributes:
@@ -270,7 +270,7 @@
     loads: dict[str, LoadEntry]
     begun: dict[int, dict[str, int]]
     demand: dict[str, float]
-    reading: dict[str, ReadingLine]
+    reading: dict[str, PrefillEntry]
     trials: dict[str, TrialLine]
     orders: list[RolloutOrderEntry]
     runner_words: RunnerWords
@@ -324,7 +324,7 @@
     members_end: int
     begun: dict[int, dict[str, int]]
     demand: dict[str, float]
-    reading: dict[str, ReadingLine]
+    reading: dict[str, PrefillEntry]
     trials: dict[str, TrialLine]
 
 
@@ -373,7 +373,7 @@
     loads: dict[str, LoadEntry]
     heard: int
     number: int
-    reading: dict[str, ReadingLine]
+    reading: dict[str, PrefillEntry]
     orders: list[RolloutOrderEntry]
     runner_words: RunnerWords
 
--- a/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
@@ -222,14 +222,14 @@
     )
 
 
-def _write_reading(sums: model.PrefillSums) -> messages.ReadingLine:
-    return messages.ReadingLine(
+def _write_reading(sums: model.PrefillSums) -> messages.PrefillEntry:
+    return messages.PrefillEntry(
         round(sums.results), round(sums.spread), round(sums.slowing * _MS)
     )
 
 
 def _list_reading(
-    lines: dict[str, messages.ReadingLine],
+    lines: dict[str, messages.PrefillEntry],
 ) -> dict[str, model.PrefillSums]:
     return {
         service: model.PrefillSums(
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_sum.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_sum.py
@@ -47,7 +47,7 @@
     )
     begun: usage_counts.WindowCounts = dataclasses.field(default_factory=dict)
     demand: dict[str, float] = dataclasses.field(default_factory=dict)
-    reading: dict[str, messages.ReadingLine] = dataclasses.field(
+    reading: dict[str, messages.PrefillEntry] = dataclasses.field(
         default_factory=dict
     )
     trials: dict[str, tallies.Trial] = dataclasses.field(default_factory=dict)
@@ -189,14 +189,14 @@
 
 
 def add_reading(
-    total: dict[str, messages.ReadingLine],
-    reading: Mapping[str, messages.ReadingLine],
+    total: dict[str, messages.PrefillEntry],
+    reading: Mapping[str, messages.PrefillEntry],
     sign: int,
 ) -> None:
     """Add what results say to a sum, or take it away with a sign of -1."""
     for service, line in reading.items():
-        known = total.get(service, messages.ReadingLine(0, 0, 0))
-        total[service] = messages.ReadingLine(
+        known = total.get(service, messages.PrefillEntry(0, 0, 0))
+        total[service] = messages.PrefillEntry(
             known.results + sign * line.results,
             known.spread + sign * line.spread,
             known.slowing_ms + sign * line.slowing_ms,
--- a/tests/test_fleet/test_zone_sum.py
+++ b/tests/test_fleet/test_zone_sum.py
@@ -43,7 +43,7 @@
             "loads": {"r-1": messages.LoadEntry(2, 50)},
             "begun": {7: {"florists": 3}},
             "demand": {"model": 10.0},
-            "reading": {"model": messages.ReadingLine(5, 900, 40)},
+            "reading": {"model": messages.PrefillEntry(5, 900, 40)},
         }
         self._take("entry-1", 1, 0.0, **fields, window=8)
         others = self._add_up(0.0)
