--- a/packages/daemon/src/martenquay_daemon/duties/lease.py
+++ b/packages/daemon/src/martenquay_daemon/duties/lease.py
@@ -98,17 +98,21 @@
         is_free = not self.fence and self._told_free_at <= trio.current_time()
         return is_free and not self._is_stopping and self._find_rank() == 0
 
-    def create_news(self) -> messages.LeaseNews | None:
+    def create_news(self) -> messages.LeaseStatus | None:
         """Return what to tell candidates; None if it is not held here."""
         if not self.is_held():
             return None
         left_s = self._valid_until - trio.current_time()
-        return messages.LeaseNews(
+        return messages.LeaseStatus(
             self.fence, self._valid_end, int(left_s * _MS)
         )
 
     def apply_status(
-        self, member: str, news: messages.LeaseNews | None, *, is_leaving: bool
+        self,
+        member: str,
+        news: messages.LeaseStatus | None,
+        *,
+        is_leaving: bool,
     ) -> None:
         """Take what another daemon tells of the lease."""
         if news is None:
--- a/packages/daemon/src/martenquay_daemon/fleet/messages.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/messages.py
@@ -18,7 +18,7 @@
     "FleetReport",
     "GiftLine",
     "LoanLine",
-    "LeaseNews",
+    "LeaseStatus",
     "LimitLine",
     "LoadEntry",
     "RolloutOrderEntry",
@@ -150,7 +150,7 @@
     routes: dict[str, tuple[SideLine, SideLine]]
 
 
-class LeaseNews(msgspec.Struct, frozen=True, array_like=True):
+class LeaseStatus(msgspec.Struct, frozen=True, array_like=True):
     """What the holder of the duties' lease tells candidates.
 
     Attributes:
@@ -263,7 +263,7 @@
     log_age_ms: int
     capacity: float
     is_leaving: bool
-    lease: LeaseNews | None
+    lease: LeaseStatus | None
     window: int
     loan: LoanLine | None
     members_end: int
@@ -317,7 +317,7 @@
     runners_changed: int
     runners_age_ms: int
     log_age_ms: int
-    lease: LeaseNews | None
+    lease: LeaseStatus | None
     lease_member: str
     leaving: list[str]
     window: int
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_sum.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_sum.py
@@ -40,7 +40,7 @@
     daemons: int = 0
     window: int | None = None
     leaving: list[str] = dataclasses.field(default_factory=list)
-    lease: messages.LeaseNews | None = None
+    lease: messages.LeaseStatus | None = None
     lease_member: str = ""
     loads: dict[str, messages.LoadEntry] = dataclasses.field(
         default_factory=dict
@@ -209,8 +209,10 @@
     )
 
 
-def _age(news: messages.LeaseNews, age_s: float) -> messages.LeaseNews | None:
+def _age(
+    news: messages.LeaseStatus, age_s: float
+) -> messages.LeaseStatus | None:
     left_ms = news.left_ms - int(age_s * _MS)
     if left_ms <= 0:
         return None
-    return messages.LeaseNews(news.fence, news.end, left_ms)
+    return messages.LeaseStatus(news.fence, news.end, left_ms)
--- a/tests/test_duties/test_lease.py
+++ b/tests/test_duties/test_lease.py
@@ -206,7 +206,7 @@
             store = log.MemoryLog()
             first, _ = self._create(store, "entry-1")
             async with _hold(first):
-                news = messages.LeaseNews(first.fence, 40, 2000)
+                news = messages.LeaseStatus(first.fence, 40, 2000)
                 first.apply_status("entry-9.aa", news, is_leaving=False)
                 await trio.sleep(10.0)
                 self.assertTrue(first.is_held())
--- a/tests/test_fleet/test_usage_handover.py
+++ b/tests/test_fleet/test_usage_handover.py
@@ -27,7 +27,7 @@
         reporter = hub.ZoneHub(zones.ZoneTable())
         fields = {"window": _WINDOW + 1, "begun": {_WINDOW: {"florists": 9}}}
         reporter.take_own(builders.build_digest(**fields), now)
-        lease = messages.LeaseNews(1, 1, 3000) if to_holder else None
+        lease = messages.LeaseStatus(1, 1, 3000) if to_holder else None
         listener = builders.build_digest(
             member="entry-3.aa",
             instance="entry-3",
--- a/tests/test_fleet/test_zone_sum.py
+++ b/tests/test_fleet/test_zone_sum.py
@@ -61,8 +61,8 @@
         self.assertEqual(1, self._add_up(0.2).daemons)
 
     def test_what_is_left_of_the_lease_grows_less_on_the_way(self) -> None:
-        news = messages.LeaseNews(4, 9, 2000)
+        news = messages.LeaseStatus(4, 9, 2000)
         self._take("entry-1", 1, 0.0, lease=news)
         part = self._add_up(0.5)
-        self.assertEqual(messages.LeaseNews(4, 9, 1500), part.lease)
+        self.assertEqual(messages.LeaseStatus(4, 9, 1500), part.lease)
         self.assertEqual("entry-1.aa", part.lease_member)
