--- a/packages/daemon/src/martenquay_daemon/fleet/roster.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/roster.py
@@ -96,7 +96,7 @@
             self.removed.set()
             self.removed = trio.Event()
 
-    def note_told(self, instance: str, end: int) -> None:
+    def note_read_end(self, instance: str, end: int) -> None:
         """Note how far another daemon has read the announcements."""
         self._told[instance] = max(end, self._told.get(instance, 0))
         self._heard_at[instance] = trio.current_time()
--- a/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
@@ -159,7 +159,7 @@
             digest.member, trial_lines.read_trials(digest.trials)
         )
         self._take_orders(digest.orders)
-        sources.listed.note_told(digest.instance, digest.members_end)
+        sources.listed.note_read_end(digest.instance, digest.members_end)
 
     def take_report(self, report: messages.FleetReport) -> None:
         """Spread what a hub of a large fleet tells."""
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
@@ -121,7 +121,7 @@
             reported_at: When the report was sent that its loan names, in
                 trio's time; None if it names none of the last ones.
         """
-        self._roster.note_told(digest.instance, digest.members_end)
+        self._roster.note_read_end(digest.instance, digest.members_end)
         mint_rights = self._units.rights
         mint_rights.end_loans_of_others(digest.instance, digest.member)
         line = digest.loan
--- a/tests/allowance_fleet.py
+++ b/tests/allowance_fleet.py
@@ -215,7 +215,7 @@
         if news.number <= self._heard.get(news.member, 0):
             return
         self._heard[news.member] = news.number
-        self._roster.note_told(news.instance, news.members_end)
+        self._roster.note_read_end(news.instance, news.members_end)
         self._units.apply_balances(news.member, news.number, news.holdings)
         gift = news.gifts.get(self.member)
         told_at = self._told.find(gift.heard) if gift is not None else None
--- a/tests/test_backpressure/test_send_order.py
+++ b/tests/test_backpressure/test_send_order.py
@@ -42,7 +42,7 @@
             known.note_listed("entry-9", 9, is_counted=False, zone="b")
             self.assertEqual(4, order.find_place(_RUNNER).rank)
             for name in _ZONES:
-                known.note_told(name, 10)
+                known.note_read_end(name, 10)
             self.assertLess(order.find_place(_RUNNER).rank, 3)
 
         self.run_clocked(scenario)
--- a/tests/test_fleet/test_announcements.py
+++ b/tests/test_fleet/test_announcements.py
@@ -82,7 +82,7 @@
                 name = f"entry-{number}"
                 self.roster.note_listed(name, number, is_counted=True)
             await trio.sleep(550.0)
-            self.roster.note_told("entry-2", 3)
+            self.roster.note_read_end("entry-2", 3)
             await trio.sleep(100.0)
             await remover.remove_silent()
             last = self.log.list_payloads(_TOPIC)[-1]
--- a/tests/test_fleet/test_roster.py
+++ b/tests/test_fleet/test_roster.py
@@ -54,8 +54,8 @@
         self.assertAlmostEqual(1 / 3, one.find_own_share())
         # A hub tells the least of what its zone's daemons have told.
         self.assertEqual(0, one.find_zone_end("y", 3))
-        one.note_told("b", 3)
-        one.note_told("c", 2)
+        one.note_read_end("b", 3)
+        one.note_read_end("c", 2)
         self.assertEqual(2, one.find_zone_end("y", 3))
         self.assertEqual(3, one.find_zone_end("x", 3))
 
@@ -73,11 +73,11 @@
     ) -> None:
         one = roster.Roster("c")
         _read(one, "abc", counted="ab")
-        one.note_told("a", 3)
+        one.note_read_end("a", 3)
         self.assertEqual(0.0, one.find_own_share())
-        one.note_told("b", 2)
+        one.note_read_end("b", 2)
         self.assertEqual(0.0, one.find_own_share())
-        one.note_told("b", 3)
+        one.note_read_end("b", 3)
         self.assertAlmostEqual(1 / 3, one.find_own_share())
         self.assertTrue(one.counted.is_set())
 
@@ -91,8 +91,8 @@
     def test_older_news_of_another_daemon_take_nothing_back(self) -> None:
         one = roster.Roster("b")
         _read(one, "ab", counted="a")
-        one.note_told("a", 2)
-        one.note_told("a", 1)
+        one.note_read_end("a", 2)
+        one.note_read_end("a", 1)
         self.assertAlmostEqual(0.5, one.find_own_share())
 
     @_in_trio
@@ -125,7 +125,7 @@
                 )
                 read[name] += 1
             for one in daemons.values():
-                one.note_told(name, read[name])
+                one.note_read_end(name, read[name])
             total = sum(one.find_own_share() for one in daemons.values())
             self.assertLessEqual(total, 1.0 + 1e-9)
         self.assertAlmostEqual(1.0, total)
