--- a/packages/daemon/src/martenquay_daemon/allowances/escrow.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/escrow.py
@@ -124,7 +124,7 @@
     """
 
     pace: _Pace
-    pile: tokens.TokenPile
+    pile: tokens.QuotaBucket
     minted_at: float
     asked: float = 0.0
     asked_at: float = 0.0
@@ -440,7 +440,7 @@
         if account is None:
             pace = self._find_pace(team)
             account = _Account(
-                pace, tokens.TokenPile(pace.life_s), self._started_at
+                pace, tokens.QuotaBucket(pace.life_s), self._started_at
             )
             self._accounts[team.name] = account
         elif account.pace.team is not team or account.pace.bounds is not (
--- a/packages/daemon/src/martenquay_daemon/allowances/tokens.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/tokens.py
@@ -6,7 +6,7 @@
 import dataclasses
 import math
 
-__all__ = ["Parcel", "TokenPile"]
+__all__ = ["Parcel", "QuotaBucket"]
 
 # A unit's lifetime is counted in so many steps; one step is by how much a unit
 # may end too soon, never too late.
@@ -26,7 +26,7 @@
     ends_at: float
 
 
-class TokenPile:
+class QuotaBucket:
     """Units of one team at one daemon, and what it owes.
 
     Attributes:
@@ -73,9 +73,9 @@
             self._put(step, left)
         return parcel.units
 
-    def change_life(self, now: float, life_s: float) -> TokenPile:
+    def change_life(self, now: float, life_s: float) -> QuotaBucket:
         """Return a pile with the same units, none of which lives longer."""
-        pile = TokenPile(life_s)
+        pile = QuotaBucket(life_s)
         for step, units in self._steps.items():
             ends_at = min(step * self._step_s, now + life_s)
             pile.add(now, Parcel(units, ends_at))
