--- a/packages/daemon/src/martenquay_daemon/backpressure/limit_words.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/limit_words.py
@@ -9,7 +9,7 @@
 
 import dataclasses
 
-__all__ = ["LimitReport", "choose_later_end", "fold_told", "fold_word"]
+__all__ = ["LimitReport", "choose_later_end", "fold_told", "merge_report"]
 
 # A word that comes back from the daemons that were told it seems younger by
 # the time of its way; taken for a new one it would never grow old.
@@ -37,7 +37,7 @@
     heard_at: float
 
 
-def fold_word(
+def merge_report(
     known: LimitReport | None, word: LimitReport
 ) -> LimitReport | None:
     """Return the newest word of a runner; None if no limit was ever named."""
@@ -82,7 +82,7 @@
     ):
         return known
     told = dataclasses.replace(word, sent_at=word.sent_at - _WAY_S)
-    newest = fold_word(known, told)
+    newest = merge_report(known, told)
     # It is handed on as it was heard, or each hub would make it older.
     return word if newest is told else newest
 
--- a/packages/daemon/src/martenquay_daemon/backpressure/runner_limits.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/runner_limits.py
@@ -104,7 +104,7 @@
             told.limit_per_s, runner.born_ms, sent_at, trio.current_time()
         )
         known = self._find_word(runner.id)
-        folded = limit_words.fold_word(known, word)
+        folded = limit_words.merge_report(known, word)
         if self._keep(runner.id, known, folded, is_own=True):
             self.notify_soon()
 
