--- a/packages/daemon/src/martenquay_daemon/allowances/rights.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/rights.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator
 
-__all__ = ["LENT_S", "Loan", "RefillShares", "OwnPart", "Span"]
+__all__ = ["LENT_S", "Loan", "RefillShares", "RateShare", "Span"]
 
 # A part is lent for so long and lent again twice a second. It has to outlast
 # the report that the loan counts from (up to 0.8 s old) and one digest that is
@@ -31,7 +31,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class OwnPart:
+class RateShare:
     """The part of an instance.
 
     Attributes:
@@ -111,7 +111,7 @@
 
     def __init__(
         self,
-        find_own: Callable[[], OwnPart],
+        find_own: Callable[[], RateShare],
         window_s: float,
         find_sole_since: Callable[[], float] = lambda: -math.inf,
     ) -> None:
@@ -272,7 +272,7 @@
         """Return how many instances lend to this daemon now."""
         return sum(1 for _ in self._list_active(trio.current_time()))
 
-    def _get_own(self) -> OwnPart:
+    def _get_own(self) -> RateShare:
         own = self._find_own()
         if own.part > 0:
             # Before the log has told of other daemons, it is not known
--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -382,7 +382,7 @@
         self._units = escrow.create_escrow(
             _find_tolerance(bounds),
             rights.RefillShares(
-                lambda: rights.OwnPart(
+                lambda: rights.RateShare(
                     self._roster.find_own_share(), self._roster.part_since
                 ),
                 bounds.allowance_window_s,
--- a/tests/allowance_fleet.py
+++ b/tests/allowance_fleet.py
@@ -38,7 +38,7 @@
 
 def build_rights(part: float = 1.0) -> rights.RefillShares:
     """Return what a daemon may mint that always had a part of the rate."""
-    own = rights.OwnPart(part, -math.inf)
+    own = rights.RateShare(part, -math.inf)
     return rights.RefillShares(lambda: own, BOUNDS.window_s)
 
 
@@ -139,7 +139,7 @@
         self._told = send_times.SendTimes()
         self._waiting: list[_Waiting] = []
         mint_rights = rights.RefillShares(
-            lambda: rights.OwnPart(
+            lambda: rights.RateShare(
                 self._roster.find_own_share(), self._roster.part_since
             ),
             BOUNDS.window_s,
--- a/tests/test_allowances/test_escrow.py
+++ b/tests/test_allowances/test_escrow.py
@@ -169,7 +169,7 @@
         async def scenario() -> None:
             parts = [0.5]
             mint_rights = rights.RefillShares(
-                lambda: rights.OwnPart(parts[0], -math.inf), _BOUNDS.window_s
+                lambda: rights.RateShare(parts[0], -math.inf), _BOUNDS.window_s
             )
             units = escrow.create_escrow(_BOUNDS, mint_rights, lambda: None)
             units.refill([_TEAM])
@@ -293,7 +293,7 @@
         async def scenario() -> None:
             parts = [0.0]
             mint_rights = rights.RefillShares(
-                lambda: rights.OwnPart(parts[0], -math.inf), _BOUNDS.window_s
+                lambda: rights.RateShare(parts[0], -math.inf), _BOUNDS.window_s
             )
             units = escrow.create_escrow(_BOUNDS, mint_rights, lambda: None)
             units.refill([_TEAM])
--- a/tests/test_allowances/test_rights.py
+++ b/tests/test_allowances/test_rights.py
@@ -110,7 +110,7 @@
     ) -> None:
         async def scenario() -> None:
             sole_since = [math.inf]
-            own = rights.OwnPart(0.1, -math.inf)
+            own = rights.RateShare(0.1, -math.inf)
             one = rights.RefillShares(
                 lambda: own, _WINDOW_S, lambda: sole_since[0]
             )
@@ -159,7 +159,7 @@
         async def scenario() -> None:
             parts = [0.2]
             one = rights.RefillShares(
-                lambda: rights.OwnPart(parts[0], -math.inf), _WINDOW_S
+                lambda: rights.RateShare(parts[0], -math.inf), _WINDOW_S
             )
             one.delegate("hub.1", 1)
             parts[0] = 0.1
--- a/tests/test_fleet/test_unit_news.py
+++ b/tests/test_fleet/test_unit_news.py
@@ -51,7 +51,7 @@
         store.offer(b"catalog", "the test")
         self.part = part
         self.rights = rights.RefillShares(
-            lambda: rights.OwnPart(self.part, 0.0), 8.0
+            lambda: rights.RateShare(self.part, 0.0), 8.0
         )
         self.units = escrow.create_escrow(
             allowance_fleet.BOUNDS, self.rights, lambda: None
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -174,7 +174,7 @@
             _PACE,
         )
         self._rights = rights.RefillShares(
-            lambda: rights.OwnPart(
+            lambda: rights.RateShare(
                 self._roster.find_own_share(), self._roster.part_since
             ),
             allowance_fleet.BOUNDS.window_s,
