--- a/packages/daemon/src/martenquay_daemon/fleet/hub.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/hub.py
@@ -37,7 +37,7 @@
     runners_age_ms: int
     log_age_ms: int
     members_end: int
-    runner_words: messages.RunnerWords
+    runner_words: messages.RunnerReports
 
 
 @dataclasses.dataclass
--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -332,11 +332,11 @@
         if self.listeners is not None:
             self.listeners.take_report(report)
 
-    def _take_runner_words(self, words: messages.RunnerWords) -> None:
+    def _take_runner_words(self, words: messages.RunnerReports) -> None:
         if self.listeners is not None:
             self.listeners.runner_news.take(words)
 
-    def _create_runner_words(self) -> messages.RunnerWords:
+    def _create_runner_words(self) -> messages.RunnerReports:
         if self.listeners is None:
             return messages.NO_WORDS
         return self.listeners.runner_news.create(is_hub=True)
--- a/packages/daemon/src/martenquay_daemon/fleet/messages.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/messages.py
@@ -26,7 +26,7 @@
     "PeerLine",
     "PoolLine",
     "PrefillEntry",
-    "RunnerWords",
+    "RunnerReports",
     "SideLine",
     "StateCopy",
     "TrialLine",
@@ -74,7 +74,7 @@
     heard_ms: int
 
 
-class RunnerWords(msgspec.Struct, frozen=True, array_like=True):
+class RunnerReports(msgspec.Struct, frozen=True, array_like=True):
     """What runners have said of themselves in answers.
 
     Attributes:
@@ -87,7 +87,7 @@
 
 
 # What runners that are well say.
-NO_WORDS = RunnerWords({}, {})
+NO_WORDS = RunnerReports({}, {})
 
 
 class PrefillEntry(msgspec.Struct, frozen=True, array_like=True):
@@ -273,7 +273,7 @@
     reading: dict[str, PrefillEntry]
     trials: dict[str, TrialLine]
     orders: list[RolloutOrderEntry]
-    runner_words: RunnerWords
+    runner_words: RunnerReports
 
 
 class ZoneSummary(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
@@ -349,7 +349,7 @@
 
     summary: ZoneSummary
     loads: dict[str, LoadEntry]
-    runner_words: RunnerWords
+    runner_words: RunnerReports
 
 
 class FleetReport(msgspec.Struct, frozen=True, array_like=True, tag="r"):
@@ -375,7 +375,7 @@
     number: int
     reading: dict[str, PrefillEntry]
     orders: list[RolloutOrderEntry]
-    runner_words: RunnerWords
+    runner_words: RunnerReports
 
 
 class PeerLine(msgspec.Struct, frozen=True, array_like=True):
--- a/packages/daemon/src/martenquay_daemon/fleet/runner_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/runner_news.py
@@ -33,18 +33,18 @@
         self._limits = limits
         self._leaving = leaving
 
-    def take(self, words: messages.RunnerWords) -> None:
+    def take(self, words: messages.RunnerReports) -> None:
         """Take what another daemon tells."""
         self._limits.take_told(_read_words(words.limits))
         self._leaving.take_told(words.leaving)
 
-    def create(self, *, is_hub: bool) -> messages.RunnerWords:
+    def create(self, *, is_hub: bool) -> messages.RunnerReports:
         """Return what to tell, as old as it is now."""
         limits = self._limits.list_recent_reports(is_relayed=is_hub)
         leaving = self._leaving.list_recent_reports()
         if not limits and not leaving:
             return messages.NO_WORDS
-        return messages.RunnerWords(_write_words(limits), leaving)
+        return messages.RunnerReports(_write_words(limits), leaving)
 
 
 def _write_words(
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
@@ -99,8 +99,8 @@
     ) -> None:
         self.is_hub = False
         self.find_members_end: Callable[[], int] = lambda: 0
-        self.create_runner_words: Callable[[], messages.RunnerWords] = lambda: (
-            messages.NO_WORDS
+        self.create_runner_words: Callable[[], messages.RunnerReports] = (
+            lambda: messages.NO_WORDS
         )
         self.report_s = zone_pace.report_s
         self._is_first = False
