--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -72,8 +72,8 @@
     take_report: Callable[[messages.FleetReport], None]
     change_mode: Callable[[], None]
     take_subscriber: Callable[[messages.Digest, float | None], None]
-    create_units: Callable[[], messages.UnitsNote]
-    take_units: Callable[[messages.UnitsNote], None]
+    create_units: Callable[[], messages.QuotaUpdate]
+    take_units: Callable[[messages.QuotaUpdate], None]
     answer_units: Callable[
         [messages.QuotaRequest, Callable[[messages.QuotaReply], None]],
         Awaitable[None],
@@ -273,7 +273,7 @@
                 self._answer_units(message, reply)
             case messages.QuotaReply():
                 self.quota_client.take_reply(source, message)
-            case messages.UnitsNote():
+            case messages.QuotaUpdate():
                 if self.listeners is not None:
                     self.listeners.take_units(message)
             case messages.StateCopy():
--- a/packages/daemon/src/martenquay_daemon/fleet/messages.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/messages.py
@@ -30,7 +30,7 @@
     "SideLine",
     "StateCopy",
     "TrialLine",
-    "UnitsNote",
+    "QuotaUpdate",
     "QuotaReply",
     "QuotaVerdict",
     "WantState",
@@ -431,7 +431,7 @@
     number: int
 
 
-class UnitsNote(msgspec.Struct, frozen=True, array_like=True, tag="u"):
+class QuotaUpdate(msgspec.Struct, frozen=True, array_like=True, tag="u"):
     """Tell another daemon that keeps units of one's own.
 
     Attributes:
@@ -514,7 +514,7 @@
     | FleetReport
     | WantState
     | StateCopy
-    | UnitsNote
+    | QuotaUpdate
     | QuotaRequest
     | QuotaReply
 )
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
@@ -54,14 +54,14 @@
         self._told_end = 0
         self._lacking_since = math.inf
 
-    def create_note(self) -> messages.UnitsNote:
+    def create_note(self) -> messages.QuotaUpdate:
         """Return what to tell others that keep units."""
         self._number += 1
         self._told.note(self._number)
         teams = self._store.table.catalog.teams
         self._units.refill(teams)
         gifts = self._units.create_transfers(teams)
-        return messages.UnitsNote(
+        return messages.QuotaUpdate(
             self._member,
             self._links.address,
             self._number,
@@ -69,7 +69,7 @@
             {member: _tell_gift(gift) for member, gift in gifts.items()},
         )
 
-    def take_note(self, note: messages.UnitsNote) -> None:
+    def take_note(self, note: messages.QuotaUpdate) -> None:
         """Take what another daemon says of its units and hands over."""
         holdings = {
             team: sharing.QuotaBalance(
--- a/tests/test_fleet/test_links.py
+++ b/tests/test_fleet/test_links.py
@@ -57,7 +57,7 @@
         self.number = 0
         self.digests: list[messages.Digest] = []
         self.subscribers: set[str] = set()
-        self.notes: list[messages.UnitsNote] = []
+        self.notes: list[messages.QuotaUpdate] = []
         self.asked: list[messages.QuotaRequest] = []
         self.reports: list[messages.FleetReport] = []
         self.view = view.FleetView(self.name)
@@ -99,8 +99,8 @@
         """Return where others reach it."""
         return dataclasses.replace(self.place, address=self.links.address)
 
-    def _create_units(self) -> messages.UnitsNote:
-        return messages.UnitsNote(
+    def _create_units(self) -> messages.QuotaUpdate:
+        return messages.QuotaUpdate(
             f"{self.name}.aa", self.links.address, self.number, {}, {}
         )
 
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -276,7 +276,7 @@
             case messages.FleetReport():
                 if self._zone.take_report(message):
                     self._hear_zones(message)
-            case messages.UnitsNote():
+            case messages.QuotaUpdate():
                 self._news.take_note(message)
             case messages.QuotaRequest():
                 self._decide(address, message)
