--- a/packages/daemon/src/martenquay_daemon/backpressure/leaving_words.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/leaving_words.py
@@ -20,7 +20,7 @@
 
     from martenquay_core.serving import runners
 
-__all__ = ["LeavingWords"]
+__all__ = ["DrainReports"]
 
 _LOG = logs.create_log("backpressure")
 # Long after a runner that leaves has ended; its id may have another process
@@ -40,7 +40,7 @@
     heard_at: float
 
 
-class LeavingWords:
+class DrainReports:
     """Runners that leave, by id.
 
     Attributes:
--- a/packages/daemon/src/martenquay_daemon/backpressure/parts.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/parts.py
@@ -32,14 +32,14 @@
     """
 
     limits: runner_limits.RunnerLimits
-    leaving: leaving_words.LeavingWords
+    leaving: leaving_words.DrainReports
     gate: runner_gate.RunnerGate
 
 
 def create_backpressure(
     instance: str,
     known: roster.Roster,
-    leaving: leaving_words.LeavingWords,
+    leaving: leaving_words.DrainReports,
     observe: Callable[[str, str], None],
     notify_soon: Callable[[], None],
 ) -> Backpressure:
--- a/packages/daemon/src/martenquay_daemon/backpressure/runner_gate.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/runner_gate.py
@@ -52,7 +52,7 @@
     def __init__(
         self,
         limits: runner_limits.RunnerLimits,
-        leaving: leaving_words.LeavingWords,
+        leaving: leaving_words.DrainReports,
         asked_rests: rests.RunnerBackoffs,
     ) -> None:
         self._limits = limits
--- a/packages/daemon/src/martenquay_daemon/discovery/runner_directory.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/runner_directory.py
@@ -46,7 +46,7 @@
     def __init__(
         self, codec: ports.PlatformCodec, log_contact: contact.LogContact
     ) -> None:
-        self.leaving = leaving_words.LeavingWords()
+        self.leaving = leaving_words.DrainReports()
         self.entries = runner_entries.RunnerEntries(codec)
         self.on_restart: Callable[[str], None] = _ignore
         self.on_unusable: Callable[[str], None] = _ignore
--- a/packages/daemon/src/martenquay_daemon/fleet/runner_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/runner_news.py
@@ -28,7 +28,7 @@
     def __init__(
         self,
         limits: runner_limits.RunnerLimits,
-        leaving: leaving_words.LeavingWords,
+        leaving: leaving_words.DrainReports,
     ) -> None:
         self._limits = limits
         self._leaving = leaving
--- a/tests/serving_builders.py
+++ b/tests/serving_builders.py
@@ -137,7 +137,7 @@
     """Return what a daemon that is alone has been told of runners: nothing."""
     return runner_gate.RunnerGate(
         build_runner_limits(),
-        leaving_words.LeavingWords(),
+        leaving_words.DrainReports(),
         rests.RunnerBackoffs(),
     )
 
