--- a/bench/fleet_cost.py
+++ b/bench/fleet_cost.py
@@ -24,7 +24,7 @@
 _RUNNERS = {8: 9, 80: 45, 400: 790}
 _AT_ONCE = 6
 _SILENT_S = 2.0
-_FACTS = hub.HubFacts(3, 900, 120, 40, 12, messages.NO_WORDS)
+_FACTS = hub.HubFacts(3, 900, 120, 40, 12, messages.NO_RUNNER_REPORTS)
 
 
 @dataclasses.dataclass(frozen=True)
--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -338,7 +338,7 @@
 
     def _create_runner_words(self) -> messages.RunnerReports:
         if self.listeners is None:
-            return messages.NO_WORDS
+            return messages.NO_RUNNER_REPORTS
         return self.listeners.runner_news.create(is_hub=True)
 
     def _find_zone_end(self) -> int:
--- a/packages/daemon/src/martenquay_daemon/fleet/messages.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/messages.py
@@ -11,7 +11,7 @@
 
 __all__ = [
     "NO_WINDOW",
-    "NO_WORDS",
+    "NO_RUNNER_REPORTS",
     "Digest",
     "DigestNote",
     "FleetMessage",
@@ -87,7 +87,7 @@
 
 
 # What runners that are well say.
-NO_WORDS = RunnerReports({}, {})
+NO_RUNNER_REPORTS = RunnerReports({}, {})
 
 
 class PrefillEntry(msgspec.Struct, frozen=True, array_like=True):
--- a/packages/daemon/src/martenquay_daemon/fleet/runner_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/runner_news.py
@@ -43,7 +43,7 @@
         limits = self._limits.list_recent_reports(is_relayed=is_hub)
         leaving = self._leaving.list_recent_reports()
         if not limits and not leaving:
-            return messages.NO_WORDS
+            return messages.NO_RUNNER_REPORTS
         return messages.RunnerReports(_write_words(limits), leaving)
 
 
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
@@ -100,7 +100,7 @@
         self.is_hub = False
         self.find_members_end: Callable[[], int] = lambda: 0
         self.create_runner_words: Callable[[], messages.RunnerReports] = (
-            lambda: messages.NO_WORDS
+            lambda: messages.NO_RUNNER_REPORTS
         )
         self.report_s = zone_pace.report_s
         self._is_first = False
--- a/tests/test_fleet/test_order_copies.py
+++ b/tests/test_fleet/test_order_copies.py
@@ -8,7 +8,7 @@
 from tests import clocked
 from tests import serving_builders as builders
 
-_FACTS = hub.HubFacts(3, 0, 0, 0, 0, messages.NO_WORDS)
+_FACTS = hub.HubFacts(3, 0, 0, 0, 0, messages.NO_RUNNER_REPORTS)
 _SILENT_S = 2.0
 _ORDER = messages.RolloutOrderEntry("model", "v2", 12.0, 7)
 
--- a/tests/test_fleet/test_usage_handover.py
+++ b/tests/test_fleet/test_usage_handover.py
@@ -16,7 +16,7 @@
 from tests import serving_builders as builders
 
 _WINDOW = 7
-_FACTS = hub.HubFacts(3, 0, 0, 0, 0, messages.NO_WORDS)
+_FACTS = hub.HubFacts(3, 0, 0, 0, 0, messages.NO_RUNNER_REPORTS)
 _SILENT_S = 2.0
 
 
--- a/tests/test_fleet/test_zone_mode.py
+++ b/tests/test_fleet/test_zone_mode.py
@@ -71,7 +71,7 @@
                 number,
                 {},
                 [],
-                messages.NO_WORDS,
+                messages.NO_RUNNER_REPORTS,
             )
         )
 
@@ -89,7 +89,14 @@
                 zone="a", address=_FIRST.address, runners_age_ms=600
             )
             report = messages.FleetReport(
-                "entry-1.aa", [summary], {}, 7, 1, {}, [], messages.NO_WORDS
+                "entry-1.aa",
+                [summary],
+                {},
+                7,
+                1,
+                {},
+                [],
+                messages.NO_RUNNER_REPORTS,
             )
             one.take_report(report)
             # However late the report is, it was made after that digest.
@@ -107,7 +114,14 @@
                 zone="a", address=_FIRST.address, runners_changed=40
             )
             report = messages.FleetReport(
-                "entry-1.aa", [summary], {}, 7, 1, {}, [], messages.NO_WORDS
+                "entry-1.aa",
+                [summary],
+                {},
+                7,
+                1,
+                {},
+                [],
+                messages.NO_RUNNER_REPORTS,
             )
             one.take_report(report)
             self.assertEqual(math.inf, self.follower.copy_age.age_s)
