--- a/packages/daemon/src/martenquay_daemon/fleet/hub.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/hub.py
@@ -29,7 +29,7 @@
         log_age_ms: Since the log last answered.
         members_end: Up to where all of the zone's listed daemons have read
             who announced themselves.
-        runner_words: What is known here of what runners say of themselves.
+        runner_reports: What is known here of what runners say of themselves.
     """
 
     catalog_version: int
@@ -37,7 +37,7 @@
     runners_age_ms: int
     log_age_ms: int
     members_end: int
-    runner_words: messages.RunnerReports
+    runner_reports: messages.RunnerReports
 
 
 @dataclasses.dataclass
@@ -91,7 +91,7 @@
         """Return what to tell the hubs of other zones."""
         part = self._sum.add_up(now, silent_s)
         return messages.ZoneExchange(
-            self._summarize(part, facts), part.loads, facts.runner_words
+            self._summarize(part, facts), part.loads, facts.runner_reports
         )
 
     def create_reports(
@@ -145,7 +145,7 @@
             self._rounds,
             reading,
             self._own.orders,
-            facts.runner_words,
+            facts.runner_reports,
         )
 
     def _summarize(
--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -263,7 +263,7 @@
             case messages.DigestNote(digest=digest):
                 self._take_digest(digest)
             case messages.ZoneExchange():
-                self._take_runner_words(message.runner_words)
+                self._take_runner_words(message.runner_reports)
                 self._zone.take_exchange(message)
             case messages.FleetReport():
                 self._take_report(message)
@@ -313,7 +313,7 @@
             topology.PeerAddress(digest.address, digest.zone, digest.capacity)
         )
         self._zone.take_digest(digest)
-        self._take_runner_words(digest.runner_words)
+        self._take_runner_words(digest.runner_reports)
         if self.listeners is None:
             return
         if self.is_mesh():
@@ -326,7 +326,7 @@
     def _take_report(self, report: messages.FleetReport) -> None:
         if self.is_mesh():
             return
-        self._take_runner_words(report.runner_words)
+        self._take_runner_words(report.runner_reports)
         if not self._zone.take_report(report):
             return
         if self.listeners is not None:
--- a/packages/daemon/src/martenquay_daemon/fleet/messages.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/messages.py
@@ -250,7 +250,7 @@
         reading: What its results say of engines, by service.
         trials: What versions on trial answered, by service.
         orders: Orders that it has learnt of lately.
-        runner_words: What runners have told it of themselves lately.
+        runner_reports: What runners have told it of themselves lately.
     """
 
     member: str
@@ -273,7 +273,7 @@
     reading: dict[str, PrefillEntry]
     trials: dict[str, TrialLine]
     orders: list[RolloutOrderEntry]
-    runner_words: RunnerReports
+    runner_reports: RunnerReports
 
 
 class ZoneSummary(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
@@ -344,12 +344,12 @@
     Attributes:
         summary: Of its own zone.
         loads: What its zone's daemons have at runners, by runner id.
-        runner_words: What it knows of what runners say of themselves.
+        runner_reports: What it knows of what runners say of themselves.
     """
 
     summary: ZoneSummary
     loads: dict[str, LoadEntry]
-    runner_words: RunnerReports
+    runner_reports: RunnerReports
 
 
 class FleetReport(msgspec.Struct, frozen=True, array_like=True, tag="r"):
@@ -365,7 +365,7 @@
         number: Counts the hub's rounds of reports.
         reading: What all other daemons' results say of engines, by service.
         orders: Orders that the hub has learnt of lately.
-        runner_words: What it knows of what runners say of themselves.
+        runner_reports: What it knows of what runners say of themselves.
     """
 
     hub: str
@@ -375,7 +375,7 @@
     number: int
     reading: dict[str, PrefillEntry]
     orders: list[RolloutOrderEntry]
-    runner_words: RunnerReports
+    runner_reports: RunnerReports
 
 
 class PeerLine(msgspec.Struct, frozen=True, array_like=True):
--- a/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
@@ -142,7 +142,7 @@
                 _write_order(rollout)
                 for rollout in sources.orders.list_recent()
             ],
-            runner_words=sources.runner_news.create(is_hub=False),
+            runner_reports=sources.runner_news.create(is_hub=False),
         )
 
     def take_digest(self, digest: messages.Digest) -> None:
--- a/tests/serving_builders.py
+++ b/tests/serving_builders.py
@@ -165,7 +165,7 @@
         "reading": {},
         "trials": {},
         "orders": [],
-        "runner_words": messages.NO_RUNNER_REPORTS,
+        "runner_reports": messages.NO_RUNNER_REPORTS,
     }
     return messages.Digest(**(fields | changes))
 
--- a/tests/test_fleet/test_links.py
+++ b/tests/test_fleet/test_links.py
@@ -125,7 +125,7 @@
             log_age_ms=int(age_s * 1000),
             capacity=self.place.capacity,
             loads={self.name: messages.LoadEntry(1, 10)},
-            runner_words=self.runner_news.create(is_hub=False),
+            runner_reports=self.runner_news.create(is_hub=False),
         )
 
 
