--- a/packages/daemon/src/martenquay_daemon/allowances/rights.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/rights.py
@@ -20,12 +20,12 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator
 
-__all__ = ["LENT_S", "Loan", "RefillShares", "RateShare", "Span"]
+__all__ = ["DELEGATION_S", "Loan", "RefillShares", "RateShare", "Span"]
 
 # A part is lent for so long and lent again twice a second. It has to outlast
 # the report that the loan counts from (up to 0.8 s old) and one digest that is
 # lost. For as long nobody mints the parts that a lost daemon had borrowed.
-LENT_S = 1.8
+DELEGATION_S = 1.8
 # No unit lives longer, so nobody mints for a time that is longer ago.
 _KEPT_S = 10.0
 
@@ -131,7 +131,7 @@
         self._at = self._started_at
         self._own = 0.0
         # Until then the process before may have lent what is now this one's.
-        self._own_from = self._started_at + LENT_S
+        self._own_from = self._started_at + DELEGATION_S
         self._lent = _Lent()
         self._larger_until = -math.inf
         self._borrowed: dict[str, _Borrowed] = {}
@@ -212,9 +212,9 @@
             starts_at = max(now, last.until)
         if own.part < last.part:
             self._larger_until = last.until
-        self._lent = _Lent(receiver, own.part, starts_at, now + LENT_S)
+        self._lent = _Lent(receiver, own.part, starts_at, now + DELEGATION_S)
         starts_s = max(0.0, starts_at - now)
-        return Loan(receiver, heard, own.part, starts_s, LENT_S)
+        return Loan(receiver, heard, own.part, starts_s, DELEGATION_S)
 
     def has_lent_more(self) -> bool:
         """Tell whether a loan is still good that was larger than the part."""
--- a/tests/test_allowances/test_rights.py
+++ b/tests/test_allowances/test_rights.py
@@ -26,7 +26,7 @@
             loan = lender.delegate("hub.1", 7)
             self.assertAlmostEqual(0.1, loan.part)
             self.assertEqual(0.0, lender.find_usable_share())
-            await trio.sleep(rights.LENT_S + 0.5)
+            await trio.sleep(rights.DELEGATION_S + 0.5)
             self.assertAlmostEqual(0.1, lender.find_usable_share())
             self.assertAlmostEqual(0.15, _sum_spans(lender))
 
@@ -44,7 +44,7 @@
             hub.accept_delegation("entry-1", "entry-1.1", loan, reported_at)
             self.assertAlmostEqual(0.1, hub.find_usable_share())
             await trio.sleep(5.0)
-            left_s = rights.LENT_S - 0.5 - 0.8
+            left_s = rights.DELEGATION_S - 0.5 - 0.8
             self.assertAlmostEqual(0.1 * left_s, _sum_spans(hub))
             self.assertEqual(0.0, hub.find_usable_share())
 
@@ -56,7 +56,7 @@
             lender = allowance_fleet.build_rights(0.1)
             reported_at = trio.current_time()
             loan = lender.delegate("hub.1", 7)
-            await trio.sleep(rights.LENT_S + 0.1)
+            await trio.sleep(rights.DELEGATION_S + 0.1)
             hub.accept_delegation("entry-1", "entry-1.1", loan, reported_at)
             self.assertEqual(0.0, hub.find_usable_share())
 
@@ -124,7 +124,7 @@
             other = rights.RefillShares(
                 lambda: own, _WINDOW_S, lambda: math.inf
             )
-            await trio.sleep(rights.LENT_S + 0.1)
+            await trio.sleep(rights.DELEGATION_S + 0.1)
             self.assertAlmostEqual(0.1, other.find_usable_share())
 
         self.run_clocked(scenario)
@@ -167,7 +167,7 @@
             await trio.sleep(0.5)
             self.assertAlmostEqual(0.1, one.delegate("hub.1", 2).part)
             self.assertTrue(one.has_lent_more())
-            await trio.sleep(rights.LENT_S)
+            await trio.sleep(rights.DELEGATION_S)
             self.assertFalse(one.has_lent_more())
 
         self.run_clocked(scenario)
@@ -186,6 +186,6 @@
             spans = list(hub.list_spans(0.0))
             self.assertEqual(1, len(spans))
             self.assertAlmostEqual(start, spans[0].start)
-            self.assertAlmostEqual(start + rights.LENT_S, spans[0].end)
+            self.assertAlmostEqual(start + rights.DELEGATION_S, spans[0].end)
 
         self.run_clocked(scenario)
--- a/tests/test_promises/test_suspension.py
+++ b/tests/test_promises/test_suspension.py
@@ -62,7 +62,7 @@
             self.assertEqual(0.0, hub.find_usable_share())
             hub.advance()
             minted_s = sum(s.end - s.start for s in hub.list_spans(0.0))
-            self.assertLessEqual(minted_s, rights.LENT_S)
+            self.assertLessEqual(minted_s, rights.DELEGATION_S)
 
         self._run(scenario)
 
