--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -55,7 +55,7 @@
 
     Attributes:
         take_digest: Of one other daemon, in a small fleet.
-        take_report: Of all others, in a large one.
+        apply_report: Of all others, in a large one.
         change_mode: The fleet has become large or small.
         take_subscriber: Of a daemon that takes this one for its hub, with the
             time at which the report was sent that its loan counts from.
@@ -69,7 +69,7 @@
     """
 
     take_digest: Callable[[messages.Digest], None]
-    take_report: Callable[[messages.FleetReport], None]
+    apply_report: Callable[[messages.FleetReport], None]
     change_mode: Callable[[], None]
     take_subscriber: Callable[[messages.Digest, float | None], None]
     create_units: Callable[[], messages.QuotaUpdate]
@@ -327,10 +327,10 @@
         if self.is_mesh():
             return
         self._take_runner_words(report.runner_reports)
-        if not self._zone.take_report(report):
+        if not self._zone.apply_report(report):
             return
         if self.listeners is not None:
-            self.listeners.take_report(report)
+            self.listeners.apply_report(report)
 
     def _take_runner_words(self, words: messages.RunnerReports) -> None:
         if self.listeners is not None:
--- a/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
@@ -161,7 +161,7 @@
         self._take_orders(digest.orders)
         sources.listed.note_read_end(digest.instance, digest.members_end)
 
-    def take_report(self, report: messages.FleetReport) -> None:
+    def apply_report(self, report: messages.FleetReport) -> None:
         """Spread what a hub of a large fleet tells."""
         sources = self._sources
         for summary in report.zones:
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
@@ -144,7 +144,7 @@
         if summary.zone != self._place.zone:
             self._view.zones.take(summary, exchange.loads, now)
 
-    def take_report(self, report: messages.FleetReport) -> bool:
+    def apply_report(self, report: messages.FleetReport) -> bool:
         """Take a hub's report; tell whether it counts."""
         if not report.zones:
             return False
--- a/tests/test_fleet/test_zone_mode.py
+++ b/tests/test_fleet/test_zone_mode.py
@@ -62,7 +62,7 @@
             number=number,
             log_age_ms=age_ms,
         )
-        return one.take_report(
+        return one.apply_report(
             messages.FleetReport(
                 "entry-1.aa",
                 [summary],
@@ -98,7 +98,7 @@
                 [],
                 messages.NO_RUNNER_REPORTS,
             )
-            one.take_report(report)
+            one.apply_report(report)
             # However late the report is, it was made after that digest.
             confirmed_at = self.follower.copy_age.confirmed_at
             self.assertAlmostEqual(told_at - 0.6, confirmed_at)
@@ -123,7 +123,7 @@
                 [],
                 messages.NO_RUNNER_REPORTS,
             )
-            one.take_report(report)
+            one.apply_report(report)
             self.assertEqual(math.inf, self.follower.copy_age.age_s)
 
         self.run_clocked(scenario)
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -274,7 +274,7 @@
             case messages.ZoneExchange():
                 self._zone.take_exchange(message)
             case messages.FleetReport():
-                if self._zone.take_report(message):
+                if self._zone.apply_report(message):
                     self._hear_zones(message)
             case messages.QuotaUpdate():
                 self._news.take_note(message)
@@ -424,7 +424,7 @@
             self._tell(one.address, messages.decode_message(one.raw))
             self._zone.note_sent(one.address)
         own, reports = self._zone.create_reports()
-        if self._zone.take_report(own):
+        if self._zone.apply_report(own):
             self._hear_zones(own)
         for one in reports:
             self._tell(one.address, messages.decode_message(one.raw))
