--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -183,9 +183,9 @@
         """Tell whether this daemon keeps the units that it needs."""
         return self.is_mesh() or self._zone.is_keeper()
 
-    def find_keeper(self) -> zone_mode.Keeper | None:
+    def find_quota_hub(self) -> zone_mode.Keeper | None:
         """Return the hub to lend to, if there is to be one and it reports."""
-        return None if self.is_mesh() else self._zone.find_keeper()
+        return None if self.is_mesh() else self._zone.find_quota_hub()
 
     def find_sole_since(self) -> float:
         """Return since when nobody uses what the last process here lent."""
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
@@ -90,13 +90,13 @@
     def is_to_lend(self) -> bool:
         """Tell whether there is a part that no hub has yet."""
         return (
-            self._links.find_keeper() is not None
+            self._links.find_quota_hub() is not None
             and self._units.rights.find_usable_share() > 0
         )
 
     def create_loan(self) -> messages.LoanLine | None:
         """Return the loan of this daemon's part, if a hub is to use it."""
-        keeper = self._links.find_keeper()
+        keeper = self._links.find_quota_hub()
         if keeper is None:
             return None
         loan = self._units.rights.delegate(keeper.member, keeper.number)
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
@@ -263,7 +263,7 @@
         """Tell whether this daemon keeps its zone's units."""
         return self.is_hub and self._is_first
 
-    def find_keeper(self) -> Keeper | None:
+    def find_quota_hub(self) -> Keeper | None:
         """Return the hub that is to keep this daemon's units, if any reports.
 
         The first one keeps those of the whole zone: each pile more would be
@@ -292,7 +292,7 @@
         Other zones' hubs come last: they have units when those of this zone
         are gone, and none of this zone's when it is cut off.
         """
-        keeper = self.find_keeper()
+        keeper = self.find_quota_hub()
         own = [keeper.address] if keeper is not None else []
         own += [a for a in self._own_hubs if a not in own]
         key = self._place.address
--- a/tests/test_fleet/test_links.py
+++ b/tests/test_fleet/test_links.py
@@ -317,7 +317,7 @@
             asker = daemons[-1]
             # The last one is in the zone of the second, its first hub.
             while (
-                keeper := asker.links.find_keeper()
+                keeper := asker.links.find_quota_hub()
             ) is None or keeper.member != "entry-1.aa":
                 await trio.sleep(0.01)
             self.assertFalse(asker.links.quota_client.keeps_here())
@@ -335,7 +335,7 @@
         async def scenario(daemons: list[_Daemon]) -> None:
             _introduce(daemons)
             asker = daemons[-1]
-            while not (asker.links.find_keeper() and asker.reports):
+            while not (asker.links.find_quota_hub() and asker.reports):
                 await trio.sleep(0.01)
 
             async def say_nothing(want, reply) -> None:
--- a/tests/test_fleet/test_unit_news.py
+++ b/tests/test_fleet/test_unit_news.py
@@ -28,7 +28,7 @@
         self.keeper: zone_mode.Keeper | None = None
         self.is_small = False
 
-    def find_keeper(self) -> zone_mode.Keeper | None:
+    def find_quota_hub(self) -> zone_mode.Keeper | None:
         """Return the keeper."""
         return self.keeper
 
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -111,7 +111,7 @@
 
     def __init__(self, zone: zone_mode.ZoneMode, address: str) -> None:
         self.address = address
-        self.find_keeper = zone.find_keeper
+        self.find_quota_hub = zone.find_quota_hub
 
 
 class ZoneDaemon:
