--- a/packages/daemon/src/martenquay_daemon/allowances/escrow.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/escrow.py
@@ -30,7 +30,7 @@
     from martenquay_core.serving import catalog
     from martenquay_daemon.allowances import rights
 
-__all__ = ["EscrowLedger", "Gift", "create_escrow"]
+__all__ = ["EscrowLedger", "QuotaTransfer", "create_escrow"]
 
 # Over this time the demand at a daemon is measured.
 _DEMAND_MEMORY_S = 1.0
@@ -56,7 +56,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Gift:
+class QuotaTransfer:
     """Units for one daemon.
 
     Attributes:
@@ -243,9 +243,9 @@
 
     def create_transfers(
         self, teams: Iterable[catalog.Team]
-    ) -> dict[str, Gift]:
+    ) -> dict[str, QuotaTransfer]:
         """Take out what others lack more; return it by receiver."""
-        gifts: dict[str, Gift] = {}
+        gifts: dict[str, QuotaTransfer] = {}
         now = trio.current_time()
         for team in teams:
             if team.rate <= 0:
@@ -255,7 +255,7 @@
                 other = self._others[member]
                 parcels = account.pile.take_away(now, units)
                 other.given[team.name] = other.given.get(team.name, 0.0) + units
-                gift = gifts.setdefault(member, Gift(other.heard, {}))
+                gift = gifts.setdefault(member, QuotaTransfer(other.heard, {}))
                 gift.parcels[team.name] = [
                     (parcel.units, parcel.ends_at - now) for parcel in parcels
                 ]
@@ -278,7 +278,7 @@
         if any(self._is_to_give(team) for team in holdings):
             self._hurry()
 
-    def accept_transfer(self, gift: Gift, told_at: float) -> None:
+    def accept_transfer(self, gift: QuotaTransfer, told_at: float) -> None:
         """Take units that another daemon has given.
 
         Args:
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
@@ -243,7 +243,7 @@
         }
 
 
-def _tell_gift(gift: escrow.Gift) -> messages.GiftLine:
+def _tell_gift(gift: escrow.QuotaTransfer) -> messages.GiftLine:
     parcels = {
         team: [
             # Rounded down: no unit may live longer by its way.
@@ -255,9 +255,9 @@
     return messages.GiftLine(gift.heard, parcels)
 
 
-def _read_gift(line: messages.GiftLine) -> escrow.Gift:
+def _read_gift(line: messages.GiftLine) -> escrow.QuotaTransfer:
     parcels = {
         team: [(one.units, one.life_ms / _MS) for one in found]
         for team, found in line.parcels.items()
     }
-    return escrow.Gift(line.heard, parcels)
+    return escrow.QuotaTransfer(line.heard, parcels)
--- a/tests/allowance_fleet.py
+++ b/tests/allowance_fleet.py
@@ -106,7 +106,7 @@
     number: int
     members_end: int
     holdings: dict[str, sharing.QuotaBalance]
-    gifts: dict[str, escrow.Gift]
+    gifts: dict[str, escrow.QuotaTransfer]
 
 
 @dataclasses.dataclass(frozen=True)
--- a/tests/test_allowances/test_escrow.py
+++ b/tests/test_allowances/test_escrow.py
@@ -134,7 +134,7 @@
             told_at = trio.current_time()
             await trio.sleep(2.0)
             receiver.accept_transfer(
-                escrow.Gift(1, {_TEAM.name: [(900.0, 0.9)]}), told_at
+                escrow.QuotaTransfer(1, {_TEAM.name: [(900.0, 0.9)]}), told_at
             )
             self.assertEqual(0.0, receiver.describe(_TEAM.name).there)
 
@@ -238,7 +238,7 @@
                 await trio.sleep(0.08)
                 needed = units.list_holdings()[_TEAM.name].needed
                 self.assertAlmostEqual(500.0, needed)
-                gift = escrow.Gift(1, {_TEAM.name: [(600.0, 0.9)]})
+                gift = escrow.QuotaTransfer(1, {_TEAM.name: [(600.0, 0.9)]})
                 units.accept_transfer(gift, told_at)
             self.assertEqual([True], answers)
             self.assertEqual(0.0, units.list_holdings()[_TEAM.name].needed)
