--- a/packages/daemon/src/martenquay_daemon/allowances/escrow.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/escrow.py
@@ -30,7 +30,7 @@
     from martenquay_core.serving import catalog
     from martenquay_daemon.allowances import rights
 
-__all__ = ["EscrowLedger", "QuotaTransfer", "create_escrow"]
+__all__ = ["QuotaLedger", "QuotaTransfer", "create_escrow"]
 
 # Over this time the demand at a daemon is measured.
 _DEMAND_MEMORY_S = 1.0
@@ -145,7 +145,7 @@
         )
 
 
-class EscrowLedger:
+class QuotaLedger:
     """The teams' units at one daemon.
 
     Attributes:
@@ -486,6 +486,6 @@
     bounds: terms.ToleranceBounds,
     mint_rights: rights.RefillShares,
     notify_soon: Callable[[], None],
-) -> EscrowLedger:
+) -> QuotaLedger:
     """Return a ledger without units."""
-    return EscrowLedger(bounds, mint_rights, notify_soon)
+    return QuotaLedger(bounds, mint_rights, notify_soon)
--- a/packages/daemon/src/martenquay_daemon/allowances/gate.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/gate.py
@@ -52,7 +52,7 @@
             been lent to it yet; then what is here says little.
     """
 
-    def __init__(self, units: escrow.EscrowLedger, keepers: Keepers) -> None:
+    def __init__(self, units: escrow.QuotaLedger, keepers: Keepers) -> None:
         self.lacks_parts: Callable[[], bool] = _lack_none
         self._units = units
         self._keepers = keepers
@@ -139,6 +139,6 @@
         return verdict
 
 
-def create_gate(units: escrow.EscrowLedger, keepers: Keepers) -> AllowanceGate:
+def create_gate(units: escrow.QuotaLedger, keepers: Keepers) -> AllowanceGate:
     """Return a gate."""
     return AllowanceGate(units, keepers)
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
@@ -35,7 +35,7 @@
         member: str,
         zone: str,
         store: catalog_store.CatalogStore,
-        units: escrow.EscrowLedger,
+        units: escrow.QuotaLedger,
         decider: gate.AllowanceGate,
         listed: roster.Roster,
         members: keyed_follower.KeyedFollower,
--- a/tests/allowance_fleet.py
+++ b/tests/allowance_fleet.py
@@ -44,7 +44,7 @@
 
 def build_escrow(
     part: float = 1.0, bounds: terms.ToleranceBounds = BOUNDS
-) -> escrow.EscrowLedger:
+) -> escrow.QuotaLedger:
     """Return the units of one daemon with a part of the rate."""
     return escrow.create_escrow(bounds, build_rights(part), lambda: None)
 
--- a/tests/test_allowances/test_escrow.py
+++ b/tests/test_allowances/test_escrow.py
@@ -16,7 +16,7 @@
 _LIFE_S = _BOUNDS.find_life(_TEAM)
 
 
-async def _fill(units: escrow.EscrowLedger) -> None:
+async def _fill(units: escrow.QuotaLedger) -> None:
     """Let a lifetime pass, in which the units come that there may be."""
     units.refill([_TEAM])
     await trio.sleep(_LIFE_S)
@@ -24,7 +24,7 @@
 
 
 def _count_admitted(
-    units: escrow.EscrowLedger, wish: terms.AdmissionRequest
+    units: escrow.QuotaLedger, wish: terms.AdmissionRequest
 ) -> int:
     """Ask until it is refused; return how often it was not."""
     count = 0
@@ -212,7 +212,7 @@
 class AllowanceGateTest(clocked.ClockedTestCase):
     def _build(
         self,
-        units: escrow.EscrowLedger,
+        units: escrow.QuotaLedger,
         keepers: gate.Keepers | None = None,
     ) -> gate.AllowanceGate:
         keepers = keepers or allowance_fleet.OwnKeeper()
