--- a/packages/daemon/src/martenquay_daemon/backpressure/leaving_words.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/leaving_words.py
@@ -62,7 +62,7 @@
         if self._keep(runner.id, runner.born_ms, "answer"):
             self.notify_soon()
 
-    def take_told(self, told: dict[str, int | None]) -> None:
+    def apply_gossip(self, told: dict[str, int | None]) -> None:
         """Take what another daemon knows: starts of processes by runner id."""
         for runner_id, born_ms in told.items():
             self._keep(runner_id, born_ms, "daemon")
--- a/packages/daemon/src/martenquay_daemon/backpressure/runner_limits.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/runner_limits.py
@@ -108,7 +108,7 @@
         if self._keep(runner.id, known, folded, is_own=True):
             self.notify_soon()
 
-    def take_told(
+    def apply_gossip(
         self, words: Iterable[tuple[str, limit_words.LimitReport]]
     ) -> None:
         """Take what other daemons were told, by runner id."""
--- a/packages/daemon/src/martenquay_daemon/fleet/runner_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/runner_news.py
@@ -35,8 +35,8 @@
 
     def take(self, words: messages.RunnerReports) -> None:
         """Take what another daemon tells."""
-        self._limits.take_told(_read_words(words.limits))
-        self._leaving.take_told(words.leaving)
+        self._limits.apply_gossip(_read_words(words.limits))
+        self._leaving.apply_gossip(words.leaving)
 
     def create(self, *, is_hub: bool) -> messages.RunnerReports:
         """Return what to tell, as old as it is now."""
--- a/tests/limit_days.py
+++ b/tests/limit_days.py
@@ -310,7 +310,7 @@
 
     def _hear(self, one: _Daemon, words: list) -> None:
         if self._hears(one):
-            one.limits.take_told(words)
+            one.limits.apply_gossip(words)
             self._note_learnt()
 
     def _note_learnt(self) -> None:
--- a/tests/test_backpressure/test_leaving_words.py
+++ b/tests/test_backpressure/test_leaving_words.py
@@ -32,7 +32,7 @@
             words.note_answer(fresh)
             self.assertTrue(words.holds(fresh))
             # An older daemon's news of the process before changes nothing.
-            words.take_told({_RUNNER.id: 7})
+            words.apply_gossip({_RUNNER.id: 7})
             self.assertTrue(words.holds(fresh))
 
         self.run_clocked(scenario)
@@ -42,7 +42,7 @@
             words = leaving_words.DrainReports()
             words.note_answer(_RUNNER)
             other = leaving_words.DrainReports()
-            other.take_told(words.list_recent_reports())
+            other.apply_gossip(words.list_recent_reports())
             self.assertTrue(other.holds(_RUNNER))
             await trio.sleep(31.0)
             self.assertEqual({}, words.list_recent_reports())
--- a/tests/test_backpressure/test_runner_limits.py
+++ b/tests/test_backpressure/test_runner_limits.py
@@ -119,7 +119,7 @@
             limits = builders.build_runner_limits(rank=5, daemons=6)
             now = trio.current_time()
             word = limit_words.LimitReport(1.0, 7, now - 0.2, now - 0.1)
-            limits.take_told([(_RUNNER.id, word)])
+            limits.apply_gossip([(_RUNNER.id, word)])
             self.assertFalse(_take_turn(limits, _RUNNER))
             # Only what a runner said to this daemon is told as its own.
             self.assertEqual([], limits.list_recent_reports(is_relayed=False))
@@ -159,7 +159,7 @@
             told.note_answer(_RUNNER, _LIMITED, trio.current_time())
             words = told.list_recent_reports(is_relayed=False)
             await trio.sleep(0.4)
-            late.take_told(
+            late.apply_gossip(
                 [
                     (one, dataclasses.replace(w, heard_at=w.heard_at + 0.4))
                     for one, w in words
@@ -170,7 +170,7 @@
                 told.note_answer(
                     _RUNNER, signals.NO_SIGNALS, trio.current_time()
                 )
-                late.take_told(told.list_recent_reports(is_relayed=False))
+                late.apply_gossip(told.list_recent_reports(is_relayed=False))
             self.assertFalse(late.is_limited(_RUNNER))
 
         self.run_clocked(scenario)
