--- a/packages/daemon/src/martenquay_daemon/allowances/escrow.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/escrow.py
@@ -294,7 +294,7 @@
                 continue
             account.pile.expire(now)
             for units, life_s in parcels:
-                account.pile.add(now, tokens.Parcel(units, told_at + life_s))
+                account.pile.add(now, tokens.QuotaLot(units, told_at + life_s))
         self.news.set()
         self.news = trio.Event()
 
--- a/packages/daemon/src/martenquay_daemon/allowances/tokens.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/tokens.py
@@ -6,7 +6,7 @@
 import dataclasses
 import math
 
-__all__ = ["Parcel", "QuotaBucket"]
+__all__ = ["QuotaLot", "QuotaBucket"]
 
 # A unit's lifetime is counted in so many steps; one step is by how much a unit
 # may end too soon, never too late.
@@ -14,7 +14,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Parcel:
+class QuotaLot:
     """Units with one end.
 
     Attributes:
@@ -58,10 +58,10 @@
         while start < end:
             until = min(end, start + self._step_s)
             units = rate * (until - start)
-            self.add(now, Parcel(units, start + self.life_s))
+            self.add(now, QuotaLot(units, start + self.life_s))
             start = until
 
-    def add(self, now: float, parcel: Parcel) -> float:
+    def add(self, now: float, parcel: QuotaLot) -> float:
         """Add units and pay what is owed; return what was still of use."""
         step = math.floor(parcel.ends_at / self._step_s)
         if step * self._step_s <= now or parcel.units <= 0:
@@ -78,7 +78,7 @@
         pile = QuotaBucket(life_s)
         for step, units in self._steps.items():
             ends_at = min(step * self._step_s, now + life_s)
-            pile.add(now, Parcel(units, ends_at))
+            pile.add(now, QuotaLot(units, ends_at))
         pile.debt += self.debt
         pile.unspent = self.unspent
         return pile
@@ -104,7 +104,7 @@
             self._set(step, there - used)
         self.debt += units
 
-    def take_away(self, now: float, units: float) -> list[Parcel]:
+    def take_away(self, now: float, units: float) -> list[QuotaLot]:
         """Take out units for another daemon, those that end last.
 
         What is missing is owed, and lives as if it were minted now.
@@ -115,10 +115,10 @@
             used = min(units, there)
             units -= used
             self._set(step, there - used)
-            parcels.append(Parcel(used, step * self._step_s))
+            parcels.append(QuotaLot(used, step * self._step_s))
         if units > 0:
             self.debt += units
-            parcels.append(Parcel(units, now + self.life_s))
+            parcels.append(QuotaLot(units, now + self.life_s))
         return parcels
 
     def _set(self, step: int, units: float) -> None:
--- a/tests/test_allowances/test_tokens.py
+++ b/tests/test_allowances/test_tokens.py
@@ -68,6 +68,6 @@
 
     def test_units_that_have_ended_are_of_no_use(self) -> None:
         pile = tokens.QuotaBucket(_LIFE_S)
-        self.assertEqual(0.0, pile.add(5.0, tokens.Parcel(9.0, 4.9)))
+        self.assertEqual(0.0, pile.add(5.0, tokens.QuotaLot(9.0, 4.9)))
         self.assertEqual(0.0, pile.total)
-        self.assertEqual(9.0, pile.add(5.0, tokens.Parcel(9.0, 5.9)))
+        self.assertEqual(9.0, pile.add(5.0, tokens.QuotaLot(9.0, 5.9)))
