--- a/packages/daemon/src/martenquay_daemon/backpressure/parts.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/parts.py
@@ -33,7 +33,7 @@
 
     limits: runner_limits.RunnerLimits
     leaving: leaving_words.DrainReports
-    gate: runner_gate.RunnerGate
+    gate: runner_gate.RunnerAdmission
 
 
 def create_backpressure(
@@ -58,5 +58,5 @@
     for words in (limits, leaving, asked_rests):
         words.observe = observe
     limits.notify_soon = leaving.notify_soon = notify_soon
-    gate = runner_gate.RunnerGate(limits, leaving, asked_rests)
+    gate = runner_gate.RunnerAdmission(limits, leaving, asked_rests)
     return Backpressure(limits, leaving, gate)
--- a/packages/daemon/src/martenquay_daemon/backpressure/runner_gate.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/runner_gate.py
@@ -19,7 +19,7 @@
         runner_limits,
     )
 
-__all__ = ["ClosedRunners", "RunnerGate"]
+__all__ = ["ClosedRunners", "RunnerAdmission"]
 
 _LOG = logs.create_log("backpressure")
 _LEAVES = "the runner says that it leaves"
@@ -42,7 +42,7 @@
     limited: int
 
 
-class RunnerGate:
+class RunnerAdmission:
     """What runners say of themselves, for all that sends to them.
 
     A runner's own word is no guess: unlike one that failed, a runner that says
--- a/packages/daemon/src/martenquay_daemon/engines/placer.py
+++ b/packages/daemon/src/martenquay_daemon/engines/placer.py
@@ -103,7 +103,7 @@
         rng: random.Random,
         is_zone_silent: Callable[[str], bool],
         are_loads_fresh: Callable[[], bool],
-        gate: runner_gate.RunnerGate,
+        gate: runner_gate.RunnerAdmission,
         choose_versions: Callable[
             [str, list[runners.Runner]], list[runners.Runner]
         ] = _take_all,
--- a/packages/daemon/src/martenquay_daemon/forwarding/attempt.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/attempt.py
@@ -61,7 +61,7 @@
         estimates: model.RunnerModel,
         streams: lengths.StreamLengths,
         notify_soon: Callable[[], None],
-        gate: runner_gate.RunnerGate,
+        gate: runner_gate.RunnerAdmission,
     ) -> None:
         self._gate = gate
         self._codec = codec
--- a/packages/daemon/src/martenquay_daemon/forwarding/forwarder.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/forwarder.py
@@ -89,7 +89,7 @@
     attempts: attempt.AttemptMaker
     retries: retry_window.RetryWindow
     ejector: ejection.Ejector
-    runner_gate: runner_gate.RunnerGate
+    runner_gate: runner_gate.RunnerAdmission
     guard: content_guard.ContentGuard
     stop: stop_window.StopWindow
     trials: trial_notes.TrialNotes
--- a/tests/serving_builders.py
+++ b/tests/serving_builders.py
@@ -133,9 +133,9 @@
     return runner_limits.RunnerLimits(lambda _: place)
 
 
-def build_runner_gate() -> runner_gate.RunnerGate:
+def build_runner_gate() -> runner_gate.RunnerAdmission:
     """Return what a daemon that is alone has been told of runners: nothing."""
-    return runner_gate.RunnerGate(
+    return runner_gate.RunnerAdmission(
         build_runner_limits(),
         leaving_words.DrainReports(),
         rests.RunnerBackoffs(),
--- a/tests/test_backpressure/test_runner_gate.py
+++ b/tests/test_backpressure/test_runner_gate.py
@@ -18,7 +18,7 @@
 
 
 def _note(
-    gate: runner_gate.RunnerGate,
+    gate: runner_gate.RunnerAdmission,
     told: signals.RunnerSignals,
     *,
     did_not_run: bool = False,
--- a/tests/test_engines/test_placer.py
+++ b/tests/test_engines/test_placer.py
@@ -51,7 +51,7 @@
         self.silent: set[str] = set()
         self.ejector = ejection.Ejector()
         self.limits = builders.build_runner_limits()
-        self.gate = runner_gate.RunnerGate(
+        self.gate = runner_gate.RunnerAdmission(
             self.limits, directory.leaving, rests.RunnerBackoffs()
         )
         return placer.Placer(
