--- a/bench/runner_limits.py
+++ b/bench/runner_limits.py
@@ -30,7 +30,9 @@
 ) -> send_shares.Share:
     """Give each daemon one part of as many as there are."""
     rate = max(limit, _LEAST_PER_S)
-    return send_shares.HolderPace((place.rank + 1) / rate, place.daemons / rate)
+    return send_shares.HolderSchedule(
+        (place.rank + 1) / rate, place.daemons / rate
+    )
 
 
 def _give_to_one(
@@ -39,7 +41,7 @@
     """Give all to the first; the others wait for it to fall silent."""
     rate = max(limit, _LEAST_PER_S)
     if place.rank == 0:
-        return send_shares.HolderPace(1 / rate, 1 / rate)
+        return send_shares.HolderSchedule(1 / rate, 1 / rate)
     length_s = 2 / min(rate, 1.0)
     return send_shares.AskSlot(
         max(_SILENT_S, 3 / rate) + (place.rank - 1) * length_s,
--- a/packages/daemon/src/martenquay_daemon/backpressure/runner_limits.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/runner_limits.py
@@ -152,7 +152,7 @@
         limit = known.word.limit_per_s
         assert limit is not None, "it is under a limit"
         match self._find_share(limit, self._find_place(runner)):
-            case send_shares.HolderPace() as pace:
+            case send_shares.HolderSchedule() as pace:
                 return _wait_for_pace(known, pace)
             case send_shares.AskSlot() as slot:
                 return _wait_for_slot(known, slot)
@@ -276,7 +276,7 @@
             del self._known[oldest]
 
 
-def _wait_for_pace(known: _Known, pace: send_shares.HolderPace) -> float:
+def _wait_for_pace(known: _Known, pace: send_shares.HolderSchedule) -> float:
     due_at = max(known.since + pace.first_s, known.sent_at + pace.interval_s)
     return max(0.0, due_at - trio.current_time())
 
--- a/packages/daemon/src/martenquay_daemon/backpressure/send_shares.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/send_shares.py
@@ -15,7 +15,7 @@
 
 __all__ = [
     "AskSlot",
-    "HolderPace",
+    "HolderSchedule",
     "SenderRank",
     "Share",
     "find_pace_s",
@@ -52,7 +52,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class HolderPace:
+class HolderSchedule:
     """What a holder may send.
 
     Attributes:
@@ -81,7 +81,7 @@
     period_s: float
 
 
-Share = HolderPace | AskSlot
+Share = HolderSchedule | AskSlot
 
 
 def find_pace_s(limit_per_s: float) -> float:
@@ -97,7 +97,7 @@
     holders = min(wanted, daemons)
     interval_s = holders / rate
     if place.rank < holders:
-        return HolderPace((place.rank + 1) / rate, interval_s)
+        return HolderSchedule((place.rank + 1) / rate, interval_s)
     silent_s = max(_LEAST_SILENT_S, _SILENT_INTERVALS * interval_s)
     length_s = 1 / min(_ASK_PART * rate, _MOST_ASKED_PER_S)
     number = place.rank - holders
--- a/tests/test_backpressure/test_send_shares.py
+++ b/tests/test_backpressure/test_send_shares.py
@@ -47,10 +47,10 @@
 
     def test_one_of_two_holders_may_be_gone(self) -> None:
         share = send_shares.find_share(0.1, send_shares.SenderRank(1, 6))
-        self.assertIsInstance(share, send_shares.HolderPace)
+        self.assertIsInstance(share, send_shares.HolderSchedule)
 
 
 def _list_holders(
     shares: list[send_shares.Share],
-) -> list[send_shares.HolderPace]:
-    return [s for s in shares if isinstance(s, send_shares.HolderPace)]
+) -> list[send_shares.HolderSchedule]:
+    return [s for s in shares if isinstance(s, send_shares.HolderSchedule)]
