--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -106,8 +106,8 @@
         fleet: view.FleetView,
         state: state_copies.FleetState,
         create_digest: Callable[[], messages.Digest],
-        mesh_pace: paces.FleetPace = paces.MESH_PACE,
-        zone_pace: paces.FleetPace = paces.ZONE_PACE,
+        mesh_pace: paces.GossipIntervals = paces.MESH_PACE,
+        zone_pace: paces.GossipIntervals = paces.ZONE_PACE,
         *,
         announced: str | None = None,
     ) -> None:
@@ -400,15 +400,15 @@
         if self.listeners is not None:
             self.listeners.change_mode()
 
-    def _find_pace(self) -> paces.FleetPace:
+    def _find_pace(self) -> paces.GossipIntervals:
         return self._mesh_pace if self.is_mesh() else self._zone_pace
 
-    def _find_silent(self, pace: paces.FleetPace) -> float:
+    def _find_silent(self, pace: paces.GossipIntervals) -> float:
         if self.is_mesh():
             return pace.silent_s
         return max(pace.silent_s, paces.LOST_REPORTS * self._zone.report_s)
 
-    def _is_own_due(self, pace: paces.FleetPace) -> bool:
+    def _is_own_due(self, pace: paces.GossipIntervals) -> bool:
         due_s = pace.hurry_s if self._wake.is_set() else pace.own_s
         return trio.current_time() >= self._told_at + due_s
 
--- a/packages/daemon/src/martenquay_daemon/fleet/pace.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/pace.py
@@ -4,11 +4,11 @@
 
 import dataclasses
 
-__all__ = ["LOST_REPORTS", "MESH_PACE", "ZONE_PACE", "FleetPace"]
+__all__ = ["LOST_REPORTS", "MESH_PACE", "ZONE_PACE", "GossipIntervals"]
 
 
 @dataclasses.dataclass(frozen=True)
-class FleetPace:
+class GossipIntervals:
     """How often a daemon tells of itself and, as a hub, of the others.
 
     Attributes:
@@ -39,7 +39,7 @@
 
 # In a full mesh a digest takes one step, and four may be lost. There are no
 # reports.
-MESH_PACE = FleetPace(
+MESH_PACE = GossipIntervals(
     own_s=0.25,
     hurry_s=0.04,
     step_s=0.04,
@@ -51,7 +51,7 @@
 )
 # Over hubs it takes three. The users allow 5 KB/s for control; a daemon's own
 # digests take the rest. A large fleet is reported on less often.
-ZONE_PACE = FleetPace(
+ZONE_PACE = GossipIntervals(
     own_s=0.5,
     hurry_s=0.15,
     step_s=0.1,
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
@@ -95,7 +95,7 @@
         place: topology.PeerAddress,
         fleet: view.FleetView,
         state: state_copies.FleetState,
-        zone_pace: pace.FleetPace,
+        zone_pace: pace.GossipIntervals,
     ) -> None:
         self.is_hub = False
         self.find_members_end: Callable[[], int] = lambda: 0
--- a/tests/test_fleet/test_links.py
+++ b/tests/test_fleet/test_links.py
@@ -31,7 +31,7 @@
 from tests import serving_builders as builders
 
 _HANG_S = 30.0
-_PACE = pace.FleetPace(
+_PACE = pace.GossipIntervals(
     own_s=0.02,
     hurry_s=0.005,
     step_s=0.005,
