--- a/packages/daemon/src/martenquay_daemon/allowances/escrow.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/escrow.py
@@ -137,11 +137,11 @@
         kept = math.exp((self.asked_at - now) / _DEMAND_MEMORY_S)
         return kept * self.asked
 
-    def hold(self, now: float, may_owe: float) -> sharing.QuotaBalance:
+    def hold(self, now: float, overdraft: float) -> sharing.QuotaBalance:
         """Return what there is, for others and for reckoning with them."""
         asked = self.find_asked(now)
         return sharing.QuotaBalance(
-            self.pile.level, asked, self.needed, may_owe
+            self.pile.level, asked, self.needed, overdraft
         )
 
 
@@ -351,7 +351,7 @@
         for member, one in self._list_others(team).items():
             other = self._others[member]
             level = one.level - other.taken.get(team.name, 0.0)
-            is_enough = level > 0 and level + one.may_owe >= units
+            is_enough = level > 0 and level + one.overdraft >= units
             if other.address and is_enough and level > most:
                 found, most = member, level
         if not found:
@@ -430,7 +430,7 @@
                 holding.level + given,
                 holding.asked,
                 max(0.0, holding.needed - given),
-                holding.may_owe,
+                holding.overdraft,
             )
         return found
 
--- a/packages/daemon/src/martenquay_daemon/allowances/sharing.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/sharing.py
@@ -34,18 +34,18 @@
         level: Units that it may spend; less than 0 if it owes some.
         asked: Units a second that callers ask it for, lately.
         needed: Units that it lacks for a request that waits there.
-        may_owe: How far below 0 its level may come.
+        overdraft: How far below 0 its level may come.
     """
 
     level: float
     asked: float
     needed: float = 0.0
-    may_owe: float = 0.0
+    overdraft: float = 0.0
 
     @property
     def spendable(self) -> float:
         """What it may spend, or give for a request that waits."""
-        return max(0.0, self.level + self.may_owe)
+        return max(0.0, self.level + self.overdraft)
 
 
 def find_gifts(
--- a/packages/daemon/src/martenquay_daemon/fleet/messages.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/messages.py
@@ -171,13 +171,13 @@
         level: Units that it may spend; less than 0 if it owes some.
         asked: Units a second that callers ask it for.
         needed: Units that it lacks for requests that wait there.
-        may_owe: How far below 0 its level may come.
+        overdraft: How far below 0 its level may come.
     """
 
     level: int
     asked: int
     needed: int
-    may_owe: int
+    overdraft: int
 
 
 class ParcelLine(msgspec.Struct, frozen=True, array_like=True):
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
@@ -73,7 +73,7 @@
         """Take what another daemon says of its units and hands over."""
         holdings = {
             team: sharing.QuotaBalance(
-                line.level, line.asked, line.needed, line.may_owe
+                line.level, line.asked, line.needed, line.overdraft
             )
             for team, line in note.pools.items()
         }
@@ -237,7 +237,7 @@
                 math.floor(one.level),
                 round(one.asked),
                 round(one.needed),
-                math.floor(one.may_owe),
+                math.floor(one.overdraft),
             )
             for team, one in self._units.list_holdings().items()
         }
--- a/tests/test_allowances/test_sharing.py
+++ b/tests/test_allowances/test_sharing.py
@@ -45,7 +45,7 @@
         self.assertAlmostEqual(10.0, gifts["waits"])
 
     def test_for_a_waiting_request_a_daemon_goes_into_debt(self) -> None:
-        own = sharing.QuotaBalance(0.0, 10.0, may_owe=20.0)
+        own = sharing.QuotaBalance(0.0, 10.0, overdraft=20.0)
         others = {"waits": sharing.QuotaBalance(0.0, 10.0, needed=8.0)}
         gifts = sharing.find_gifts(own, others, _RATE)
         self.assertAlmostEqual(8.0, gifts["waits"])
