--- a/packages/daemon/src/martenquay_daemon/allowances/gate.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/gate.py
@@ -48,12 +48,12 @@
     """Decide by the units here, or have those decide that keep them.
 
     Attributes:
-        lacks_parts: Tells whether parts that this daemon is to keep have not
+        lacks_shares: Tells whether parts that this daemon is to keep have not
             been lent to it yet; then what is here says little.
     """
 
     def __init__(self, units: escrow.QuotaLedger, keepers: Keepers) -> None:
-        self.lacks_parts: Callable[[], bool] = _lack_none
+        self.lacks_shares: Callable[[], bool] = _lack_none
         self._units = units
         self._keepers = keepers
 
@@ -86,7 +86,7 @@
         """
         end = trio.current_time() + wish.patience_s
         verdict = self._units.try_spend(team, wish)
-        while isinstance(verdict, terms.Refused) and self.lacks_parts():
+        while isinstance(verdict, terms.Refused) and self.lacks_shares():
             if trio.current_time() >= end:
                 break
             await trio.sleep(_LOOK_S)
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
@@ -138,7 +138,7 @@
             digest.instance, digest.member, loan, reported_at
         )
 
-    def lacks_parts(self) -> bool:
+    def lacks_shares(self) -> bool:
         """Tell whether this daemon has yet to be lent most of its zone's parts.
 
         So it is for a second after all have started, and after the keeper
@@ -189,7 +189,7 @@
         # Demand is counted where callers come from, not where units are.
         verdict = self._units.try_spend(team, wish, is_again=want.is_redirected)
         match verdict:
-            case terms.Refused() if self.lacks_parts():
+            case terms.Refused() if self.lacks_shares():
                 reply(passed)
                 return
             case terms.HeldElsewhere() if want.is_redirected:
--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -403,7 +403,7 @@
             self.links,
         )
 
-        self._gate.lacks_parts = self._unit_news.lacks_parts
+        self._gate.lacks_shares = self._unit_news.lacks_shares
 
     def _build_quarantine(self) -> None:
         topic = self._ports.topics.strikes
--- a/tests/test_allowances/test_escrow.py
+++ b/tests/test_allowances/test_escrow.py
@@ -298,7 +298,7 @@
             units = escrow.create_escrow(_BOUNDS, mint_rights, lambda: None)
             units.refill([_TEAM])
             one = self._build(units)
-            one.lacks_parts = lambda: parts[0] == 0.0
+            one.lacks_shares = lambda: parts[0] == 0.0
             answers: list[terms.AdmissionDecision] = []
 
             async def ask() -> None:
--- a/tests/test_fleet/test_unit_news.py
+++ b/tests/test_fleet/test_unit_news.py
@@ -129,9 +129,9 @@
     def test_a_small_fleets_daemon_lacks_nobodys_parts(self) -> None:
         async def scenario() -> None:
             news = self._build(0.25)
-            self.assertTrue(news.lacks_parts())
+            self.assertTrue(news.lacks_shares())
             self.links.is_small = True
-            self.assertFalse(news.lacks_parts())
+            self.assertFalse(news.lacks_shares())
 
         self.run_clocked(scenario)
 
