--- a/bench/fleet_cost.py
+++ b/bench/fleet_cost.py
@@ -94,7 +94,7 @@
         for member in range(1, members):
             one.take(_build_digest(number, member, runners), 0.0)
         own = _build_digest(number, 0, runners)
-        one.take_own(own, 0.0)
+        one.set_own_digest(own, 0.0)
         started = time.process_time()
         exchange = messages.encode_message(
             one.create_exchange(_FACTS, 0.0, _SILENT_S)
--- a/packages/daemon/src/martenquay_daemon/fleet/hub.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/hub.py
@@ -64,7 +64,7 @@
         self._subscribers[digest.address] = _Subscriber(digest, now)
         return True
 
-    def take_own(self, digest: messages.Digest, now: float) -> None:
+    def set_own_digest(self, digest: messages.Digest, now: float) -> None:
         """Take this daemon's own digest."""
         self._own = digest
         self._sum.take(digest, now)
--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -206,7 +206,7 @@
     def send_now(self) -> None:
         """Tell all linked daemons at once."""
         digest = self._create_digest()
-        self._zone.take_own(digest)
+        self._zone.set_own_digest(digest)
         raw = messages.encode_message(messages.DigestNote(digest))
         for link in self._links.values():
             link.socket.send([raw])
@@ -415,7 +415,7 @@
     def _tell_own(self) -> None:
         """Make a new digest of this daemon's own and send it."""
         self._own = self._create_digest()
-        self._zone.take_own(self._own)
+        self._zone.set_own_digest(self._own)
         self._told_at = trio.current_time()
         self._wake = trio.Event()
         if not self.is_mesh():
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
@@ -125,10 +125,10 @@
         self._place = dataclasses.replace(self._place, address=address)
         self._board.own_address = address
 
-    def take_own(self, digest: messages.Digest) -> None:
+    def set_own_digest(self, digest: messages.Digest) -> None:
         """Take this daemon's own digest."""
         now = trio.current_time()
-        self._hub.take_own(digest, now)
+        self._hub.set_own_digest(digest, now)
         self._hub.forget_old(now)
 
     def take_digest(self, digest: messages.Digest) -> None:
--- a/tests/test_fleet/test_order_copies.py
+++ b/tests/test_fleet/test_order_copies.py
@@ -18,7 +18,7 @@
         async def scenario() -> None:
             now = trio.current_time()
             reporter = hub.ZoneHub(zones.ZoneTable())
-            reporter.take_own(builders.build_digest(orders=[_ORDER]), now)
+            reporter.set_own_digest(builders.build_digest(orders=[_ORDER]), now)
             listener = builders.build_digest(
                 member="entry-3.aa",
                 instance="entry-3",
--- a/tests/test_fleet/test_usage_handover.py
+++ b/tests/test_fleet/test_usage_handover.py
@@ -26,7 +26,7 @@
         now = trio.current_time()
         reporter = hub.ZoneHub(zones.ZoneTable())
         fields = {"window": _WINDOW + 1, "begun": {_WINDOW: {"florists": 9}}}
-        reporter.take_own(builders.build_digest(**fields), now)
+        reporter.set_own_digest(builders.build_digest(**fields), now)
         lease = messages.LeaseStatus(1, 1, 3000) if to_holder else None
         listener = builders.build_digest(
             member="entry-3.aa",
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -414,7 +414,7 @@
             loan=self._news.create_loan(),
             members_end=members_end,
         )
-        self._zone.take_own(digest)
+        self._zone.set_own_digest(digest)
         for one in self._zone.create_notes(digest):
             self._tell(one.address, messages.decode_message(one.raw))
             self._zone.note_sent(one.address)
