--- a/packages/daemon/src/martenquay_daemon/allowances/escrow.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/escrow.py
@@ -30,7 +30,7 @@
     from martenquay_core.serving import catalog
     from martenquay_daemon.allowances import rights
 
-__all__ = ["QuotaLedger", "QuotaTransfer", "create_escrow"]
+__all__ = ["QuotaLedger", "QuotaTransfer", "create_quota_ledger"]
 
 # Over this time the demand at a daemon is measured.
 _DEMAND_MEMORY_S = 1.0
@@ -482,7 +482,7 @@
         account.asked_at = now
 
 
-def create_escrow(
+def create_quota_ledger(
     bounds: terms.ToleranceBounds,
     mint_rights: rights.RefillShares,
     notify_soon: Callable[[], None],
--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -379,7 +379,7 @@
 
     def _build_allowances(self) -> None:
         bounds = self._settings.bounds
-        self._units = escrow.create_escrow(
+        self._units = escrow.create_quota_ledger(
             _find_tolerance(bounds),
             rights.RefillShares(
                 lambda: rights.RateShare(
--- a/tests/allowance_fleet.py
+++ b/tests/allowance_fleet.py
@@ -46,7 +46,7 @@
     part: float = 1.0, bounds: terms.ToleranceBounds = BOUNDS
 ) -> escrow.QuotaLedger:
     """Return the units of one daemon with a part of the rate."""
-    return escrow.create_escrow(bounds, build_rights(part), lambda: None)
+    return escrow.create_quota_ledger(bounds, build_rights(part), lambda: None)
 
 
 class OwnKeeper:
@@ -144,7 +144,9 @@
             ),
             BOUNDS.window_s,
         )
-        self._units = escrow.create_escrow(BOUNDS, mint_rights, self._hurry)
+        self._units = escrow.create_quota_ledger(
+            BOUNDS, mint_rights, self._hurry
+        )
         self._units.refill([TEAM])
 
     def _hurry(self) -> None:
--- a/tests/test_allowances/test_escrow.py
+++ b/tests/test_allowances/test_escrow.py
@@ -171,7 +171,9 @@
             mint_rights = rights.RefillShares(
                 lambda: rights.RateShare(parts[0], -math.inf), _BOUNDS.window_s
             )
-            units = escrow.create_escrow(_BOUNDS, mint_rights, lambda: None)
+            units = escrow.create_quota_ledger(
+                _BOUNDS, mint_rights, lambda: None
+            )
             units.refill([_TEAM])
             await trio.sleep(0.4)
             parts[0] = 0.25
@@ -295,7 +297,9 @@
             mint_rights = rights.RefillShares(
                 lambda: rights.RateShare(parts[0], -math.inf), _BOUNDS.window_s
             )
-            units = escrow.create_escrow(_BOUNDS, mint_rights, lambda: None)
+            units = escrow.create_quota_ledger(
+                _BOUNDS, mint_rights, lambda: None
+            )
             units.refill([_TEAM])
             one = self._build(units)
             one.lacks_shares = lambda: parts[0] == 0.0
--- a/tests/test_fleet/test_unit_news.py
+++ b/tests/test_fleet/test_unit_news.py
@@ -53,7 +53,7 @@
         self.rights = rights.RefillShares(
             lambda: rights.RateShare(self.part, 0.0), 8.0
         )
-        self.units = escrow.create_escrow(
+        self.units = escrow.create_quota_ledger(
             allowance_fleet.BOUNDS, self.rights, lambda: None
         )
         self.units.refill([_TEAM])
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -180,7 +180,7 @@
             allowance_fleet.BOUNDS.window_s,
             self._zone.find_sole_since,
         )
-        self.units = escrow.create_escrow(
+        self.units = escrow.create_quota_ledger(
             allowance_fleet.BOUNDS, self._rights, self._hurry
         )
         self.units.refill([allowance_fleet.TEAM])
