--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -192,9 +192,9 @@
         # In a mesh nobody lends.
         return -math.inf if self.is_mesh() else self._zone.find_sole_since()
 
-    def list_keepers(self) -> list[str]:
+    def list_quota_hubs(self) -> list[str]:
         """Return the addresses to ask for units, the first choice first."""
-        return self._zone.list_keepers()
+        return self._zone.list_quota_hubs()
 
     def send_to(self, address: str, raw: bytes) -> bool:
         """Send a message to a hub, by a new link if there is none."""
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_desk.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_desk.py
@@ -53,7 +53,7 @@
     def keeps_units(self) -> bool:
         """Tell whether this daemon keeps the units that it needs itself."""
 
-    def list_keepers(self) -> list[str]:
+    def list_quota_hubs(self) -> list[str]:
         """Return the addresses of those to ask, the first choice first."""
 
     def send_to(self, address: str, raw: bytes) -> bool:
@@ -195,10 +195,10 @@
     async def _find_keepers(self) -> list[str]:
         """Return whom to ask; wait a moment for the first one."""
         with trio.move_on_after(_FIRST_KEEPER_S):
-            while not self._ways.list_keepers():
+            while not self._ways.list_quota_hubs():
                 await trio.sleep(_LOOK_S)
         now = trio.current_time()
-        keepers = self._ways.list_keepers()[:_MOST_ASKED]
+        keepers = self._ways.list_quota_hubs()[:_MOST_ASKED]
         # Those in doubt last, the others as they are.
         keepers.sort(key=lambda one: self._doubted.get(one, 0.0) > now)
         return keepers
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
@@ -286,7 +286,7 @@
         one = fresh[self._keeper]
         return Keeper(one.summary.hub, self._keeper, one.number)
 
-    def list_keepers(self) -> list[str]:
+    def list_quota_hubs(self) -> list[str]:
         """Return the hubs to ask for units, the first choice first.
 
         Other zones' hubs come last: they have units when those of this zone
--- a/tests/test_fleet/test_unit_desk.py
+++ b/tests/test_fleet/test_unit_desk.py
@@ -38,7 +38,7 @@
         """Tell that others do."""
         return False
 
-    def list_keepers(self) -> list[str]:
+    def list_quota_hubs(self) -> list[str]:
         """Return whom to ask."""
         return list(self.keepers)
 
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -248,7 +248,7 @@
 
     def ask(self, units: float) -> bool:
         """Ask for units for the team; tell whether they may be spent now."""
-        keepers = self._zone.list_keepers()[:_MOST_ASKED]
+        keepers = self._zone.list_quota_hubs()[:_MOST_ASKED]
         self._number += 1
         one = _Ask(units, trio.current_time(), keepers, self._number)
         if keepers and not self._zone.is_keeper():
