--- a/packages/daemon/src/martenquay_daemon/allowances/gate.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/gate.py
@@ -26,7 +26,7 @@
 class Keepers(Protocol):
     """The daemons that keep units for others."""
 
-    def keeps_here(self) -> bool:
+    def holds_quota_here(self) -> bool:
         """Tell whether this daemon keeps the units that it needs itself."""
 
     async def ask(
@@ -63,7 +63,7 @@
         """Spend units for a request that came to this daemon."""
         if team.rate <= 0:
             return terms.AdmissionDecision(0.0)
-        if not self._keepers.keeps_here():
+        if not self._keepers.holds_quota_here():
             answer = await self._keepers.ask(team.name, wish)
             if answer is not None:
                 return answer
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_desk.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_desk.py
@@ -124,7 +124,7 @@
         self._number = 0
         self._doubted: dict[str, float] = {}
 
-    def keeps_here(self) -> bool:
+    def holds_quota_here(self) -> bool:
         """Tell whether this daemon keeps the units that it needs itself."""
         return self._ways.keeps_units()
 
--- a/tests/allowance_fleet.py
+++ b/tests/allowance_fleet.py
@@ -52,7 +52,7 @@
 class OwnKeeper:
     """Implement `gate.Keepers` for a daemon that keeps its own units."""
 
-    def keeps_here(self) -> bool:
+    def holds_quota_here(self) -> bool:
         """Tell that it does."""
         return True
 
--- a/tests/test_allowances/test_escrow.py
+++ b/tests/test_allowances/test_escrow.py
@@ -192,7 +192,7 @@
         self.asked: list[tuple[str, terms.AdmissionRequest]] = []
         self._answer = answer
 
-    def keeps_here(self) -> bool:
+    def holds_quota_here(self) -> bool:
         """Tell that this daemon does not."""
         return False
 
--- a/tests/test_fleet/test_links.py
+++ b/tests/test_fleet/test_links.py
@@ -320,7 +320,7 @@
                 keeper := asker.links.find_quota_hub()
             ) is None or keeper.member != "entry-1.aa":
                 await trio.sleep(0.01)
-            self.assertFalse(asker.links.quota_client.keeps_here())
+            self.assertFalse(asker.links.quota_client.holds_quota_here())
             wish = terms.AdmissionRequest(500.0, 1)
             answer = await asker.links.quota_client.ask("florists", wish)
             self.assertTrue(answer.is_admitted)
@@ -367,8 +367,8 @@
                 notes = daemons[number].notes
                 while not any(n.member == f"entry-{keeper}.aa" for n in notes):
                     await trio.sleep(0.01)
-            self.assertTrue(daemons[0].links.quota_client.keeps_here())
-            self.assertFalse(daemons[2].links.quota_client.keeps_here())
+            self.assertTrue(daemons[0].links.quota_client.holds_quota_here())
+            self.assertFalse(daemons[2].links.quota_client.holds_quota_here())
             self.assertEqual([], daemons[-1].notes)
 
         self._run(scenario, 18, 2)
