--- a/bench/fleet_cost.py
+++ b/bench/fleet_cost.py
@@ -111,7 +111,7 @@
             zones.ZoneTable().take(summary, {}, 0.0)
         takes.append(time.process_time() - started)
     return _Cost(
-        digest_bytes=len(messages.encode_message(messages.DigestNote(own))),
+        digest_bytes=len(messages.encode_message(messages.DigestMessage(own))),
         report_bytes=max(len(raw) for raw in raws),
         exchange_bytes=len(exchange),
         round_s=statistics.median(times),
--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -207,7 +207,7 @@
         """Tell all linked daemons at once."""
         digest = self._create_digest()
         self._zone.set_own_digest(digest)
-        raw = messages.encode_message(messages.DigestNote(digest))
+        raw = messages.encode_message(messages.DigestMessage(digest))
         for link in self._links.values():
             link.socket.send([raw])
 
@@ -260,7 +260,7 @@
             _LOG.write(f"Dropped a message that cannot be read: {error}.")
             return
         match message:
-            case messages.DigestNote(digest=digest):
+            case messages.DigestMessage(digest=digest):
                 self._take_digest(digest)
             case messages.ZoneExchange():
                 self._take_runner_words(message.runner_reports)
@@ -421,7 +421,7 @@
         if not self.is_mesh():
             self._send_all(self._zone.create_notes(self._own))
             return
-        raw = messages.encode_message(messages.DigestNote(self._own))
+        raw = messages.encode_message(messages.DigestMessage(self._own))
         for address in list(self._links):
             self._send(address, raw)
 
--- a/packages/daemon/src/martenquay_daemon/fleet/messages.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/messages.py
@@ -13,7 +13,7 @@
     "NO_WINDOW",
     "NO_RUNNER_REPORTS",
     "Digest",
-    "DigestNote",
+    "DigestMessage",
     "FleetMessage",
     "FleetReport",
     "GiftLine",
@@ -328,7 +328,7 @@
     trials: dict[str, TrialLine]
 
 
-class DigestNote(msgspec.Struct, frozen=True, array_like=True, tag="d"):
+class DigestMessage(msgspec.Struct, frozen=True, array_like=True, tag="d"):
     """What a daemon tells of itself.
 
     Attributes:
@@ -509,7 +509,7 @@
 
 
 FleetMessage = (
-    DigestNote
+    DigestMessage
     | ZoneExchange
     | FleetReport
     | WantState
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
@@ -211,7 +211,7 @@
 
     def create_notes(self, digest: messages.Digest) -> list[Outgoing]:
         """Return what to tell the hubs of this daemon."""
-        raw = messages.encode_message(messages.DigestNote(digest))
+        raw = messages.encode_message(messages.DigestMessage(digest))
         self._told.note(digest.number)
         return [Outgoing(address, raw) for address in self._own_hubs]
 
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -269,7 +269,7 @@
     def hear(self, address: str, message: messages.FleetMessage) -> float:
         """Take a message; return units that it lets a request spend."""
         match message:
-            case messages.DigestNote(digest=digest):
+            case messages.DigestMessage(digest=digest):
                 self._hear_digest(digest)
             case messages.ZoneExchange():
                 self._zone.take_exchange(message)
