--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -276,7 +276,7 @@
             case messages.QuotaUpdate():
                 if self.listeners is not None:
                     self.listeners.take_units(message)
-            case messages.StateCopy():
+            case messages.StateReply():
                 self._copies.take(message)
                 for line in message.peers:
                     self.add_peer(
--- a/packages/daemon/src/martenquay_daemon/fleet/messages.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/messages.py
@@ -28,7 +28,7 @@
     "PrefillEntry",
     "RunnerReports",
     "SideLine",
-    "StateCopy",
+    "StateReply",
     "TrialLine",
     "QuotaUpdate",
     "QuotaReply",
@@ -406,7 +406,7 @@
     number: int
 
 
-class StateCopy(msgspec.Struct, frozen=True, array_like=True, tag="s"):
+class StateReply(msgspec.Struct, frozen=True, array_like=True, tag="s"):
     """Answer `WantState` with what the asker lacks.
 
     Attributes:
@@ -513,7 +513,7 @@
     | ZoneExchange
     | FleetReport
     | WantState
-    | StateCopy
+    | StateReply
     | QuotaUpdate
     | QuotaRequest
     | QuotaReply
--- a/packages/daemon/src/martenquay_daemon/fleet/state_copies.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/state_copies.py
@@ -82,11 +82,11 @@
 
     def create_copy(
         self, want: messages.WantState, peers: list[messages.PeerLine]
-    ) -> messages.StateCopy:
+    ) -> messages.StateReply:
         """Return what the asker lacks."""
         state = self._state
         has_newer = state.store.version > want.catalog_version
-        return messages.StateCopy(
+        return messages.StateReply(
             state.store.packed if has_newer else b"",
             state.runner_follower.end,
             [
@@ -111,7 +111,7 @@
             state.store.version, runners_end, self._questions
         )
 
-    def take(self, copy: messages.StateCopy) -> None:
+    def take(self, copy: messages.StateReply) -> None:
         """Take what a peer has read further in the log."""
         state = self._state
         if copy.catalog:
@@ -130,7 +130,7 @@
                 asked_at - copy.runners_age_ms / _MS, copy_age.Step.COPIED
             )
 
-    def _take_runners(self, copy: messages.StateCopy) -> bool:
+    def _take_runners(self, copy: messages.StateReply) -> bool:
         """Take a peer's entries; tell whether all that it has are here."""
         state = self._state
         if copy.runners_end <= state.runner_follower.end:
--- a/tests/test_fleet/test_state_copies.py
+++ b/tests/test_fleet/test_state_copies.py
@@ -57,7 +57,7 @@
         async def scenario() -> None:
             own = _build_state()
             asker = state_copies.StateCopies(own)
-            asker.take(messages.StateCopy(b"", 5, [], [], [], 10, 0, 44))
+            asker.take(messages.StateReply(b"", 5, [], [], [], 10, 0, 44))
             self.assertIsNone(own.runner_follower.copy_age.note_use())
 
         self.run_clocked(scenario)
