--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -54,7 +54,7 @@
     """Who is told what other daemons tell.
 
     Attributes:
-        take_digest: Of one other daemon, in a small fleet.
+        apply_digest: Of one other daemon, in a small fleet.
         apply_report: Of all others, in a large one.
         change_mode: The fleet has become large or small.
         take_subscriber: Of a daemon that takes this one for its hub, with the
@@ -68,7 +68,7 @@
         runner_news: Of what runners say of themselves.
     """
 
-    take_digest: Callable[[messages.Digest], None]
+    apply_digest: Callable[[messages.Digest], None]
     apply_report: Callable[[messages.FleetReport], None]
     change_mode: Callable[[], None]
     take_subscriber: Callable[[messages.Digest, float | None], None]
@@ -312,12 +312,12 @@
         self.add_peer(
             topology.PeerAddress(digest.address, digest.zone, digest.capacity)
         )
-        self._zone.take_digest(digest)
+        self._zone.apply_digest(digest)
         self._take_runner_words(digest.runner_reports)
         if self.listeners is None:
             return
         if self.is_mesh():
-            self.listeners.take_digest(digest)
+            self.listeners.apply_digest(digest)
         elif digest.zone == self._own_place.zone:
             loan = digest.loan
             reported_at = loan and self._zone.find_reported(loan.heard)
--- a/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
@@ -145,7 +145,7 @@
             runner_reports=sources.runner_news.create(is_hub=False),
         )
 
-    def take_digest(self, digest: messages.Digest) -> None:
+    def apply_digest(self, digest: messages.Digest) -> None:
         """Spread what another daemon of a small fleet tells."""
         sources = self._sources
         sources.lease.apply_status(
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
@@ -131,7 +131,7 @@
         self._hub.set_own_digest(digest, now)
         self._hub.forget_old(now)
 
-    def take_digest(self, digest: messages.Digest) -> None:
+    def apply_digest(self, digest: messages.Digest) -> None:
         """Take the digest of a daemon that takes this one for a hub."""
         if digest.zone == self._place.zone:
             self._hub.take(digest, trio.current_time())
--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -359,7 +359,7 @@
             ),
         )
         self.links.listeners = links.Listeners(
-            self._shared.take_digest,
+            self._shared.apply_digest,
             self._shared.apply_report,
             self._shared.change_mode,
             self._unit_news.take_subscriber,
--- a/tests/test_fleet/test_zone_mode.py
+++ b/tests/test_fleet/test_zone_mode.py
@@ -168,7 +168,7 @@
                 {_FIRST.address, _SECOND.address},
                 one.select_peers([_FIRST, _SECOND, *_OTHERS[1:]]),
             )
-            one.take_digest(
+            one.apply_digest(
                 builders.build_digest(zone="a", address=_OTHERS[1].address)
             )
             peers = one.select_peers([_FIRST, _SECOND, *_OTHERS[1:]])
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -287,7 +287,7 @@
     def _hear_digest(self, digest: messages.Digest) -> None:
         if not self._view.take(digest):
             return
-        self._zone.take_digest(digest)
+        self._zone.apply_digest(digest)
         if digest.zone != self._place.zone:
             return
         loan = digest.loan
