--- a/packages/daemon/src/martenquay_daemon/fleet/hub.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/hub.py
@@ -120,7 +120,7 @@
 
     def _create_report(
         self,
-        part: zone_sum.ZonePart,
+        part: zone_sum.ZoneTotals,
         others: list[zones.KnownSummary],
         facts: HubFacts,
         heard: int,
@@ -149,7 +149,7 @@
         )
 
     def _summarize(
-        self, part: zone_sum.ZonePart, facts: HubFacts
+        self, part: zone_sum.ZoneTotals, facts: HubFacts
     ) -> messages.ZoneSummary:
         own = self._own
         assert own is not None, "its own digest comes first"
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_sum.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_sum.py
@@ -13,7 +13,7 @@
     from martenquay_daemon.duties import usage_counts
     from martenquay_daemon.rollouts import tallies
 
-__all__ = ["ZonePart", "ZoneSum", "add_loads", "add_reading"]
+__all__ = ["ZoneTotals", "ZoneSum", "add_loads", "add_reading"]
 
 # Usage counts of a daemon that ended are kept until they are reported.
 _KEEP_COUNTS_S = 40.0
@@ -21,7 +21,7 @@
 
 
 @dataclasses.dataclass
-class ZonePart:
+class ZoneTotals:
     """Sums over daemons of a zone.
 
     Attributes:
@@ -91,10 +91,10 @@
         """Return the digests of the daemons that are heard."""
         return [known.digest for known in self._list_heard(now, silent_s)]
 
-    def add_up(self, now: float, silent_s: float) -> ZonePart:
+    def add_up(self, now: float, silent_s: float) -> ZoneTotals:
         """Return the sums over all daemons."""
         heard = list(self._list_heard(now, silent_s))
-        part = ZonePart(daemons=len(heard))
+        part = ZoneTotals(daemons=len(heard))
         for known in self._members.values():
             for window, teams in known.digest.begun.items():
                 _add(part.begun.setdefault(window, {}), teams, 1)
@@ -113,8 +113,8 @@
         return part
 
     def leave_out(
-        self, total: ZonePart, member: str, now: float, silent_s: float
-    ) -> ZonePart:
+        self, total: ZoneTotals, member: str, now: float, silent_s: float
+    ) -> ZoneTotals:
         """Return sums without one daemon's part."""
         known = self._members.get(member)
         if known is None:
--- a/tests/test_fleet/test_zone_sum.py
+++ b/tests/test_fleet/test_zone_sum.py
@@ -23,7 +23,7 @@
             now,
         )
 
-    def _add_up(self, now: float) -> zone_sum.ZonePart:
+    def _add_up(self, now: float) -> zone_sum.ZoneTotals:
         return self.sum.add_up(now, _SILENT_S)
 
     def test_a_silent_daemon_has_no_load_but_its_counts_stay(self) -> None:
