--- a/packages/daemon/src/martenquay_daemon/quarantine/desk.py
+++ b/packages/daemon/src/martenquay_daemon/quarantine/desk.py
@@ -44,7 +44,7 @@
     """
 
     def __init__(
-        self, log: ports.LogPort, topic: str, table: strikes.StrikeTable
+        self, log: ports.LogPort, topic: str, table: strikes.CrashTable
     ) -> None:
         self.on_strike: Callable[[], None] = _ignore
         self.may_tidy: Callable[[], bool] = lambda: False
@@ -200,5 +200,5 @@
 
 def create_desk(log: ports.LogPort, topic: str) -> QuarantineDesk:
     """Return a desk that knows of no strike."""
-    table = strikes.StrikeTable(trio.current_time)
+    table = strikes.CrashTable(trio.current_time)
     return QuarantineDesk(log, topic, table)
--- a/packages/daemon/src/martenquay_daemon/quarantine/strikes.py
+++ b/packages/daemon/src/martenquay_daemon/quarantine/strikes.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-__all__ = ["MOST_ROUNDS", "CrashRecord", "StrikeTable"]
+__all__ = ["MOST_ROUNDS", "CrashRecord", "CrashTable"]
 
 # Streams that did no harm were seen to end with two runners in 0.7 s, for they
 # were sent on to the one that crashed next. Of 278 that ran on runners which
@@ -71,7 +71,7 @@
         return rounds >= MOST_ROUNDS or (rounds >= _LEAST_ROUNDS and is_wide)
 
 
-class StrikeTable:
+class CrashTable:
     """Count strikes by content.
 
     Attributes:
--- a/tests/test_promises/test_suspension.py
+++ b/tests/test_promises/test_suspension.py
@@ -99,7 +99,7 @@
 
     def test_a_quarantine_lasts_as_long_as_was_told(self) -> None:
         async def scenario() -> None:
-            table = strikes.StrikeTable(trio.current_time)
+            table = strikes.CrashTable(trio.current_time)
             for number in range(strikes.MOST_ROUNDS):
                 table.add(strikes.CrashRecord("a", number, "runner-1"))
             told_s = table.find_hold("a")
--- a/tests/test_quarantine/test_strikes.py
+++ b/tests/test_quarantine/test_strikes.py
@@ -20,12 +20,12 @@
         return self.now
 
 
-def _build_table(most: int = 100) -> tuple[strikes.StrikeTable, _Clock]:
+def _build_table(most: int = 100) -> tuple[strikes.CrashTable, _Clock]:
     clock = _Clock()
-    return strikes.StrikeTable(clock, most), clock
+    return strikes.CrashTable(clock, most), clock
 
 
-def _strike(table: strikes.StrikeTable, content: str) -> strikes.CrashRecord:
+def _strike(table: strikes.CrashTable, content: str) -> strikes.CrashRecord:
     number = table.find_latest(content) + 1
     strike = strikes.CrashRecord(content, number, f"runner-{number}")
     table.add(strike)
@@ -73,7 +73,7 @@
         self._end_at_once(table, 2)
         self.assertIsNotNone(table.find_hold("a"))
 
-    def _end_at_once(self, table: strikes.StrikeTable, count: int) -> None:
+    def _end_at_once(self, table: strikes.CrashTable, count: int) -> None:
         number = table.find_latest("a") + 1
         for place in range(count):
             table.add(
