--- a/bench/routing/sites.py
+++ b/bench/routing/sites.py
@@ -108,7 +108,7 @@
             self.index,
             ejector,
             retries.RetryBudget(0.1),
-            book.RequestBook(),
+            book.RequestRegistry(),
             metrics.create_metrics(),
         )
         self.runners.listen_for_leaving(self.dispatcher.move_streams)
--- a/packages/daemon/src/martenquay_daemon/callers/chats.py
+++ b/packages/daemon/src/martenquay_daemon/callers/chats.py
@@ -38,7 +38,7 @@
         entrance: admission.Admission,
         model_calls: model.ModelDispatcher,
         deferrable: desk.DeferrableDesk,
-        requests: book.RequestBook,
+        requests: book.RequestRegistry,
         counters: metrics.DaemonMetrics,
     ) -> None:
         self._partner = partner
--- a/packages/daemon/src/martenquay_daemon/callers/services.py
+++ b/packages/daemon/src/martenquay_daemon/callers/services.py
@@ -34,7 +34,7 @@
         routes: gate.Gate,
         entrance: admission.Admission,
         service_calls: service.ServiceDispatcher,
-        requests: book.RequestBook,
+        requests: book.RequestRegistry,
         background: trio.Nursery,
     ) -> None:
         self._partner = partner
--- a/packages/daemon/src/martenquay_daemon/dispatch/book.py
+++ b/packages/daemon/src/martenquay_daemon/dispatch/book.py
@@ -6,7 +6,7 @@
 import dataclasses
 import time
 
-__all__ = ["Decision", "RequestBook", "RunningRequest"]
+__all__ = ["Decision", "RequestRegistry", "RunningRequest"]
 
 _KEPT_DECISIONS = 2000
 
@@ -53,7 +53,7 @@
     reason: str
 
 
-class RequestBook:
+class RequestRegistry:
     """The requests in progress and the latest decisions."""
 
     def __init__(self) -> None:
--- a/packages/daemon/src/martenquay_daemon/dispatch/model.py
+++ b/packages/daemon/src/martenquay_daemon/dispatch/model.py
@@ -51,7 +51,7 @@
         index: prefixes.PrefixIndex,
         ejector: ejection.Ejector,
         budget: retries.RetryBudget,
-        requests: book.RequestBook,
+        requests: book.RequestRegistry,
         counters: metrics.DaemonMetrics,
     ) -> None:
         self._client = client
--- a/packages/daemon/src/martenquay_daemon/dispatch/service.py
+++ b/packages/daemon/src/martenquay_daemon/dispatch/service.py
@@ -115,7 +115,7 @@
         load_book: loads.LoadBook,
         ejector: ejection.Ejector,
         budget: retries.RetryBudget,
-        requests: book.RequestBook,
+        requests: book.RequestRegistry,
         counters: metrics.DaemonMetrics,
     ) -> None:
         self._reusing = reusing
--- a/packages/daemon/src/martenquay_daemon/operators/queries.py
+++ b/packages/daemon/src/martenquay_daemon/operators/queries.py
@@ -65,7 +65,7 @@
         runners: directory.RunnerDirectory,
         load_book: loads.LoadBook,
         ejector: ejection.Ejector,
-        requests: book.RequestBook,
+        requests: book.RequestRegistry,
         deferrable: desk.DeferrableDesk,
         log_health: health.LogHealth,
         peers: links.PeerLinks,
--- a/packages/daemon/src/martenquay_daemon/parts.py
+++ b/packages/daemon/src/martenquay_daemon/parts.py
@@ -73,7 +73,7 @@
         self._engines = engine.EngineClient(reusing)
         self.metrics = metrics.create_metrics()
         self.health = health.LogHealth()
-        self.requests = book.RequestBook()
+        self.requests = book.RequestRegistry()
         self._build_membership(member)
         self._build_configuration()
         self._build_routing()
