--- a/packages/daemon/src/martenquay_daemon/allowances/escrow.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/escrow.py
@@ -208,7 +208,7 @@
         wait_s = (account.promised - account.pile.level) / rate
         return min(_LONGEST_WAIT_S, max(_LEAST_WAIT_S, wait_s))
 
-    def note_need(self, team: catalog.Team, units: float) -> None:
+    def note_shortage(self, team: catalog.Team, units: float) -> None:
         """Note that a request waits for units; less than 0 if no more."""
         account = self._refill(team)
         account.needed = max(0.0, account.needed + units)
--- a/packages/daemon/src/martenquay_daemon/allowances/gate.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/gate.py
@@ -128,14 +128,14 @@
     ) -> terms.Verdict:
         """Wait a moment for units that others have."""
         verdict: terms.Verdict = terms.HeldElsewhere(missing)
-        self._units.note_need(team, missing)
+        self._units.note_shortage(team, missing)
         try:
             with trio.move_on_after(wait_s):
                 while isinstance(verdict, terms.HeldElsewhere):
                     await self._units.news.wait()
                     verdict = self._units.try_spend(team, wish, is_again=True)
         finally:
-            self._units.note_need(team, -missing)
+            self._units.note_shortage(team, -missing)
         return verdict
 
 
--- a/tests/allowance_fleet.py
+++ b/tests/allowance_fleet.py
@@ -176,7 +176,7 @@
             case terms.Admitted():
                 return True
             case terms.HeldElsewhere(missing=missing):
-                self._units.note_need(TEAM, missing)
+                self._units.note_shortage(TEAM, missing)
                 until = trio.current_time() + _WAIT_S
                 self._waiting.append(_Waiting(units, missing, until))
         return False
@@ -192,7 +192,7 @@
             if is_admitted:
                 admitted.append(one.units)
             if is_admitted or trio.current_time() >= one.until:
-                self._units.note_need(TEAM, -one.missing)
+                self._units.note_shortage(TEAM, -one.missing)
                 self._waiting.remove(one)
         return admitted
 
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -343,7 +343,7 @@
             case terms.HeldElsewhere(missing=missing):
                 waiting = messages.QuotaVerdict.WAITING
                 self._tell(address, messages.QuotaReply(want.number, waiting))
-                self.units.note_need(allowance_fleet.TEAM, missing)
+                self.units.note_shortage(allowance_fleet.TEAM, missing)
                 until = trio.current_time() + unit_desk.KEEPER_WAIT_S
                 self._waits.append(
                     _Wait(address, want.number, want.units, missing, until)
@@ -370,7 +370,7 @@
             )
             is_admitted = isinstance(verdict, terms.Admitted)
             if is_admitted or now >= one.until:
-                self.units.note_need(allowance_fleet.TEAM, -one.missing)
+                self.units.note_shortage(allowance_fleet.TEAM, -one.missing)
                 self._waits.remove(one)
                 self._reply(one.address, one.number, 0.0 if is_admitted else 1)
 
