--- a/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
@@ -77,7 +77,7 @@
     store: catalog_store.CatalogStore
     directory: runner_directory.RunnerDirectory
     contact: contact.LogContact
-    units: unit_news.UnitNews
+    units: unit_news.QuotaExchange
     listed: roster.Roster
     loads: loads.LoadLedger
     runner_news: runner_news.RunnerNews
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
@@ -17,7 +17,7 @@
     from martenquay_daemon.discovery import catalog_store, keyed_follower
     from martenquay_daemon.fleet import links, roster
 
-__all__ = ["UnitNews"]
+__all__ = ["QuotaExchange"]
 
 _Verdict = messages.QuotaVerdict
 _MS = 1000
@@ -27,7 +27,7 @@
 _LENT_WITHIN_S = 2.5
 
 
-class UnitNews:
+class QuotaExchange:
     """What this daemon tells and hears of teams' units."""
 
     def __init__(
--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -392,7 +392,7 @@
         )
         self.links.quota_client.observe = self.metrics.note_units_asked
         self._gate = gate.create_gate(self._units, self.links.quota_client)
-        self._unit_news = unit_news.UnitNews(
+        self._unit_news = unit_news.QuotaExchange(
             self.member,
             self._settings.zone,
             self._store,
--- a/tests/test_fleet/test_unit_news.py
+++ b/tests/test_fleet/test_unit_news.py
@@ -44,7 +44,7 @@
 
 
 class UnitNewsTest(clocked.ClockedTestCase):
-    def _build(self, part: float) -> unit_news.UnitNews:
+    def _build(self, part: float) -> unit_news.QuotaExchange:
         records = builders.FakeRecords()
         records.catalogs[b"catalog"] = builders.build_catalog(teams=(_TEAM,))
         store = catalog_store.create_store(records)
@@ -66,7 +66,7 @@
                 zone="a" if number < 2 else "b",
             )
         self.links = _Links()
-        return unit_news.UnitNews(
+        return unit_news.QuotaExchange(
             "entry-1.aa",
             "a",
             store,
@@ -78,7 +78,10 @@
         )
 
     async def _ask(
-        self, news: unit_news.UnitNews, units: float, team: str = _TEAM.name
+        self,
+        news: unit_news.QuotaExchange,
+        units: float,
+        team: str = _TEAM.name,
     ) -> list[messages.QuotaVerdict]:
         replies: list[messages.QuotaReply] = []
         want = messages.QuotaRequest(7, team, units, 0, False, False)
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -103,7 +103,7 @@
 
 
 class _Links:
-    """What `UnitNews` asks of a daemon's links."""
+    """What `QuotaExchange` asks of a daemon's links."""
 
     def is_mesh(self) -> bool:
         """Tell that the fleet is large."""
@@ -184,7 +184,7 @@
             allowance_fleet.BOUNDS, self._rights, self._hurry
         )
         self.units.refill([allowance_fleet.TEAM])
-        self._news = unit_news.UnitNews(
+        self._news = unit_news.QuotaExchange(
             self._member,
             place.zone,
             store,
