--- a/packages/daemon/src/martenquay_daemon/answers.py
+++ b/packages/daemon/src/martenquay_daemon/answers.py
@@ -21,14 +21,14 @@
     def __init__(self) -> None:
         self._config: store.ConfigStore | None = None
         self._claims: claim_desk.ClaimDesk | None = None
-        self._deferrable: deferrable_desk.DeferrableDesk | None = None
+        self._deferrable: deferrable_desk.DeferrableManager | None = None
         self._queries: queries.QueryDesk | None = None
 
     def connect(
         self,
         config: store.ConfigStore,
         claims: claim_desk.ClaimDesk,
-        deferrable: deferrable_desk.DeferrableDesk,
+        deferrable: deferrable_desk.DeferrableManager,
         query_desk: queries.QueryDesk,
     ) -> None:
         """Name the parts; before that every question is put off."""
--- a/packages/daemon/src/martenquay_daemon/callers/chats.py
+++ b/packages/daemon/src/martenquay_daemon/callers/chats.py
@@ -37,7 +37,7 @@
         routes: gate.Gate,
         entrance: admission.Admission,
         model_calls: model.ModelDispatcher,
-        deferrable: desk.DeferrableDesk,
+        deferrable: desk.DeferrableManager,
         requests: book.RequestRegistry,
         counters: metrics.DaemonMetrics,
     ) -> None:
--- a/packages/daemon/src/martenquay_daemon/deferrable/desk.py
+++ b/packages/daemon/src/martenquay_daemon/deferrable/desk.py
@@ -21,7 +21,7 @@
     from martenquay_daemon.journal import health, shards
     from martenquay_daemon.membership import links
 
-__all__ = ["DeferrableDesk", "TicketState"]
+__all__ = ["DeferrableManager", "TicketState"]
 
 _LOG = logs.create_log("deferrable")
 _FETCH_S = 2.0
@@ -41,7 +41,7 @@
     answer: bytes | None = None
 
 
-class DeferrableDesk:
+class DeferrableManager:
     """The deferrable requests of one partner, as one daemon knows them."""
 
     def __init__(
--- a/packages/daemon/src/martenquay_daemon/deferrable/worker.py
+++ b/packages/daemon/src/martenquay_daemon/deferrable/worker.py
@@ -46,7 +46,7 @@
 
     def __init__(
         self,
-        deferrable: desk.DeferrableDesk,
+        deferrable: desk.DeferrableManager,
         shard_map: shards.ShardMap,
         members: member_table.MemberTable,
         config_applied: progress.Progress,
--- a/packages/daemon/src/martenquay_daemon/operators/queries.py
+++ b/packages/daemon/src/martenquay_daemon/operators/queries.py
@@ -66,7 +66,7 @@
         load_book: loads.LoadBook,
         ejector: ejection.Ejector,
         requests: book.RequestRegistry,
-        deferrable: desk.DeferrableDesk,
+        deferrable: desk.DeferrableManager,
         log_health: health.LogHealth,
         peers: links.PeerLinks,
     ) -> None:
--- a/packages/daemon/src/martenquay_daemon/parts.py
+++ b/packages/daemon/src/martenquay_daemon/parts.py
@@ -237,7 +237,7 @@
         self._gate = gate.Gate(
             settings.partner, self.config, self.runners, self.members
         )
-        self.deferrable = deferrable_desk.DeferrableDesk(
+        self.deferrable = deferrable_desk.DeferrableManager(
             self._log_client,
             self.health,
             work_map,
