--- a/bench/runner_limits.py
+++ b/bench/runner_limits.py
@@ -43,7 +43,7 @@
     if place.rank == 0:
         return send_shares.HolderSchedule(1 / rate, 1 / rate)
     length_s = 2 / min(rate, 1.0)
-    return send_shares.AskSlot(
+    return send_shares.ProbeSlot(
         max(_SILENT_S, 3 / rate) + (place.rank - 1) * length_s,
         length_s,
         max(1, place.daemons - 1) * length_s,
--- a/packages/daemon/src/martenquay_daemon/backpressure/runner_limits.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/runner_limits.py
@@ -154,7 +154,7 @@
         match self._find_share(limit, self._find_place(runner)):
             case send_shares.HolderSchedule() as pace:
                 return _wait_for_pace(known, pace)
-            case send_shares.AskSlot() as slot:
+            case send_shares.ProbeSlot() as slot:
                 return _wait_for_slot(known, slot)
 
     def find_next_s(self, runner: runners.Runner) -> float:
@@ -281,7 +281,7 @@
     return max(0.0, due_at - trio.current_time())
 
 
-def _wait_for_slot(known: _Known, slot: send_shares.AskSlot) -> float:
+def _wait_for_slot(known: _Known, slot: send_shares.ProbeSlot) -> float:
     now = trio.current_time()
     past_s = now - known.word.heard_at - slot.first_s
     if past_s < 0:
--- a/packages/daemon/src/martenquay_daemon/backpressure/send_shares.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/send_shares.py
@@ -14,7 +14,7 @@
 import math
 
 __all__ = [
-    "AskSlot",
+    "ProbeSlot",
     "HolderSchedule",
     "SenderRank",
     "Share",
@@ -65,7 +65,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class AskSlot:
+class ProbeSlot:
     """When another daemon may send one request, to learn of the limit's end.
 
     A slot that was not used is gone: else all would be due after a pause.
@@ -81,7 +81,7 @@
     period_s: float
 
 
-Share = HolderSchedule | AskSlot
+Share = HolderSchedule | ProbeSlot
 
 
 def find_pace_s(limit_per_s: float) -> float:
@@ -102,4 +102,4 @@
     length_s = 1 / min(_ASK_PART * rate, _MOST_ASKED_PER_S)
     number = place.rank - holders
     others = max(number + 1, daemons - holders)
-    return AskSlot(silent_s + number * length_s, length_s, others * length_s)
+    return ProbeSlot(silent_s + number * length_s, length_s, others * length_s)
--- a/tests/test_backpressure/test_send_shares.py
+++ b/tests/test_backpressure/test_send_shares.py
@@ -37,7 +37,7 @@
                 send_shares.find_share(limit, send_shares.SenderRank(rank, 70))
                 for rank in range(70)
             ]
-            slots = [s for s in shares if isinstance(s, send_shares.AskSlot)]
+            slots = [s for s in shares if isinstance(s, send_shares.ProbeSlot)]
             for one, following in itertools.pairwise(slots):
                 end_s = one.first_s + one.length_s
                 self.assertAlmostEqual(end_s, following.first_s)
