--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -181,7 +181,7 @@
 
     def keeps_units(self) -> bool:
         """Tell whether this daemon keeps the units that it needs."""
-        return self.is_mesh() or self._zone.is_keeper()
+        return self.is_mesh() or self._zone.is_quota_hub()
 
     def find_quota_hub(self) -> zone_mode.Keeper | None:
         """Return the hub to lend to, if there is to be one and it reports."""
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
@@ -259,7 +259,7 @@
         """Return when this hub made a round of reports, in trio's time."""
         return self._rounds.find(number)
 
-    def is_keeper(self) -> bool:
+    def is_quota_hub(self) -> bool:
         """Tell whether this daemon keeps its zone's units."""
         return self.is_hub and self._is_first
 
@@ -277,7 +277,7 @@
             for address, one in self._served.items()
             if one.heard_at >= oldest and address in self._own_hubs
         }
-        if self.is_keeper() or not fresh:
+        if self.is_quota_hub() or not fresh:
             return None
         first = next(a for a in self._own_hubs if a in fresh)
         is_steady = fresh[first].since <= trio.current_time() - _STEADY_S
@@ -306,7 +306,7 @@
 
     def list_other_keepers(self) -> list[str]:
         """Return the other zones' hubs, if this one keeps units like them."""
-        return list(self._foreign_hubs) if self.is_keeper() else []
+        return list(self._foreign_hubs) if self.is_quota_hub() else []
 
     def find_sole_since(self) -> float:
         """Return since when no hub uses what the last process here had lent.
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -251,7 +251,7 @@
         keepers = self._zone.list_quota_hubs()[:_MOST_ASKED]
         self._number += 1
         one = _Ask(units, trio.current_time(), keepers, self._number)
-        if keepers and not self._zone.is_keeper():
+        if keepers and not self._zone.is_quota_hub():
             self._asks[one.number] = one
             self._ask_next(one)
             return False
@@ -353,7 +353,7 @@
 
     def _tell_units(self, now: float) -> None:
         due_s = _HURRY_S if self._is_hurried else _PACE.units_s
-        if now < self._noted_at + due_s or not self._zone.is_keeper():
+        if now < self._noted_at + due_s or not self._zone.is_quota_hub():
             return
         self._noted_at = now
         self._is_hurried = False
