--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -267,7 +267,7 @@
                 self._zone.take_exchange(message)
             case messages.FleetReport():
                 self._take_report(message)
-            case messages.WantState():
+            case messages.StateRequest():
                 reply(self._copies.create_copy(message, self._list_peers()))
             case messages.QuotaRequest():
                 self._answer_units(message, reply)
--- a/packages/daemon/src/martenquay_daemon/fleet/messages.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/messages.py
@@ -33,7 +33,7 @@
     "QuotaUpdate",
     "QuotaReply",
     "QuotaVerdict",
-    "WantState",
+    "StateRequest",
     "QuotaRequest",
     "ZoneExchange",
     "ZoneSummary",
@@ -392,7 +392,7 @@
     capacity: float
 
 
-class WantState(msgspec.Struct, frozen=True, array_like=True, tag="w"):
+class StateRequest(msgspec.Struct, frozen=True, array_like=True, tag="w"):
     """Ask for what the sender cannot read from the log now.
 
     Attributes:
@@ -407,7 +407,7 @@
 
 
 class StateReply(msgspec.Struct, frozen=True, array_like=True, tag="s"):
-    """Answer `WantState` with what the asker lacks.
+    """Answer `StateRequest` with what the asker lacks.
 
     Attributes:
         catalog: The record of the version in force, compressed; empty if the
@@ -512,7 +512,7 @@
     DigestMessage
     | ZoneExchange
     | FleetReport
-    | WantState
+    | StateRequest
     | StateReply
     | QuotaUpdate
     | QuotaRequest
--- a/packages/daemon/src/martenquay_daemon/fleet/state_copies.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/state_copies.py
@@ -81,7 +81,7 @@
         self._lacks_some = False
 
     def create_copy(
-        self, want: messages.WantState, peers: list[messages.PeerLine]
+        self, want: messages.StateRequest, peers: list[messages.PeerLine]
     ) -> messages.StateReply:
         """Return what the asker lacks."""
         state = self._state
@@ -101,13 +101,13 @@
             want.number,
         )
 
-    def create_want(self) -> messages.WantState:
+    def create_want(self) -> messages.StateRequest:
         """Return a question for all that is new."""
         state = self._state
         self._questions += 1
         self._asked.note(self._questions)
         runners_end = 0 if self._lacks_some else state.runner_follower.end
-        return messages.WantState(
+        return messages.StateRequest(
             state.store.version, runners_end, self._questions
         )
 
