--- a/packages/daemon/src/martenquay_daemon/forwarding/content_guard.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/content_guard.py
@@ -22,7 +22,7 @@
 
     def __init__(
         self,
-        quarantine: desk.QuarantineDesk,
+        quarantine: desk.QuarantineManager,
         directory: runner_directory.RunnerDirectory,
         has_ended: Callable[[str], Awaitable[bool]] = evidence.has_ended,
     ) -> None:
--- a/packages/daemon/src/martenquay_daemon/quarantine/desk.py
+++ b/packages/daemon/src/martenquay_daemon/quarantine/desk.py
@@ -19,7 +19,7 @@
 
     from martenquay_core.serving import ports
 
-__all__ = ["QuarantineDesk", "create_desk"]
+__all__ = ["QuarantineManager", "create_desk"]
 
 _LOG = logs.create_log("quarantine")
 # What runs on a healthy log takes 4 ms; after an outage the first try of each
@@ -32,7 +32,7 @@
 _FOREIGN_LINE_S = 10.0
 
 
-class QuarantineDesk:
+class QuarantineManager:
     """Keep the strikes that are known, and write those that are found.
 
     It implements `keyed_follower.RecordSink` for the strikes' topic.
@@ -198,7 +198,7 @@
     pass
 
 
-def create_desk(log: ports.LogPort, topic: str) -> QuarantineDesk:
+def create_desk(log: ports.LogPort, topic: str) -> QuarantineManager:
     """Return a desk that knows of no strike."""
     table = strikes.CrashTable(trio.current_time)
-    return QuarantineDesk(log, topic, table)
+    return QuarantineManager(log, topic, table)
--- a/tests/test_quarantine/test_desk.py
+++ b/tests/test_quarantine/test_desk.py
@@ -184,11 +184,11 @@
 
         self.run_clocked(scenario)
 
-    def _strike_out(self, found: desk.QuarantineDesk, content: str) -> None:
+    def _strike_out(self, found: desk.QuarantineManager, content: str) -> None:
         for number in range(3):
             found.note_crash(content, number, "runner-1", _CRASH)
 
-    def _start(self, nursery: trio.Nursery) -> desk.QuarantineDesk:
+    def _start(self, nursery: trio.Nursery) -> desk.QuarantineManager:
         found = desk.create_desk(self.log, _TOPIC)
         follower = keyed_follower.KeyedFollower(
             self.log, contact.LogContact(), _TOPIC, found, _PACE
