--- a/packages/daemon/src/martenquay_daemon/fleet/messages.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/messages.py
@@ -27,7 +27,7 @@
     "PoolLine",
     "PrefillEntry",
     "RunnerReports",
-    "SideLine",
+    "TallyEntry",
     "StateReply",
     "TrialLine",
     "QuotaUpdate",
@@ -120,7 +120,7 @@
     offset: int
 
 
-class SideLine(msgspec.Struct, frozen=True, array_like=True):
+class TallyEntry(msgspec.Struct, frozen=True, array_like=True):
     """What runners of one version, or of all others, answered on a route.
 
     Attributes:
@@ -147,7 +147,7 @@
     """
 
     order: int
-    routes: dict[str, tuple[SideLine, SideLine]]
+    routes: dict[str, tuple[TallyEntry, TallyEntry]]
 
 
 class LeaseStatus(msgspec.Struct, frozen=True, array_like=True):
--- a/packages/daemon/src/martenquay_daemon/fleet/trial_lines.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/trial_lines.py
@@ -60,8 +60,8 @@
     return total
 
 
-def _write_side(side: tallies.OutcomeTally) -> messages.SideLine:
-    return messages.SideLine(
+def _write_side(side: tallies.OutcomeTally) -> messages.TallyEntry:
+    return messages.TallyEntry(
         side.answers,
         side.failures,
         side.timed,
@@ -70,7 +70,7 @@
     )
 
 
-def _read_side(line: messages.SideLine) -> tallies.OutcomeTally:
+def _read_side(line: messages.TallyEntry) -> tallies.OutcomeTally:
     return tallies.OutcomeTally(
         line.answers,
         line.failures,
