--- a/packages/daemon/src/martenquay_daemon/fleet/messages.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/messages.py
@@ -29,7 +29,7 @@
     "RunnerReports",
     "TallyEntry",
     "StateReply",
-    "TrialLine",
+    "TrialEntry",
     "QuotaUpdate",
     "QuotaReply",
     "QuotaVerdict",
@@ -138,7 +138,7 @@
     log_squares: float
 
 
-class TrialLine(msgspec.Struct, frozen=True, array_like=True):
+class TrialEntry(msgspec.Struct, frozen=True, array_like=True):
     """What is known of a version on trial.
 
     Attributes:
@@ -271,7 +271,7 @@
     begun: dict[int, dict[str, int]]
     demand: dict[str, float]
     reading: dict[str, PrefillEntry]
-    trials: dict[str, TrialLine]
+    trials: dict[str, TrialEntry]
     orders: list[RolloutOrderEntry]
     runner_reports: RunnerReports
 
@@ -325,7 +325,7 @@
     begun: dict[int, dict[str, int]]
     demand: dict[str, float]
     reading: dict[str, PrefillEntry]
-    trials: dict[str, TrialLine]
+    trials: dict[str, TrialEntry]
 
 
 class DigestMessage(msgspec.Struct, frozen=True, array_like=True, tag="d"):
--- a/packages/daemon/src/martenquay_daemon/fleet/trial_lines.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/trial_lines.py
@@ -15,10 +15,10 @@
 
 def write_trials(
     trials: dict[str, tallies.Trial],
-) -> dict[str, messages.TrialLine]:
+) -> dict[str, messages.TrialEntry]:
     """Return what to tell."""
     return {
-        service: messages.TrialLine(
+        service: messages.TrialEntry(
             trial.order,
             {
                 route: (_write_side(tally.old), _write_side(tally.new))
@@ -30,7 +30,7 @@
 
 
 def read_trials(
-    lines: dict[str, messages.TrialLine],
+    lines: dict[str, messages.TrialEntry],
 ) -> dict[str, tallies.Trial]:
     """Return what was told."""
     return {
