--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -57,7 +57,7 @@
         apply_digest: Of one other daemon, in a small fleet.
         apply_report: Of all others, in a large one.
         change_mode: The fleet has become large or small.
-        take_subscriber: Of a daemon that takes this one for its hub, with the
+        apply_subscriber_digest: Of a daemon that takes this one for its hub, with the
             time at which the report was sent that its loan counts from.
         create_units: Returns what to tell others that keep units.
         take_units: Of one that does.
@@ -71,7 +71,7 @@
     apply_digest: Callable[[messages.Digest], None]
     apply_report: Callable[[messages.FleetReport], None]
     change_mode: Callable[[], None]
-    take_subscriber: Callable[[messages.Digest, float | None], None]
+    apply_subscriber_digest: Callable[[messages.Digest, float | None], None]
     create_units: Callable[[], messages.QuotaUpdate]
     take_units: Callable[[messages.QuotaUpdate], None]
     answer_units: Callable[
@@ -321,7 +321,7 @@
         elif digest.zone == self._own_place.zone:
             loan = digest.loan
             reported_at = loan and self._zone.find_reported(loan.heard)
-            self.listeners.take_subscriber(digest, reported_at)
+            self.listeners.apply_subscriber_digest(digest, reported_at)
 
     def _take_report(self, report: messages.FleetReport) -> None:
         if self.is_mesh():
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
@@ -111,7 +111,7 @@
             math.floor(loan.ends_s * _MS),
         )
 
-    def take_subscriber(
+    def apply_subscriber_digest(
         self, digest: messages.Digest, reported_at: float | None
     ) -> None:
         """Take what a daemon of this zone lends, and how far it has read.
--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -362,7 +362,7 @@
             self._shared.apply_digest,
             self._shared.apply_report,
             self._shared.change_mode,
-            self._unit_news.take_subscriber,
+            self._unit_news.apply_subscriber_digest,
             self._unit_news.create_note,
             self._unit_news.take_note,
             self._unit_news.answer,
--- a/tests/test_fleet/test_unit_news.py
+++ b/tests/test_fleet/test_unit_news.py
@@ -153,7 +153,7 @@
             )
             hub = self._build(0.0)
             # It is meant for another process.
-            hub.take_subscriber(digest, trio.current_time())
+            hub.apply_subscriber_digest(digest, trio.current_time())
             self.assertEqual(0.0, self.rights.find_usable_share())
 
         self.run_clocked(scenario)
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -292,7 +292,7 @@
             return
         loan = digest.loan
         reported_at = loan and self._zone.find_reported(loan.heard)
-        self._news.take_subscriber(digest, reported_at)
+        self._news.apply_subscriber_digest(digest, reported_at)
 
     def _hear_zones(self, report: messages.FleetReport) -> None:
         for summary in report.zones:
