--- a/packages/daemon/src/martenquay_daemon/duties/usage_reporter.py
+++ b/packages/daemon/src/martenquay_daemon/duties/usage_reporter.py
@@ -143,7 +143,7 @@
     async def _write(self, window: int) -> bool:
         """Write the report to the log unless another one is there."""
         counts = view.merge_counts(
-            self._counts.list_counts(), self._view.sum_begun(window), window
+            self._counts.list_counts(), self._view.sum_started(window), window
         )
         payload = msgspec.msgpack.encode(_Report(window, counts))
         written = await self._log.append(
--- a/packages/daemon/src/martenquay_daemon/fleet/view.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/view.py
@@ -91,7 +91,7 @@
         listed = len(self._listed - {self._instance})
         return 1 + max(self._count_heard(), listed)
 
-    def sum_begun(self, window: int) -> dict[str, int]:
+    def sum_started(self, window: int) -> dict[str, int]:
         """Return the requests that others began in a window, by team."""
         total: dict[str, int] = {}
         for begun in self._list_begun():
--- a/tests/test_fleet/test_usage_handover.py
+++ b/tests/test_fleet/test_usage_handover.py
@@ -49,7 +49,7 @@
     def test_a_zone_whose_counts_were_left_out_is_not_done(self) -> None:
         async def scenario() -> None:
             fleet = self._hear(self._report(to_holder=False))
-            self.assertEqual({}, fleet.sum_begun(_WINDOW))
+            self.assertEqual({}, fleet.sum_started(_WINDOW))
             self.assertFalse(fleet.has_closed(_WINDOW))
 
         self.run_clocked(scenario)
@@ -69,7 +69,7 @@
     def test_a_zone_whose_counts_were_told_is_done(self) -> None:
         async def scenario() -> None:
             fleet = self._hear(self._report(to_holder=True))
-            self.assertEqual({"florists": 9}, fleet.sum_begun(_WINDOW))
+            self.assertEqual({"florists": 9}, fleet.sum_started(_WINDOW))
             self.assertTrue(fleet.has_closed(_WINDOW))
 
         self.run_clocked(scenario)
--- a/tests/test_fleet/test_view.py
+++ b/tests/test_fleet/test_view.py
@@ -33,7 +33,7 @@
                 )
             )
             self.assertEqual(1, len(fleet.members.list_current()))
-            self.assertEqual({"florists": 3}, fleet.sum_begun(7))
+            self.assertEqual({"florists": 3}, fleet.sum_started(7))
             self.assertEqual(["entry-2.aa"], ended)
 
         self.run_clocked(scenario)
@@ -90,7 +90,7 @@
                 )
                 fleet.zones.take(summary, {}, now)
             self.assertEqual(7, fleet.count_daemons())
-            self.assertEqual({"florists": 4}, fleet.sum_begun(7))
+            self.assertEqual({"florists": 4}, fleet.sum_started(7))
             self.assertEqual(10.0, fleet.sum_demand("model"))
             self.assertEqual(["entry-2", "entry-3"], fleet.list_candidates())
             self.assertTrue(fleet.has_closed(7))
