--- a/packages/daemon/src/martenquay_daemon/backpressure/limit_words.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/limit_words.py
@@ -9,7 +9,12 @@
 
 import dataclasses
 
-__all__ = ["LimitReport", "choose_later_end", "fold_told", "merge_report"]
+__all__ = [
+    "LimitReport",
+    "choose_later_end",
+    "merge_gossiped_report",
+    "merge_report",
+]
 
 # A word that comes back from the daemons that were told it seems younger by
 # the time of its way; taken for a new one it would never grow old.
@@ -70,7 +75,7 @@
     return word
 
 
-def fold_told(
+def merge_gossiped_report(
     known: LimitReport | None, word: LimitReport
 ) -> LimitReport | None:
     """Return the newest word, with one that another daemon has told."""
--- a/packages/daemon/src/martenquay_daemon/backpressure/runner_limits.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/runner_limits.py
@@ -114,7 +114,7 @@
         """Take what other daemons were told, by runner id."""
         for runner_id, word in words:
             known = self._find_word(runner_id)
-            folded = limit_words.fold_told(known, word)
+            folded = limit_words.merge_gossiped_report(known, word)
             if folded is not known:
                 self._keep(runner_id, known, folded, is_own=False)
 
--- a/tests/test_backpressure/test_limit_words.py
+++ b/tests/test_backpressure/test_limit_words.py
@@ -72,12 +72,12 @@
     def test_a_word_that_comes_back_does_not_grow_younger(self) -> None:
         known = _word(1.0, 1.0, 1.5)
         echo = _word(1.0, 1.0, 1.9)
-        self.assertEqual(known, limit_words.fold_told(known, echo))
+        self.assertEqual(known, limit_words.merge_gossiped_report(known, echo))
 
     def test_a_word_that_others_heard_later_is_news(self) -> None:
         known = _word(1.0, 1.0, 1.5)
         later = _word(1.0, 2.9, 3.0)
-        found = limit_words.fold_told(known, later)
+        found = limit_words.merge_gossiped_report(known, later)
         self.assertEqual(3.0, found.heard_at)
 
     def test_news_on_their_way_do_not_end_a_limit_heard_meanwhile(
@@ -85,4 +85,4 @@
     ) -> None:
         known = _word(1.0, 1.0, 1.5)
         late = _word(None, 1.6, 1.7)
-        self.assertEqual(known, limit_words.fold_told(known, late))
+        self.assertEqual(known, limit_words.merge_gossiped_report(known, late))
