--- a/packages/daemon/src/martenquay_daemon/fleet/messages.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/messages.py
@@ -16,7 +16,7 @@
     "DigestMessage",
     "FleetMessage",
     "FleetReport",
-    "GiftLine",
+    "TransferEntry",
     "LoanLine",
     "LeaseStatus",
     "LimitLine",
@@ -192,7 +192,7 @@
     life_ms: int
 
 
-class GiftLine(msgspec.Struct, frozen=True, array_like=True):
+class TransferEntry(msgspec.Struct, frozen=True, array_like=True):
     """What one daemon hands to another.
 
     Attributes:
@@ -446,7 +446,7 @@
     address: str
     number: int
     pools: dict[str, PoolLine]
-    gifts: dict[str, GiftLine]
+    gifts: dict[str, TransferEntry]
 
 
 class QuotaRequest(msgspec.Struct, frozen=True, array_like=True, tag="q"):
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
@@ -243,7 +243,7 @@
         }
 
 
-def _tell_gift(gift: escrow.QuotaTransfer) -> messages.GiftLine:
+def _tell_gift(gift: escrow.QuotaTransfer) -> messages.TransferEntry:
     parcels = {
         team: [
             # Rounded down: no unit may live longer by its way.
@@ -252,10 +252,10 @@
         ]
         for team, found in gift.parcels.items()
     }
-    return messages.GiftLine(gift.heard, parcels)
+    return messages.TransferEntry(gift.heard, parcels)
 
 
-def _read_gift(line: messages.GiftLine) -> escrow.QuotaTransfer:
+def _read_gift(line: messages.TransferEntry) -> escrow.QuotaTransfer:
     parcels = {
         team: [(one.units, one.life_ms / _MS) for one in found]
         for team, found in line.parcels.items()
