--- a/bench/fleet_cost.py
+++ b/bench/fleet_cost.py
@@ -55,7 +55,9 @@
         zone="zone-0",
         address=f"10.0.{member // 250}.{member % 250}:7600",
         number=number,
-        loan=messages.LoanLine("entry-0.aabbccdd", number, 0.0025, 0, 1800),
+        loan=messages.DelegationEntry(
+            "entry-0.aabbccdd", number, 0.0025, 0, 1800
+        ),
         members_end=900,
         loads={
             f"i-{(first + n) % runners:010x}": messages.LoadEntry(2, 900)
--- a/packages/daemon/src/martenquay_daemon/fleet/messages.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/messages.py
@@ -17,7 +17,7 @@
     "FleetMessage",
     "FleetReport",
     "TransferEntry",
-    "LoanLine",
+    "DelegationEntry",
     "LeaseStatus",
     "LimitLine",
     "LoadEntry",
@@ -205,7 +205,7 @@
     parcels: dict[str, list[ParcelLine]]
 
 
-class LoanLine(msgspec.Struct, frozen=True, array_like=True):
+class DelegationEntry(msgspec.Struct, frozen=True, array_like=True):
     """Lend a part of all teams' rates.
 
     Attributes:
@@ -265,7 +265,7 @@
     is_leaving: bool
     lease: LeaseStatus | None
     window: int
-    loan: LoanLine | None
+    loan: DelegationEntry | None
     members_end: int
     loads: dict[str, LoadEntry]
     begun: dict[int, dict[str, int]]
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
@@ -94,7 +94,7 @@
             and self._units.rights.find_usable_share() > 0
         )
 
-    def create_loan(self) -> messages.LoanLine | None:
+    def create_loan(self) -> messages.DelegationEntry | None:
         """Return the loan of this daemon's part, if a hub is to use it."""
         keeper = self._links.find_quota_hub()
         if keeper is None:
@@ -102,7 +102,7 @@
         loan = self._units.rights.delegate(keeper.member, keeper.number)
         if loan is None:
             return None
-        return messages.LoanLine(
+        return messages.DelegationEntry(
             loan.receiver,
             loan.heard,
             loan.part,
