--- a/packages/daemon/src/martenquay_daemon/allowances/rights.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/rights.py
@@ -20,7 +20,13 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator
 
-__all__ = ["DELEGATION_S", "Loan", "RefillShares", "RateShare", "Span"]
+__all__ = [
+    "DELEGATION_S",
+    "ShareDelegation",
+    "RefillShares",
+    "RateShare",
+    "Span",
+]
 
 # A part is lent for so long and lent again twice a second. It has to outlast
 # the report that the loan counts from (up to 0.8 s old) and one digest that is
@@ -44,7 +50,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Loan:
+class ShareDelegation:
     """A part that its owner does not use for some time.
 
     Attributes:
@@ -194,7 +200,7 @@
             return held + own, 0.0
         return held, own
 
-    def delegate(self, receiver: str, heard: int) -> Loan | None:
+    def delegate(self, receiver: str, heard: int) -> ShareDelegation | None:
         """Lend this instance's part, for a while from now.
 
         Args:
@@ -214,14 +220,20 @@
             self._larger_until = last.until
         self._lent = _Lent(receiver, own.part, starts_at, now + DELEGATION_S)
         starts_s = max(0.0, starts_at - now)
-        return Loan(receiver, heard, own.part, starts_s, DELEGATION_S)
+        return ShareDelegation(
+            receiver, heard, own.part, starts_s, DELEGATION_S
+        )
 
     def has_lent_more(self) -> bool:
         """Tell whether a loan is still good that was larger than the part."""
         return trio.current_time() < self._larger_until
 
     def accept_delegation(
-        self, instance: str, member: str, loan: Loan, reported_at: float
+        self,
+        instance: str,
+        member: str,
+        loan: ShareDelegation,
+        reported_at: float,
     ) -> None:
         """Take another instance's part for a while.
 
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
@@ -127,7 +127,7 @@
         line = digest.loan
         if line is None or reported_at is None or line.receiver != self._member:
             return
-        loan = rights.Loan(
+        loan = rights.ShareDelegation(
             line.receiver,
             line.heard,
             line.part,
