--- a/packages/daemon/src/martenquay_daemon/allowances/rights.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/rights.py
@@ -224,7 +224,7 @@
             receiver, heard, own.part, starts_s, DELEGATION_S
         )
 
-    def has_lent_more(self) -> bool:
+    def has_larger_delegation(self) -> bool:
         """Tell whether a loan is still good that was larger than the part."""
         return trio.current_time() < self._larger_until
 
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
@@ -162,7 +162,7 @@
         What it lent while fewer were listed was more than its part is now; a
         new daemon has to wait until that is over.
         """
-        if not self._units.rights.has_lent_more():
+        if not self._units.rights.has_larger_delegation():
             self._told_end = max(0, self._members.end)
         return self._told_end
 
--- a/tests/test_allowances/test_rights.py
+++ b/tests/test_allowances/test_rights.py
@@ -163,12 +163,12 @@
             )
             one.delegate("hub.1", 1)
             parts[0] = 0.1
-            self.assertFalse(one.has_lent_more())
+            self.assertFalse(one.has_larger_delegation())
             await trio.sleep(0.5)
             self.assertAlmostEqual(0.1, one.delegate("hub.1", 2).part)
-            self.assertTrue(one.has_lent_more())
+            self.assertTrue(one.has_larger_delegation())
             await trio.sleep(rights.DELEGATION_S)
-            self.assertFalse(one.has_lent_more())
+            self.assertFalse(one.has_larger_delegation())
 
         self.run_clocked(scenario)
 
