--- a/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
@@ -125,7 +125,7 @@
             is_leaving=self.is_leaving,
             lease=sources.lease.create_news(),
             window=sources.usage.find_window(),
-            loan=sources.units.create_loan(),
+            loan=sources.units.create_delegation(),
             members_end=members_end,
             loads={
                 runner_id: messages.LoadEntry(load.requests, load.unread_tokens)
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
@@ -94,7 +94,7 @@
             and self._units.rights.find_usable_share() > 0
         )
 
-    def create_loan(self) -> messages.DelegationEntry | None:
+    def create_delegation(self) -> messages.DelegationEntry | None:
         """Return the loan of this daemon's part, if a hub is to use it."""
         keeper = self._links.find_quota_hub()
         if keeper is None:
--- a/tests/test_fleet/test_unit_news.py
+++ b/tests/test_fleet/test_unit_news.py
@@ -142,10 +142,10 @@
         async def scenario() -> None:
             lender = self._build(0.25)
             await trio.sleep(0.1)
-            self.assertIsNone(lender.create_loan())
+            self.assertIsNone(lender.create_delegation())
             self.links.keeper = zone_mode.Keeper("entry-0.bb", "h:1", 9)
             self.assertTrue(lender.is_to_lend())
-            line = lender.create_loan()
+            line = lender.create_delegation()
             self.assertEqual(("entry-0.bb", 9), (line.receiver, line.heard))
             self.assertFalse(lender.is_to_lend())
             digest = builders.build_digest(
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -411,7 +411,7 @@
             address=self.address,
             number=self._number,
             capacity=self._place.capacity,
-            loan=self._news.create_loan(),
+            loan=self._news.create_delegation(),
             members_end=members_end,
         )
         self._zone.set_own_digest(digest)
