--- a/packages/daemon/src/martenquay_daemon/allowances/escrow.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/escrow.py
@@ -368,7 +368,7 @@
         unspent, which is as good as paying it.
         """
         most = self.bounds.find_most_owed()
-        held, fresh = self.rights.find_part_to_owe()
+        held, fresh = self.rights.find_overdraft_shares()
         return most * held + min(most * fresh, account.pile.unspent)
 
     def _is_elsewhere(self, team: catalog.Team, missing: float) -> bool:
--- a/packages/daemon/src/martenquay_daemon/allowances/rights.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/rights.py
@@ -179,7 +179,7 @@
             one.span.part for one in self._list_active(now)
         )
 
-    def find_part_to_owe(self) -> tuple[float, float]:
+    def find_overdraft_shares(self) -> tuple[float, float]:
         """Return the parts on which units may be owed.
 
         Returns:
--- a/tests/test_allowances/test_rights.py
+++ b/tests/test_allowances/test_rights.py
@@ -139,7 +139,7 @@
                     "e", "e.1", lender.delegate("hub.1", 1), now
                 )
                 await trio.sleep(0.5)
-            held, fresh = hub.find_part_to_owe()
+            held, fresh = hub.find_overdraft_shares()
             self.assertEqual((0.0, 0.2), (held, fresh))
             for _ in range(4):
                 now = trio.current_time()
@@ -147,11 +147,11 @@
                     "e", "e.1", lender.delegate("hub.1", 1), now
                 )
                 await trio.sleep(0.5)
-            held, fresh = hub.find_part_to_owe()
+            held, fresh = hub.find_overdraft_shares()
             self.assertAlmostEqual(0.3, held)
             self.assertEqual(0.0, fresh)
             # The lender itself does not: the hub may.
-            self.assertEqual((0.0, 0.0), lender.find_part_to_owe())
+            self.assertEqual((0.0, 0.0), lender.find_overdraft_shares())
 
         self.run_clocked(scenario)
 
