--- a/packages/daemon/src/martenquay_daemon/fleet/messages.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/messages.py
@@ -19,7 +19,7 @@
     "TransferEntry",
     "DelegationEntry",
     "LeaseStatus",
-    "LimitLine",
+    "LimitEntry",
     "LoadEntry",
     "RolloutOrderEntry",
     "ParcelLine",
@@ -58,7 +58,7 @@
     unread_tokens: int
 
 
-class LimitLine(msgspec.Struct, frozen=True, array_like=True):
+class LimitEntry(msgspec.Struct, frozen=True, array_like=True):
     """What a runner said of its limit.
 
     Attributes:
@@ -82,7 +82,7 @@
         leaving: Those that leave, with the start of the process that said so.
     """
 
-    limits: dict[str, LimitLine]
+    limits: dict[str, LimitEntry]
     leaving: dict[str, int | None]
 
 
--- a/packages/daemon/src/martenquay_daemon/fleet/runner_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/runner_news.py
@@ -49,11 +49,11 @@
 
 def _write_words(
     words: list[tuple[str, limit_words.LimitReport]],
-) -> dict[str, messages.LimitLine]:
+) -> dict[str, messages.LimitEntry]:
     """Return lines for words, by runner id."""
     now = trio.current_time()
     return {
-        runner_id: messages.LimitLine(
+        runner_id: messages.LimitEntry(
             word.limit_per_s,
             word.born_ms,
             round((now - word.sent_at) * _MS),
@@ -64,7 +64,7 @@
 
 
 def _read_words(
-    lines: dict[str, messages.LimitLine],
+    lines: dict[str, messages.LimitEntry],
 ) -> list[tuple[str, limit_words.LimitReport]]:
     now = trio.current_time()
     return [
