--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -468,10 +468,10 @@
         if not self.is_mesh():
             yield from self._zone.list_states()
 
-    def _list_peers(self) -> list[messages.PeerLine]:
+    def _list_peers(self) -> list[messages.PeerEntry]:
         own = dataclasses.replace(self._own_place, address=self.address)
         return [
-            messages.PeerLine(p.address, p.zone, p.capacity)
+            messages.PeerEntry(p.address, p.zone, p.capacity)
             for p in [*self._known.values(), own]
         ]
 
--- a/packages/daemon/src/martenquay_daemon/fleet/messages.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/messages.py
@@ -23,7 +23,7 @@
     "LoadEntry",
     "RolloutOrderEntry",
     "ParcelLine",
-    "PeerLine",
+    "PeerEntry",
     "PoolLine",
     "PrefillEntry",
     "RunnerReports",
@@ -378,7 +378,7 @@
     runner_reports: RunnerReports
 
 
-class PeerLine(msgspec.Struct, frozen=True, array_like=True):
+class PeerEntry(msgspec.Struct, frozen=True, array_like=True):
     """Where a daemon is.
 
     Attributes:
@@ -425,7 +425,7 @@
     runners_end: int
     runners: list[runner_entries.RunnerCopy]
     runner_ids: list[str]
-    peers: list[PeerLine]
+    peers: list[PeerEntry]
     runners_age_ms: int
     regained_ms: int
     number: int
--- a/packages/daemon/src/martenquay_daemon/fleet/state_copies.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/state_copies.py
@@ -81,7 +81,7 @@
         self._lacks_some = False
 
     def create_copy(
-        self, want: messages.StateRequest, peers: list[messages.PeerLine]
+        self, want: messages.StateRequest, peers: list[messages.PeerEntry]
     ) -> messages.StateReply:
         """Return what the asker lacks."""
         state = self._state
