--- a/packages/daemon/src/martenquay_daemon/allowances/gate.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/gate.py
@@ -84,7 +84,7 @@
         within the second in which parts are lent. Refused then, they mostly
         gave up; a second later there was enough for all.
         """
-        end = trio.current_time() + wish.patience_s
+        end = trio.current_time() + wish.max_wait_s
         verdict = self._units.try_spend(team, wish)
         while isinstance(verdict, terms.Refused) and self.lacks_shares():
             if trio.current_time() >= end:
--- a/packages/daemon/src/martenquay_daemon/allowances/terms.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/terms.py
@@ -81,13 +81,13 @@
         reserve: Steps of urgency to leave room for; 0 for the most urgent.
         is_late: Its caller has tried before, and its answer cannot be on time
             any more.
-        patience_s: How long it may wait where nothing is known of units yet.
+        max_wait_s: How long it may wait where nothing is known of units yet.
     """
 
     units: float
     reserve: int = 0
     is_late: bool = False
-    patience_s: float = 0.6
+    max_wait_s: float = 0.6
 
 
 @dataclasses.dataclass(frozen=True)
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_desk.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_desk.py
@@ -136,7 +136,7 @@
         While all daemons take in a large configuration, or start, keepers
         answer late or have no parts yet; then the question is put again.
         """
-        end = trio.current_time() + wish.patience_s
+        end = trio.current_time() + wish.max_wait_s
         while True:
             keepers = await self._find_keepers()
             answer = await self._ask_once(team, wish, keepers)
--- a/tests/test_allowances/test_escrow.py
+++ b/tests/test_allowances/test_escrow.py
@@ -306,7 +306,7 @@
             answers: list[terms.AdmissionDecision] = []
 
             async def ask() -> None:
-                wish = terms.AdmissionRequest(500.0, patience_s=1.0)
+                wish = terms.AdmissionRequest(500.0, max_wait_s=1.0)
                 answers.append(await one.acquire(_TEAM, wish))
 
             async with trio.open_nursery() as nursery:
@@ -320,7 +320,7 @@
             parts[0] = 0.0
             units.try_spend(_TEAM, terms.AdmissionRequest(10 * _RATE))
             started = trio.current_time()
-            wish = terms.AdmissionRequest(9 * _RATE, patience_s=0.3)
+            wish = terms.AdmissionRequest(9 * _RATE, max_wait_s=0.3)
             answer = await one.acquire(_TEAM, wish)
             self.assertFalse(answer.is_admitted)
             self.assertLess(trio.current_time() - started, 0.4)
