--- a/packages/daemon/src/martenquay_daemon/backpressure/runner_gate.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/runner_gate.py
@@ -86,7 +86,7 @@
         elif not head.did_not_run:
             self._rests.note_answer(runner, sent_at)
 
-    def keep_open(
+    def filter_accepting(
         self, found: Iterable[runners.Runner]
     ) -> list[runners.Runner]:
         """Return the runners that take a request of this daemon now."""
--- a/packages/daemon/src/martenquay_daemon/engines/placer.py
+++ b/packages/daemon/src/martenquay_daemon/engines/placer.py
@@ -143,7 +143,9 @@
             for runner in self._directory.list_usable(name)
             if runner.id not in excluded
         ]
-        usable = self._choose_versions(name, self._gate.keep_open(usable))
+        usable = self._choose_versions(
+            name, self._gate.filter_accepting(usable)
+        )
         if not usable:
             return None
         kept = set(self._ejector.keep_usable([r.id for r in usable]))
--- a/tests/test_backpressure/test_runner_gate.py
+++ b/tests/test_backpressure/test_runner_gate.py
@@ -32,10 +32,10 @@
         async def scenario() -> None:
             for told in (_LIMITED, _LEAVES, _RESTS):
                 gate = builders.build_runner_gate()
-                self.assertEqual([_RUNNER], gate.keep_open([_RUNNER]))
+                self.assertEqual([_RUNNER], gate.filter_accepting([_RUNNER]))
                 _note(gate, told, did_not_run=told is _RESTS)
                 self.assertTrue(gate.take_turn(_RUNNER), told)
-                self.assertEqual([], gate.keep_open([_RUNNER]))
+                self.assertEqual([], gate.filter_accepting([_RUNNER]))
 
         self.run_clocked(scenario)
 
@@ -44,7 +44,7 @@
             gate = builders.build_runner_gate()
             _note(gate, _LIMITED)
             await trio.sleep(1.0)
-            self.assertEqual([_RUNNER], gate.keep_open([_RUNNER]))
+            self.assertEqual([_RUNNER], gate.filter_accepting([_RUNNER]))
             self.assertEqual("", gate.take_turn(_RUNNER))
             self.assertTrue(gate.take_turn(_RUNNER))
 
