--- a/packages/daemon/src/martenquay_daemon/backpressure/runner_gate.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/runner_gate.py
@@ -110,7 +110,7 @@
             if runner.id not in told or not self._limits.is_limited(runner)
         ]
 
-    def take_turn(self, runner: runners.Runner) -> str:
+    def try_admit(self, runner: runners.Runner) -> str:
         """Return why a request must not be sent now, or nothing.
 
         Asked right before it is sent: what the runner has said may be younger
--- a/packages/daemon/src/martenquay_daemon/forwarding/attempt.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/attempt.py
@@ -177,7 +177,7 @@
     ) -> exchange.AttemptResult:
         current.check_caller()
         # The runner may have spoken since it was chosen.
-        problem = self._gate.take_turn(placement.runner)
+        problem = self._gate.try_admit(placement.runner)
         if problem:
             return exchange.Withheld(problem)
         current.stage = departure.Stage.SENDING
--- a/tests/test_backpressure/test_runner_gate.py
+++ b/tests/test_backpressure/test_runner_gate.py
@@ -34,7 +34,7 @@
                 gate = builders.build_runner_gate()
                 self.assertEqual([_RUNNER], gate.filter_accepting([_RUNNER]))
                 _note(gate, told, did_not_run=told is _RESTS)
-                self.assertTrue(gate.take_turn(_RUNNER), told)
+                self.assertTrue(gate.try_admit(_RUNNER), told)
                 self.assertEqual([], gate.filter_accepting([_RUNNER]))
 
         self.run_clocked(scenario)
@@ -45,8 +45,8 @@
             _note(gate, _LIMITED)
             await trio.sleep(1.0)
             self.assertEqual([_RUNNER], gate.filter_accepting([_RUNNER]))
-            self.assertEqual("", gate.take_turn(_RUNNER))
-            self.assertTrue(gate.take_turn(_RUNNER))
+            self.assertEqual("", gate.try_admit(_RUNNER))
+            self.assertTrue(gate.try_admit(_RUNNER))
 
         self.run_clocked(scenario)
 
