--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -79,7 +79,7 @@
         Awaitable[None],
     ]
     find_zone_end: Callable[[str], int]
-    runner_news: runner_news.RunnerNews
+    runner_news: runner_news.RunnerReportGossip
 
 
 @dataclasses.dataclass
--- a/packages/daemon/src/martenquay_daemon/fleet/runner_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/runner_news.py
@@ -12,12 +12,12 @@
 if TYPE_CHECKING:
     from martenquay_daemon.backpressure import leaving_words, runner_limits
 
-__all__ = ["RunnerNews"]
+__all__ = ["RunnerReportGossip"]
 
 _MS = 1000
 
 
-class RunnerNews:
+class RunnerReportGossip:
     """What runners say, as daemons tell it to each other.
 
     Of limits a daemon tells what runners told it; a hub tells all that it
--- a/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
@@ -80,7 +80,7 @@
     units: unit_news.QuotaExchange
     listed: roster.Roster
     loads: loads.LoadLedger
-    runner_news: runner_news.RunnerNews
+    runner_news: runner_news.RunnerReportGossip
     usage: usage_counts.UsageCounts
     meter: demand.DemandMeter
     estimates: model.RunnerModel
--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -330,7 +330,7 @@
 
     def _share_state(self) -> None:
         settings = self._settings
-        news = runner_news.RunnerNews(
+        news = runner_news.RunnerReportGossip(
             self._backpressure.limits, self._backpressure.leaving
         )
         self._shared = shared_state.SharedState(
--- a/tests/test_fleet/test_links.py
+++ b/tests/test_fleet/test_links.py
@@ -80,7 +80,7 @@
             place, self.view, state, self._digest, _PACE, _PACE
         )
         self.limits = builders.build_runner_limits()
-        self.runner_news = runner_news.RunnerNews(
+        self.runner_news = runner_news.RunnerReportGossip(
             self.limits, self.directory.leaving
         )
         self.links.listeners = links.Listeners(
