--- a/packages/daemon/src/martenquay_daemon/answers.py
+++ b/packages/daemon/src/martenquay_daemon/answers.py
@@ -20,14 +20,14 @@
 
     def __init__(self) -> None:
         self._config: store.ConfigStore | None = None
-        self._claims: claim_desk.ClaimDesk | None = None
+        self._claims: claim_desk.ClaimManager | None = None
         self._deferrable: deferrable_desk.DeferrableManager | None = None
         self._queries: queries.QueryDesk | None = None
 
     def connect(
         self,
         config: store.ConfigStore,
-        claims: claim_desk.ClaimDesk,
+        claims: claim_desk.ClaimManager,
         deferrable: deferrable_desk.DeferrableManager,
         query_desk: queries.QueryDesk,
     ) -> None:
--- a/packages/daemon/src/martenquay_daemon/claims/desk.py
+++ b/packages/daemon/src/martenquay_daemon/claims/desk.py
@@ -16,7 +16,7 @@
     from martenquay_daemon.journal import health, shards
     from martenquay_daemon.membership import links
 
-__all__ = ["ClaimDesk"]
+__all__ = ["ClaimManager"]
 
 _LOG = logs.create_log("claims")
 _SETTLE_TIMEOUT_S = 3.5
@@ -26,7 +26,7 @@
 _PARALLEL_REPORTS = 64
 
 
-class ClaimDesk:
+class ClaimManager:
     """Settle claims and report their outcomes.
 
     A daemon follows the streams that the membership gives it. It asks a
--- a/packages/daemon/src/martenquay_daemon/dispatch/service.py
+++ b/packages/daemon/src/martenquay_daemon/dispatch/service.py
@@ -111,7 +111,7 @@
         fresh: http.HttpClient,
         runners: directory.RunnerDirectory,
         members: table.MemberTable,
-        claims: desk.ClaimDesk,
+        claims: desk.ClaimManager,
         load_book: loads.LoadBook,
         ejector: ejection.Ejector,
         budget: retries.RetryBudget,
--- a/packages/daemon/src/martenquay_daemon/parts.py
+++ b/packages/daemon/src/martenquay_daemon/parts.py
@@ -190,7 +190,7 @@
         claim_map = shards.ShardMap(
             self.members, "claims", limits.claim_shards, limits.shard_followers
         )
-        self.claims = claim_desk.ClaimDesk(
+        self.claims = claim_desk.ClaimManager(
             self._log_client,
             self.health,
             claim_map,
