--- a/packages/daemon/src/martenquay_daemon/fleet/roster.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/roster.py
@@ -101,7 +101,7 @@
         self._told[instance] = max(end, self._told.get(instance, 0))
         self._heard_at[instance] = trio.current_time()
 
-    def note_zone_told(self, zone: str, end: int) -> None:
+    def note_zone_read_end(self, zone: str, end: int) -> None:
         """Note how far all listed daemons of a zone have read."""
         self._zones_told[zone] = max(end, self._zones_told.get(zone, 0))
 
--- a/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
@@ -166,7 +166,7 @@
         sources = self._sources
         for summary in report.zones:
             self._hear_lease(summary)
-            sources.listed.note_zone_told(summary.zone, summary.members_end)
+            sources.listed.note_zone_read_end(summary.zone, summary.members_end)
         sources.loads.replace_source(_FLEET, _list_loads(report.loads))
         sources.estimates.replace_source(_FLEET, _list_reading(report.reading))
         zones = [trial_lines.read_trials(one.trials) for one in report.zones]
--- a/tests/test_fleet/test_roster.py
+++ b/tests/test_fleet/test_roster.py
@@ -48,9 +48,9 @@
         for offset, (name, zone) in enumerate(["by", "cy", "ax"]):
             one.note_listed(name, offset, is_counted=name != "a", zone=zone)
         self.assertEqual(0.0, one.find_own_share())
-        one.note_zone_told("y", 2)
+        one.note_zone_read_end("y", 2)
         self.assertEqual(0.0, one.find_own_share())
-        one.note_zone_told("y", 3)
+        one.note_zone_read_end("y", 3)
         self.assertAlmostEqual(1 / 3, one.find_own_share())
         # A hub tells the least of what its zone's daemons have told.
         self.assertEqual(0, one.find_zone_end("y", 3))
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -296,7 +296,7 @@
 
     def _hear_zones(self, report: messages.FleetReport) -> None:
         for summary in report.zones:
-            self._roster.note_zone_told(summary.zone, summary.members_end)
+            self._roster.note_zone_read_end(summary.zone, summary.members_end)
 
     def _hear_reply(self, reply: messages.QuotaReply) -> float:
         one = self._asks.get(reply.number)
