--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -179,7 +179,7 @@
         """Have others told soon of the units that are here."""
         self._units_wake.set()
 
-    def keeps_units(self) -> bool:
+    def holds_own_quota(self) -> bool:
         """Tell whether this daemon keeps the units that it needs."""
         return self.is_mesh() or self._zone.is_quota_hub()
 
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_desk.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_desk.py
@@ -50,7 +50,7 @@
 class AskWays(Protocol):
     """How keepers are reached."""
 
-    def keeps_units(self) -> bool:
+    def holds_own_quota(self) -> bool:
         """Tell whether this daemon keeps the units that it needs itself."""
 
     def list_quota_hubs(self) -> list[str]:
@@ -126,7 +126,7 @@
 
     def holds_quota_here(self) -> bool:
         """Tell whether this daemon keeps the units that it needs itself."""
-        return self._ways.keeps_units()
+        return self._ways.holds_own_quota()
 
     async def ask(
         self, team: str, wish: terms.AdmissionRequest
--- a/tests/test_fleet/test_unit_desk.py
+++ b/tests/test_fleet/test_unit_desk.py
@@ -34,7 +34,7 @@
         self.nursery: trio.Nursery | None = None
         self.desk: unit_desk.UnitDesk | None = None
 
-    def keeps_units(self) -> bool:
+    def holds_own_quota(self) -> bool:
         """Tell that others do."""
         return False
 
