--- a/packages/daemon/src/martenquay_daemon/allowances/gate.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/gate.py
@@ -14,7 +14,7 @@
     from martenquay_core.serving import catalog
     from martenquay_daemon.allowances import escrow
 
-__all__ = ["AllowanceGate", "Keepers", "create_gate"]
+__all__ = ["AllowanceGate", "QuotaHolders", "create_gate"]
 
 # For so long a request waits for units that other daemons have: a message there
 # and one back, each sent within 40 ms.
@@ -23,7 +23,7 @@
 _LOOK_S = 0.05
 
 
-class Keepers(Protocol):
+class QuotaHolders(Protocol):
     """The daemons that keep units for others."""
 
     def holds_quota_here(self) -> bool:
@@ -52,7 +52,9 @@
             been lent to it yet; then what is here says little.
     """
 
-    def __init__(self, units: escrow.QuotaLedger, keepers: Keepers) -> None:
+    def __init__(
+        self, units: escrow.QuotaLedger, keepers: QuotaHolders
+    ) -> None:
         self.lacks_shares: Callable[[], bool] = _lack_none
         self._units = units
         self._keepers = keepers
@@ -139,6 +141,8 @@
         return verdict
 
 
-def create_gate(units: escrow.QuotaLedger, keepers: Keepers) -> AllowanceGate:
+def create_gate(
+    units: escrow.QuotaLedger, keepers: QuotaHolders
+) -> AllowanceGate:
     """Return a gate."""
     return AllowanceGate(units, keepers)
--- a/tests/test_allowances/test_escrow.py
+++ b/tests/test_allowances/test_escrow.py
@@ -215,7 +215,7 @@
     def _build(
         self,
         units: escrow.QuotaLedger,
-        keepers: gate.Keepers | None = None,
+        keepers: gate.QuotaHolders | None = None,
     ) -> gate.AllowanceGate:
         keepers = keepers or allowance_fleet.OwnKeeper()
         return gate.create_gate(units, keepers)
