--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -407,7 +407,9 @@
 
     def _build_quarantine(self) -> None:
         topic = self._ports.topics.strikes
-        self._quarantine = desk.create_desk(self._ports.log, topic)
+        self._quarantine = desk.create_quarantine_manager(
+            self._ports.log, topic
+        )
         self._quarantine.on_strike = self.metrics.count_strike
         self._quarantine.may_tidy = self._is_lease_held
         self._strike_follower = keyed_follower.KeyedFollower(
--- a/packages/daemon/src/martenquay_daemon/quarantine/desk.py
+++ b/packages/daemon/src/martenquay_daemon/quarantine/desk.py
@@ -19,7 +19,7 @@
 
     from martenquay_core.serving import ports
 
-__all__ = ["QuarantineManager", "create_desk"]
+__all__ = ["QuarantineManager", "create_quarantine_manager"]
 
 _LOG = logs.create_log("quarantine")
 # What runs on a healthy log takes 4 ms; after an outage the first try of each
@@ -198,7 +198,9 @@
     pass
 
 
-def create_desk(log: ports.LogPort, topic: str) -> QuarantineManager:
+def create_quarantine_manager(
+    log: ports.LogPort, topic: str
+) -> QuarantineManager:
     """Return a desk that knows of no strike."""
     table = strikes.CrashTable(trio.current_time)
     return QuarantineManager(log, topic, table)
--- a/tests/serving_scene.py
+++ b/tests/serving_scene.py
@@ -124,7 +124,9 @@
         self.hurries = 0
         self.runner_gate = builders.build_runner_gate()
         ejector = ejection.Ejector()
-        self.quarantine = desk.create_desk(self.log, builders.TOPICS.strikes)
+        self.quarantine = desk.create_quarantine_manager(
+            self.log, builders.TOPICS.strikes
+        )
         self.strikes = keyed_follower.KeyedFollower(
             self.log,
             log_contact,
--- a/tests/test_quarantine/test_desk.py
+++ b/tests/test_quarantine/test_desk.py
@@ -189,7 +189,7 @@
             found.note_crash(content, number, "runner-1", _CRASH)
 
     def _start(self, nursery: trio.Nursery) -> desk.QuarantineManager:
-        found = desk.create_desk(self.log, _TOPIC)
+        found = desk.create_quarantine_manager(self.log, _TOPIC)
         follower = keyed_follower.KeyedFollower(
             self.log, contact.LogContact(), _TOPIC, found, _PACE
         )
