--- a/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
@@ -172,7 +172,7 @@
         zones = [trial_lines.read_trials(one.trials) for one in report.zones]
         sources.trials.replace_source(_FLEET, trial_lines.add_trials(zones))
         self._take_orders(report.orders)
-        if sources.units.is_to_lend():
+        if sources.units.has_share_to_delegate():
             # Until it is lent, this daemon's part is of no use to anybody.
             sources.links.notify_soon()
 
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
@@ -87,7 +87,7 @@
         if told_at is not None:
             self._units.accept_transfer(_read_gift(line), told_at)
 
-    def is_to_lend(self) -> bool:
+    def has_share_to_delegate(self) -> bool:
         """Tell whether there is a part that no hub has yet."""
         return (
             self._links.find_quota_hub() is not None
--- a/tests/test_fleet/test_unit_news.py
+++ b/tests/test_fleet/test_unit_news.py
@@ -144,10 +144,10 @@
             await trio.sleep(0.1)
             self.assertIsNone(lender.create_delegation())
             self.links.keeper = zone_mode.Keeper("entry-0.bb", "h:1", 9)
-            self.assertTrue(lender.is_to_lend())
+            self.assertTrue(lender.has_share_to_delegate())
             line = lender.create_delegation()
             self.assertEqual(("entry-0.bb", 9), (line.receiver, line.heard))
-            self.assertFalse(lender.is_to_lend())
+            self.assertFalse(lender.has_share_to_delegate())
             digest = builders.build_digest(
                 member="entry-1.aa", instance="entry-1", loan=line
             )
