--- a/packages/daemon/src/martenquay_daemon/fleet/messages.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/messages.py
@@ -24,7 +24,7 @@
     "RolloutOrderEntry",
     "ParcelLine",
     "PeerEntry",
-    "PoolLine",
+    "BalanceEntry",
     "PrefillEntry",
     "RunnerReports",
     "TallyEntry",
@@ -164,7 +164,7 @@
     left_ms: int
 
 
-class PoolLine(msgspec.Struct, frozen=True, array_like=True):
+class BalanceEntry(msgspec.Struct, frozen=True, array_like=True):
     """What a daemon has of one team's units.
 
     Attributes:
@@ -445,7 +445,7 @@
     member: str
     address: str
     number: int
-    pools: dict[str, PoolLine]
+    pools: dict[str, BalanceEntry]
     gifts: dict[str, TransferEntry]
 
 
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
@@ -231,9 +231,9 @@
         """Drop what others told: it came in another way."""
         self._units.forget_all()
 
-    def _list_pools(self) -> dict[str, messages.PoolLine]:
+    def _list_pools(self) -> dict[str, messages.BalanceEntry]:
         return {
-            team: messages.PoolLine(
+            team: messages.BalanceEntry(
                 math.floor(one.level),
                 round(one.asked),
                 round(one.needed),
