--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -136,7 +136,7 @@
         # Other zones' hubs that were asked for units, and until when they are
         # kept linked.
         self._asked_hubs: dict[str, float] = {}
-        self.quota_client = unit_desk.UnitDesk(self)
+        self.quota_client = unit_desk.QuotaClient(self)
         self._zone.find_members_end = self._find_zone_end
         self._zone.create_runner_words = self._create_runner_words
 
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_desk.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_desk.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-__all__ = ["AskWays", "UnitDesk"]
+__all__ = ["AskWays", "QuotaClient"]
 
 _LOG = logs.create_log("allowances")
 # A keeper in the zone answers in 1 to 5 ms; one that has not by now is busy or
@@ -109,7 +109,7 @@
     del outcome, took_s
 
 
-class UnitDesk:
+class QuotaClient:
     """Implement `gate.Keepers` by asking over the links.
 
     Attributes:
--- a/tests/test_fleet/test_unit_desk.py
+++ b/tests/test_fleet/test_unit_desk.py
@@ -32,7 +32,7 @@
         self.unlinked: set[str] = set()
         self.redirected: list[str] = []
         self.nursery: trio.Nursery | None = None
-        self.desk: unit_desk.UnitDesk | None = None
+        self.desk: unit_desk.QuotaClient | None = None
 
     def holds_own_quota(self) -> bool:
         """Tell that others do."""
@@ -67,7 +67,7 @@
         async def run() -> None:
             self.ways = _Ways()
             self.outcomes: list[str] = []
-            self.desk = unit_desk.UnitDesk(self.ways)
+            self.desk = unit_desk.QuotaClient(self.ways)
             self.desk.observe = lambda outcome, _: self.outcomes.append(outcome)
             self.ways.desk = self.desk
             async with trio.open_nursery() as nursery:
