--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -138,7 +138,7 @@
         self._asked_hubs: dict[str, float] = {}
         self.quota_client = unit_desk.QuotaClient(self)
         self._zone.find_members_end = self._find_zone_end
-        self._zone.create_runner_words = self._create_runner_words
+        self._zone.create_runner_reports = self._create_runner_words
 
     async def run(
         self, *, task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
@@ -87,7 +87,7 @@
         report_s: Between two of its reports.
         find_members_end: Returns how far all listed daemons of this zone have
             read who announced themselves.
-        create_runner_words: Returns what is known of what runners say.
+        create_runner_reports: Returns what is known of what runners say.
     """
 
     def __init__(
@@ -99,7 +99,7 @@
     ) -> None:
         self.is_hub = False
         self.find_members_end: Callable[[], int] = lambda: 0
-        self.create_runner_words: Callable[[], messages.RunnerReports] = (
+        self.create_runner_reports: Callable[[], messages.RunnerReports] = (
             lambda: messages.NO_RUNNER_REPORTS
         )
         self.report_s = zone_pace.report_s
@@ -368,5 +368,5 @@
             state.find_runners_age_ms(),
             int(age_s * _MS),
             self.find_members_end(),
-            self.create_runner_words(),
+            self.create_runner_reports(),
         )
