--- a/packages/daemon/src/martenquay_daemon/allowances/rights.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/rights.py
@@ -266,7 +266,7 @@
         span = Span(start, end, loan.part)
         self._borrowed[instance] = _Borrowed(member, span, held_since)
 
-    def end_loans_of_others(self, instance: str, member: str) -> None:
+    def end_former_delegations(self, instance: str, member: str) -> None:
         """End what an earlier process of an instance had lent.
 
         Its next one may use the part itself, or lend it to somebody else.
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
@@ -123,7 +123,7 @@
         """
         self._roster.note_read_end(digest.instance, digest.members_end)
         mint_rights = self._units.rights
-        mint_rights.end_loans_of_others(digest.instance, digest.member)
+        mint_rights.end_former_delegations(digest.instance, digest.member)
         line = digest.loan
         if line is None or reported_at is None or line.receiver != self._member:
             return
--- a/tests/test_allowances/test_rights.py
+++ b/tests/test_allowances/test_rights.py
@@ -96,7 +96,7 @@
             loan = lender.delegate("hub.1", 1)
             hub.accept_delegation("e", "e.1", loan, now)
             await trio.sleep(0.5)
-            hub.end_loans_of_others("e", "e.2")
+            hub.end_former_delegations("e", "e.2")
             self.assertEqual(0.0, hub.find_usable_share())
             # A message of the process before that comes only now.
             hub.accept_delegation("e", "e.1", loan, trio.current_time())
