--- a/packages/daemon/src/martenquay_daemon/fleet/messages.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/messages.py
@@ -22,7 +22,7 @@
     "LimitEntry",
     "LoadEntry",
     "RolloutOrderEntry",
-    "ParcelLine",
+    "LotEntry",
     "PeerEntry",
     "BalanceEntry",
     "PrefillEntry",
@@ -180,7 +180,7 @@
     overdraft: int
 
 
-class ParcelLine(msgspec.Struct, frozen=True, array_like=True):
+class LotEntry(msgspec.Struct, frozen=True, array_like=True):
     """Units that one daemon hands to another.
 
     Attributes:
@@ -202,7 +202,7 @@
     """
 
     heard: int
-    parcels: dict[str, list[ParcelLine]]
+    parcels: dict[str, list[LotEntry]]
 
 
 class DelegationEntry(msgspec.Struct, frozen=True, array_like=True):
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
@@ -247,7 +247,7 @@
     parcels = {
         team: [
             # Rounded down: no unit may live longer by its way.
-            messages.ParcelLine(units, math.floor(life_s * _MS))
+            messages.LotEntry(units, math.floor(life_s * _MS))
             for units, life_s in found
         ]
         for team, found in gift.parcels.items()
