--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -175,7 +175,7 @@
         """Have the next digest sent soon, for news that cannot wait."""
         self._wake.set()
 
-    def hurry_units(self) -> None:
+    def notify_quota_soon(self) -> None:
         """Have others told soon of the units that are here."""
         self._units_wake.set()
 
--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -388,7 +388,7 @@
                 bounds.allowance_window_s,
                 self.links.find_sole_since,
             ),
-            self.links.hurry_units,
+            self.links.notify_quota_soon,
         )
         self.links.quota_client.observe = self.metrics.note_units_asked
         self._gate = gate.create_gate(self._units, self.links.quota_client)
