--- a/packages/daemon/src/martenquay_daemon/backpressure/runner_gate.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/runner_gate.py
@@ -99,7 +99,7 @@
             if runner.id not in told or not self._find_problem(runner)
         ]
 
-    def keep_whole(
+    def filter_unlimited(
         self, found: Iterable[runners.Runner]
     ) -> list[runners.Runner]:
         """Return the runners that take as much as any other."""
--- a/packages/daemon/src/martenquay_daemon/engines/placer.py
+++ b/packages/daemon/src/martenquay_daemon/engines/placer.py
@@ -191,7 +191,7 @@
         One that takes a request now and then is nobody's home: what shares a
         prompt would change runners with each turn, and be read again there.
         """
-        whole = self._gate.keep_whole(candidates)
+        whole = self._gate.filter_unlimited(candidates)
         return _choose_home(call, whole) if whole else None
 
     def _sample(
