--- a/packages/daemon/src/martenquay_daemon/fleet/unit_desk.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_desk.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-__all__ = ["AskWays", "QuotaClient"]
+__all__ = ["QuotaTransport", "QuotaClient"]
 
 _LOG = logs.create_log("allowances")
 # A keeper in the zone answers in 1 to 5 ms; one that has not by now is busy or
@@ -47,7 +47,7 @@
 _LOOK_S = 0.03
 
 
-class AskWays(Protocol):
+class QuotaTransport(Protocol):
     """How keepers are reached."""
 
     def holds_own_quota(self) -> bool:
@@ -117,7 +117,7 @@
             took.
     """
 
-    def __init__(self, ways: AskWays) -> None:
+    def __init__(self, ways: QuotaTransport) -> None:
         self.observe: Callable[[str, float], None] = _ignore
         self._ways = ways
         self._asks: dict[int, _Ask] = {}
--- a/tests/test_fleet/test_unit_desk.py
+++ b/tests/test_fleet/test_unit_desk.py
@@ -16,7 +16,7 @@
 
 
 class _Ways:
-    """Implement `unit_desk.AskWays` with keepers that answer as told.
+    """Implement `unit_desk.QuotaTransport` with keepers that answer as told.
 
     Attributes:
         keepers: Their addresses.
