--- a/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
@@ -26,7 +26,7 @@
     )
     from martenquay_daemon.rollouts import book, tallies
 
-__all__ = ["Identity", "SharedState", "StateSources"]
+__all__ = ["Identity", "StateGossip", "StateSources"]
 
 # The source of loads that a hub has added up over all daemons.
 _FLEET = "fleet"
@@ -91,7 +91,7 @@
     fleet: view.FleetView
 
 
-class SharedState:
+class StateGossip:
     """Make this daemon's digests and spread what others' say.
 
     Attributes:
--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -333,7 +333,7 @@
         news = runner_news.RunnerReportGossip(
             self._backpressure.limits, self._backpressure.leaving
         )
-        self._shared = shared_state.SharedState(
+        self._shared = shared_state.StateGossip(
             shared_state.Identity(
                 self.member,
                 settings.instance,
