--- a/packages/daemon/src/martenquay_daemon/rollouts/book.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/book.py
@@ -155,7 +155,7 @@
         if step is not None and step.order == offset:
             rollout.step = step
 
-    def take_step(self, step: Step) -> bool:
+    def apply_step(self, step: Step) -> bool:
         """Take a step; tell whether it leads on."""
         known = self._steps.get(step.service)
         if known is not None and not _leads_on(known, step):
--- a/packages/daemon/src/martenquay_daemon/rollouts/keeper.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/keeper.py
@@ -175,7 +175,7 @@
                 if phase is book.Phase.CANARY:
                     self._led.add((service, rollout.offset))
                 parts.follower.skip_to(done.offset + 1)
-                parts.orders.take_step(step)
+                parts.orders.apply_step(step)
             case Result(tag="ok"):
                 await parts.follower.read_now()
             case _:
--- a/packages/daemon/src/martenquay_daemon/rollouts/records.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/records.py
@@ -60,7 +60,7 @@
         except ValueError as error:
             _LOG.write(f"A record of {record.key} is no step: {error}.")
             return
-        self._book.take_step(
+        self._book.apply_step(
             book.Step(
                 record.key,
                 found.order,
--- a/tests/rollout_days.py
+++ b/tests/rollout_days.py
@@ -212,7 +212,7 @@
 
     def _take_step(self, phase: book.Phase, why: str) -> None:
         refused = ("v2",) if phase is book.Phase.ROLLED_BACK else ()
-        self._book.take_step(
+        self._book.apply_step(
             book.Step(_SERVICE, 7, "v2", phase, 0, refused, why)
         )
 
--- a/tests/test_rollouts/test_book.py
+++ b/tests/test_rollouts/test_book.py
@@ -42,7 +42,7 @@
                 found = book.RolloutRegistry()
                 for one in order:
                     if isinstance(one, book.Step):
-                        found.take_step(one)
+                        found.apply_step(one)
                     else:
                         found.take_order(*one)
                 rollout = found.find("model")
@@ -57,11 +57,11 @@
         async def scenario() -> None:
             found = book.RolloutRegistry()
             found.take_order(3, _order("v3"))
-            self.assertTrue(found.take_step(_step(3, _SWITCHING)))
-            self.assertFalse(found.take_step(_step(3, _CANARY)))
-            self.assertTrue(found.take_step(_step(3, _COMPLETED)))
+            self.assertTrue(found.apply_step(_step(3, _SWITCHING)))
+            self.assertFalse(found.apply_step(_step(3, _CANARY)))
+            self.assertTrue(found.apply_step(_step(3, _COMPLETED)))
             for phase in book.Phase:
-                self.assertFalse(found.take_step(_step(3, phase)), phase)
+                self.assertFalse(found.apply_step(_step(3, phase)), phase)
             self.assertIs(_COMPLETED, found.find("model").phase)
 
         self.run_clocked(scenario)
@@ -70,7 +70,7 @@
         async def scenario() -> None:
             found = book.RolloutRegistry()
             found.take_order(3, _order("v2"))
-            found.take_step(_step(3, _ROLLED_BACK, version="v2"))
+            found.apply_step(_step(3, _ROLLED_BACK, version="v2"))
             found.take_order(9, _order("v2"))
             self.assertIs(_CANARY, found.find("model").phase)
             self.assertTrue(found.has_open())
--- a/tests/test_rollouts/test_versions.py
+++ b/tests/test_rollouts/test_versions.py
@@ -34,7 +34,7 @@
             self._order("v2", 3)
             fields = {"version": "v2", "started_ms": 0} | changes
             step = book.Step("model", 3, phase=phase, **fields)
-            self.book.take_step(step)
+            self.book.apply_step(step)
 
     def _order(self, version: str, offset: int) -> None:
         order = rollouts.RolloutOrder("model", version, 12.0)
@@ -110,7 +110,7 @@
         async def scenario() -> None:
             self._open()
             self._order("v3", 9)
-            self.book.take_step(
+            self.book.apply_step(
                 book.Step("model", 9, "v3", book.Phase.CANARY, 0, ("v2",))
             )
             chosen = set.union(
