--- a/packages/daemon/src/martenquay_daemon/dispatch/journeys.py
+++ b/packages/daemon/src/martenquay_daemon/dispatch/journeys.py
@@ -19,7 +19,7 @@
 __all__ = [
     "AttemptEnd",
     "Finished",
-    "Journey",
+    "RequestProgress",
     "LiveStream",
     "Lost",
     "ModelRequest",
@@ -86,7 +86,7 @@
 
 
 @dataclasses.dataclass
-class Journey:
+class RequestProgress:
     """One request on its way over one or more runners.
 
     Attributes:
--- a/packages/daemon/src/martenquay_daemon/dispatch/model.py
+++ b/packages/daemon/src/martenquay_daemon/dispatch/model.py
@@ -80,14 +80,14 @@
         failure: results.Failure | None = None
         with trio.move_on_at(request.deadline) as limit:
             chain = blocks.chain_blocks(request.prompt)
-            journey = journeys.Journey(request, sink, usage, chain)
+            journey = journeys.RequestProgress(request, sink, usage, chain)
             failure = await self._try_runners(journey)
         if limit.cancelled_caught:
             failure = _explain_deadline(usage)
         return Error(failure) if failure else Ok(usage)
 
     async def _try_runners(
-        self, journey: journeys.Journey
+        self, journey: journeys.RequestProgress
     ) -> results.Failure | None:
         while True:
             chosen = self._place(journey)
@@ -114,7 +114,9 @@
                         journey.request, chosen.runner, reason
                     )
 
-    def _place(self, journey: journeys.Journey) -> placement.Placement | None:
+    def _place(
+        self, journey: journeys.RequestProgress
+    ) -> placement.Placement | None:
         request, usage = journey.request, journey.usage
         return self._placer.place(
             placement.ModelAsk(
@@ -128,7 +130,7 @@
         )
 
     def _note_placement(
-        self, journey: journeys.Journey, chosen: placement.Placement
+        self, journey: journeys.RequestProgress, chosen: placement.Placement
     ) -> None:
         request, cause = journey.request, journey.cause
         reason = chosen.explain()
@@ -167,7 +169,7 @@
             await trio.sleep(journeys.FIRST_BACK_OFF_S)
 
     async def _attempt(
-        self, journey: journeys.Journey, chosen: placement.Placement
+        self, journey: journeys.RequestProgress, chosen: placement.Placement
     ) -> journeys.AttemptEnd:
         request, usage = journey.request, journey.usage
         runner = chosen.runner
@@ -199,7 +201,7 @@
 
     async def _stream(
         self,
-        journey: journeys.Journey,
+        journey: journeys.RequestProgress,
         chosen: placement.Placement,
         order: orders.GenerateOrder,
     ) -> journeys.AttemptEnd:
@@ -234,7 +236,7 @@
                             return journeys.Lost("tokens are missing")
 
     async def _pass_on(
-        self, journey: journeys.Journey, text: str, opened: float
+        self, journey: journeys.RequestProgress, text: str, opened: float
     ) -> None:
         request, usage = journey.request, journey.usage
         if not usage.generated:
@@ -248,7 +250,7 @@
 
     def _note_started(
         self,
-        journey: journeys.Journey,
+        journey: journeys.RequestProgress,
         chosen: placement.Placement,
         event: orders.StreamStarted,
         opened: float,
@@ -285,7 +287,7 @@
 
     async def _bring_cache(
         self,
-        journey: journeys.Journey,
+        journey: journeys.RequestProgress,
         source: instances.Instance,
         target: instances.Instance,
     ) -> None:
@@ -319,7 +321,7 @@
     return request.urgency.rank + borrowed
 
 
-async def _wait_for_runner(journey: journeys.Journey) -> None:
+async def _wait_for_runner(journey: journeys.RequestProgress) -> None:
     """Wait, then try all runners again: the stream has begun."""
     journey.excluded.clear()
     await trio.sleep(journey.back_off_s)
