--- a/packages/daemon/src/martenquay_daemon/forwarding/attempt.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/attempt.py
@@ -133,7 +133,7 @@
         placement: placer.Placement,
         connection: connections.RunnerConnection,
         running: loads.Running,
-        bounds: silence.Patience,
+        bounds: silence.SilenceLimits,
     ) -> exchange.AttemptResult:
         """Talk, but give a runner up that is gone if another may take over."""
         if not current.route.may_repeat:
--- a/packages/daemon/src/martenquay_daemon/forwarding/patience.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/patience.py
@@ -35,7 +35,7 @@
     current: exchange.Exchange,
     placement: placer.Placement,
     may_move: Callable[[], bool],
-) -> silence.Patience:
+) -> silence.SilenceLimits:
     """Return the bounds for one attempt.
 
     Args:
@@ -51,9 +51,9 @@
         longest_pause_s = _LONGEST_PAUSE_S
     if current.route.kind is catalog.CallKind.STREAM:
         first_s = _QUIET_STREAM_S + placement.expected_s
-        return silence.Patience(
+        return silence.SilenceLimits(
             first_s, _QUIET_STREAM_S, longest_s, longest_pause_s, may_move
         )
-    return silence.Patience(
+    return silence.SilenceLimits(
         _QUIET_CALL_S, _QUIET_CALL_S, longest_s, may_move=may_move
     )
--- a/packages/daemon/src/martenquay_daemon/forwarding/silence.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/silence.py
@@ -23,7 +23,7 @@
 
     from martenquay_daemon.engines import placer
 
-__all__ = ["Patience", "Verdict", "wait_until_gone"]
+__all__ = ["SilenceLimits", "Verdict", "wait_until_gone"]
 
 _LOG = logs.create_log("forwarding")
 # As for requests: a live machine answers in a few ms.
@@ -45,7 +45,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Patience:
+class SilenceLimits:
     """How long a runner may be silent before it is asked.
 
     Attributes:
@@ -67,7 +67,7 @@
 async def wait_until_gone(
     connection: connections.RunnerConnection,
     placement: placer.Placement,
-    patience: Patience,
+    patience: SilenceLimits,
 ) -> Verdict:
     """Return when the runner is gone, or the connection silent too long."""
     asked_at = connection.heard_at
@@ -96,7 +96,7 @@
 
 
 def _find_longest(
-    connection: connections.RunnerConnection, patience: Patience
+    connection: connections.RunnerConnection, patience: SilenceLimits
 ) -> float:
     if connection.has_begun:
         return patience.longest_pause_s
--- a/tests/test_forwarding/test_silence.py
+++ b/tests/test_forwarding/test_silence.py
@@ -11,7 +11,7 @@
 from tests import clocked
 from tests import serving_builders as builders
 
-_PATIENCE = silence.Patience(first_s=0.3, next_s=0.3)
+_PATIENCE = silence.SilenceLimits(first_s=0.3, next_s=0.3)
 
 
 class _Connection:
@@ -29,7 +29,9 @@
 
 
 class SilenceTest(clocked.ClockedTestCase):
-    def _wait(self, patience: silence.Patience, *, has_begun: bool) -> float:
+    def _wait(
+        self, patience: silence.SilenceLimits, *, has_begun: bool
+    ) -> float:
         """Return how long a silent connection of a live runner is borne."""
         took: list[float] = []
 
@@ -47,7 +49,7 @@
     def test_a_live_runners_connection_may_not_be_silent_for_ever(
         self,
     ) -> None:
-        patience = silence.Patience(0.3, 0.3, 4.0, 2.0, lambda: True)
+        patience = silence.SilenceLimits(0.3, 0.3, 4.0, 2.0, lambda: True)
         self.assertAlmostEqual(4.0, self._wait(patience, has_begun=False))
         self.assertAlmostEqual(2.0, self._wait(patience, has_begun=True))
 
@@ -55,7 +57,7 @@
         self,
     ) -> None:
         may_move_at = trio.current_time
-        patience = silence.Patience(
+        patience = silence.SilenceLimits(
             0.3, 0.3, 4.0, 2.0, lambda: may_move_at() >= 7.0
         )
         took_s = self._wait(patience, has_begun=True)
