--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -116,7 +116,7 @@
         self._own_place = own
         self._announced = announced
         self._view = fleet
-        self._copies = state_copies.StateCopies(state)
+        self._copies = state_copies.StateTransfer(state)
         self._create_digest = create_digest
         self._mesh_pace = mesh_pace
         self._zone_pace = zone_pace
--- a/packages/daemon/src/martenquay_daemon/fleet/state_copies.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/state_copies.py
@@ -19,7 +19,7 @@
         runner_directory,
     )
 
-__all__ = ["FleetState", "PeerState", "StateCopies"]
+__all__ = ["FleetState", "PeerState", "StateTransfer"]
 
 _LOG = logs.create_log("fleet")
 # A log that has been silent this long is asked of peers instead.
@@ -69,7 +69,7 @@
     log_age_ms: int
 
 
-class StateCopies:
+class StateTransfer:
     """Make copies, ask for them and take them."""
 
     def __init__(self, state: FleetState) -> None:
--- a/tests/entry_world.py
+++ b/tests/entry_world.py
@@ -65,7 +65,7 @@
             self._follower,
             self.contact,
         )
-        self.copies = state_copies.StateCopies(self.state)
+        self.copies = state_copies.StateTransfer(self.state)
         self.contact.note_answer()
 
     @property
--- a/tests/test_fleet/test_catalog_copies.py
+++ b/tests/test_fleet/test_catalog_copies.py
@@ -56,8 +56,8 @@
         async def scenario() -> int:
             hub = _build_state()
             hub.store.offer(_build_record(), "the test")
-            asker = state_copies.StateCopies(_build_state())
-            copies = state_copies.StateCopies(hub)
+            asker = state_copies.StateTransfer(_build_state())
+            copies = state_copies.StateTransfer(hub)
             copy = copies.create_copy(asker.create_want(), [])
             return len(messages.encode_message(copy))
 
@@ -68,9 +68,9 @@
         async def scenario() -> None:
             hub, own = _build_state(), _build_state()
             hub.store.offer(_build_record(), "the test")
-            asker = state_copies.StateCopies(own)
+            asker = state_copies.StateTransfer(own)
             want = asker.create_want()
-            asker.take(state_copies.StateCopies(hub).create_copy(want, []))
+            asker.take(state_copies.StateTransfer(hub).create_copy(want, []))
             self.assertEqual(hub.store.table.catalog, own.store.table.catalog)
             # It can be handed on from there.
             self.assertEqual(hub.store.packed, own.store.packed)
--- a/tests/test_fleet/test_state_copies.py
+++ b/tests/test_fleet/test_state_copies.py
@@ -36,8 +36,8 @@
     def test_age_counts_from_the_question_that_the_copy_answers(self) -> None:
         async def scenario() -> None:
             own, other = _build_state(), _build_state()
-            asker = state_copies.StateCopies(own)
-            peer = state_copies.StateCopies(other)
+            asker = state_copies.StateTransfer(own)
+            peer = state_copies.StateTransfer(other)
             now = trio.current_time()
             other.runner_follower.skip_to(5)
             other.runner_follower.copy_age.confirmed_at = now - 0.3
@@ -56,7 +56,7 @@
     ) -> None:
         async def scenario() -> None:
             own = _build_state()
-            asker = state_copies.StateCopies(own)
+            asker = state_copies.StateTransfer(own)
             asker.take(messages.StateReply(b"", 5, [], [], [], 10, 0, 44))
             self.assertIsNone(own.runner_follower.copy_age.note_use())
 
