--- a/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
@@ -196,7 +196,7 @@
             order = rollouts.RolloutOrder(
                 line.service, line.version, line.duration_s
             )
-            self._sources.orders.take_order(line.offset, order)
+            self._sources.orders.apply_order(line.offset, order)
 
     def _hear_lease(self, summary: messages.ZoneSummary) -> None:
         apply_status = self._sources.lease.apply_status
--- a/packages/daemon/src/martenquay_daemon/rollouts/book.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/book.py
@@ -136,7 +136,7 @@
         step = self._steps.get(service)
         return set() if step is None else set(step.refused)
 
-    def take_order(self, offset: int, order: rollouts.RolloutOrder) -> None:
+    def apply_order(self, offset: int, order: rollouts.RolloutOrder) -> None:
         """Take an operator's order; an older one changes nothing."""
         known = self._rollouts.get(order.service)
         if known is not None and known.offset >= offset:
--- a/packages/daemon/src/martenquay_daemon/rollouts/records.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/records.py
@@ -97,4 +97,4 @@
             _LOG.write(f"Order {record.key} cannot be read: {error}.")
             return
         if order is not None:
-            self._book.take_order(record.offset, order)
+            self._book.apply_order(record.offset, order)
--- a/tests/rollout_days.py
+++ b/tests/rollout_days.py
@@ -116,7 +116,7 @@
         self._new = _build_runners("v2")
         self._book = book.RolloutRegistry()
         order = rollouts.RolloutOrder(_SERVICE, "v2", day.duration_s)
-        self._book.take_order(7, order)
+        self._book.apply_order(7, order)
         self._take_step(book.Phase.CANARY, "")
         self._start_daemons()
         self._told: list[tuple[float, tallies.Trial]] = []
--- a/tests/test_rollouts/test_book.py
+++ b/tests/test_rollouts/test_book.py
@@ -44,7 +44,7 @@
                     if isinstance(one, book.Step):
                         found.apply_step(one)
                     else:
-                        found.take_order(*one)
+                        found.apply_order(*one)
                 rollout = found.find("model")
                 self.assertEqual((8, _ROLLED_BACK), (8, rollout.phase))
                 self.assertEqual("v8", rollout.order.version)
@@ -56,7 +56,7 @@
     def test_no_step_leads_back_and_the_first_end_counts(self) -> None:
         async def scenario() -> None:
             found = book.RolloutRegistry()
-            found.take_order(3, _order("v3"))
+            found.apply_order(3, _order("v3"))
             self.assertTrue(found.apply_step(_step(3, _SWITCHING)))
             self.assertFalse(found.apply_step(_step(3, _CANARY)))
             self.assertTrue(found.apply_step(_step(3, _COMPLETED)))
@@ -69,9 +69,9 @@
     def test_the_same_order_again_begins_anew(self) -> None:
         async def scenario() -> None:
             found = book.RolloutRegistry()
-            found.take_order(3, _order("v2"))
+            found.apply_order(3, _order("v2"))
             found.apply_step(_step(3, _ROLLED_BACK, version="v2"))
-            found.take_order(9, _order("v2"))
+            found.apply_order(9, _order("v2"))
             self.assertIs(_CANARY, found.find("model").phase)
             self.assertTrue(found.has_open())
 
@@ -85,7 +85,7 @@
             step = _step(3, _SWITCHING, refused=("v1",), why="it is good")
             payload = records.encode_step(platform, step)
             found = book.RolloutRegistry()
-            found.take_order(3, _order("v3"))
+            found.apply_order(3, _order("v3"))
             records.StepSink(found).apply_change(
                 platform.split_keyed(payload, 0)
             )
--- a/tests/test_rollouts/test_versions.py
+++ b/tests/test_rollouts/test_versions.py
@@ -38,7 +38,7 @@
 
     def _order(self, version: str, offset: int) -> None:
         order = rollouts.RolloutOrder("model", version, 12.0)
-        self.book.take_order(offset, order)
+        self.book.apply_order(offset, order)
 
     def _choose(self, *software: str) -> set[str]:
         found = self.chooser.choose("model", _runners(*software))
