--- a/packages/daemon/src/martenquay_daemon/allowances/escrow.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/escrow.py
@@ -409,7 +409,7 @@
         own = account.hold(trio.current_time(), self._find_most_owed(account))
         others = self._list_others(team)
         rate = account.pace.rate
-        gifts = sharing.find_gifts(own, others, rate)
+        gifts = sharing.find_transfers(own, others, rate)
         if not gifts:
             gifts = sharing.find_flow_gifts(own, others, account.minted, rate)
         account.minted = 0.0
--- a/packages/daemon/src/martenquay_daemon/allowances/sharing.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/sharing.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-__all__ = ["QuotaBalance", "find_flow_gifts", "find_gifts"]
+__all__ = ["QuotaBalance", "find_flow_gifts", "find_transfers"]
 
 # Each daemon keeps a part of the units as if it were asked for so much of an
 # even part of the rate besides: the next request may come to any of them.
@@ -48,7 +48,7 @@
         return max(0.0, self.level + self.overdraft)
 
 
-def find_gifts(
+def find_transfers(
     own: QuotaBalance, others: Mapping[str, QuotaBalance], rate: float
 ) -> dict[str, float]:
     """Return the units to be given away, by receiver.
