--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -453,7 +453,7 @@
         if source is None:
             return
         self._asked_at = now
-        raw = messages.encode_message(self._copies.create_want())
+        raw = messages.encode_message(self._copies.create_request())
         self._send(source.address, raw)
 
     def _list_states(self) -> Iterable[state_copies.PeerState]:
--- a/packages/daemon/src/martenquay_daemon/fleet/state_copies.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/state_copies.py
@@ -101,7 +101,7 @@
             want.number,
         )
 
-    def create_want(self) -> messages.StateRequest:
+    def create_request(self) -> messages.StateRequest:
         """Return a question for all that is new."""
         state = self._state
         self._questions += 1
--- a/tests/entry_world.py
+++ b/tests/entry_world.py
@@ -79,7 +79,7 @@
 
     async def copy_from(self, other: Daemon, delay_s: float) -> None:
         """Ask another daemon and take its copy, `delay_s` later."""
-        want = self.copies.create_want()
+        want = self.copies.create_request()
         answer = other.copies.create_copy(want, [])
         await trio.sleep(delay_s)
         self.copies.take(answer)
--- a/tests/test_fleet/test_catalog_copies.py
+++ b/tests/test_fleet/test_catalog_copies.py
@@ -58,7 +58,7 @@
             hub.store.offer(_build_record(), "the test")
             asker = state_copies.StateTransfer(_build_state())
             copies = state_copies.StateTransfer(hub)
-            copy = copies.create_copy(asker.create_want(), [])
+            copy = copies.create_copy(asker.create_request(), [])
             return len(messages.encode_message(copy))
 
         size = trio.run(scenario)
@@ -69,7 +69,7 @@
             hub, own = _build_state(), _build_state()
             hub.store.offer(_build_record(), "the test")
             asker = state_copies.StateTransfer(own)
-            want = asker.create_want()
+            want = asker.create_request()
             asker.take(state_copies.StateTransfer(hub).create_copy(want, []))
             self.assertEqual(hub.store.table.catalog, own.store.table.catalog)
             # It can be handed on from there.
--- a/tests/test_fleet/test_state_copies.py
+++ b/tests/test_fleet/test_state_copies.py
@@ -41,9 +41,9 @@
             now = trio.current_time()
             other.runner_follower.skip_to(5)
             other.runner_follower.copy_age.confirmed_at = now - 0.3
-            first = peer.create_copy(asker.create_want(), [])
+            first = peer.create_copy(asker.create_request(), [])
             await trio.sleep(2.0)
-            asker.create_want()
+            asker.create_request()
             # The first answer is late; the second question does not count.
             asker.take(first)
             age_s = own.runner_follower.copy_age.age_s
