--- a/packages/daemon/src/martenquay_daemon/discovery/runner_directory.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/runner_directory.py
@@ -67,7 +67,7 @@
         """Take one entry, or the end of one."""
         self._apply([self.entries.take(record)])
 
-    def take_copies(
+    def apply_copies(
         self,
         copies: list[runner_entries.RunnerCopy],
         runner_ids: set[str],
@@ -78,7 +78,7 @@
             copies: Those that this daemon may lack.
             runner_ids: All that there are.
         """
-        self._apply(self.entries.take_copies(copies, runner_ids))
+        self._apply(self.entries.apply_copies(copies, runner_ids))
 
     def find(self, runner_id: str) -> runners.Runner | None:
         """Return a runner by id."""
--- a/packages/daemon/src/martenquay_daemon/discovery/runner_entries.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/runner_entries.py
@@ -126,7 +126,7 @@
         self._note_change(record.offset)
         return Ended(record.key)
 
-    def take_copies(
+    def apply_copies(
         self, copies: Iterable[RunnerCopy], runner_ids: set[str]
     ) -> list[EntryChange]:
         """Take entries from a peer that has read further in the log.
--- a/packages/daemon/src/martenquay_daemon/fleet/state_copies.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/state_copies.py
@@ -136,7 +136,7 @@
         if copy.runners_end <= state.runner_follower.end:
             return not self._lacks_some
         listed = set(copy.runner_ids)
-        state.directory.take_copies(copy.runners, listed)
+        state.directory.apply_copies(copy.runners, listed)
         lacking = listed - state.directory.entries.list_ids()
         self._lacks_some = bool(lacking)
         if lacking:
--- a/tests/test_discovery/test_runner_directory.py
+++ b/tests/test_discovery/test_runner_directory.py
@@ -93,7 +93,7 @@
             self._build()
             self._put(id="r-1")
             self._put(id="r-2", address="127.0.0.1:2")
-            self.directory.take_copies([], {"r-2"})
+            self.directory.apply_copies([], {"r-2"})
             self.assertEqual(["r-2"], self._list())
 
         self.run_clocked(scenario)
@@ -189,7 +189,7 @@
             good = self.directory.entries.list_copies()
             bad = runner_entries.RunnerCopy("r-2", 5, b"broken")
             self._build_reader()
-            self.directory.take_copies([bad, *good], {"r-1", "r-2"})
+            self.directory.apply_copies([bad, *good], {"r-1", "r-2"})
             self.assertEqual(["r-1"], self._list())
             self.assertEqual({"r-1", "r-2"}, self.directory.entries.list_ids())
 
@@ -247,7 +247,7 @@
             self._put(id="r-1")
             old = self.directory.entries.list_copies()
             self._put(id="r-1", is_leaving=True)
-            self.directory.take_copies(old, {copy.key for copy in old})
+            self.directory.apply_copies(old, {copy.key for copy in old})
             self.assertEqual([], self._list())
 
         self.run_clocked(scenario)
