--- a/packages/daemon/src/martenquay_daemon/duties/capacity_keeper.py
+++ b/packages/daemon/src/martenquay_daemon/duties/capacity_keeper.py
@@ -89,9 +89,9 @@
     def __init__(self, parts: CapacityParts) -> None:
         self._parts = parts
         self._lines: dict[tuple[str, str, bool], order_line.CapacityOrder] = {}
-        self._needs: dict[str, slow_fall.SlowFall] = {}
-        self._comforts: dict[str, slow_fall.SlowFall] = {}
-        self._rises: dict[str, slow_fall.SlowFall] = {}
+        self._needs: dict[str, slow_fall.DelayedDecrease] = {}
+        self._comforts: dict[str, slow_fall.DelayedDecrease] = {}
+        self._rises: dict[str, slow_fall.DelayedDecrease] = {}
         self._targets: dict[str, capacity_plan.CapacityTarget] = {}
         self._trends: dict[str, demand_trend.DemandTrend] = {}
         self._first_counts: dict[str, int] = {}
@@ -208,14 +208,14 @@
             comfortable = max(comfortable, first)
         # What was foreseen and is not there a boot later was no wave.
         rises = self._rises.setdefault(
-            service.name, slow_fall.SlowFall(state.limits.boot_s)
+            service.name, slow_fall.DelayedDecrease(state.limits.boot_s)
         )
         rise = rises.follow(now, rise)
         needed = self._needs.setdefault(
-            service.name, slow_fall.SlowFall(_LOWER_AFTER_S)
+            service.name, slow_fall.DelayedDecrease(_LOWER_AFTER_S)
         )
         spare = self._comforts.setdefault(
-            service.name, slow_fall.SlowFall(_LOWER_AFTER_S)
+            service.name, slow_fall.DelayedDecrease(_LOWER_AFTER_S)
         )
         target = capacity_plan.CapacityTarget(
             max(rise, needed.follow(now, count)),
--- a/packages/daemon/src/martenquay_daemon/duties/slow_fall.py
+++ b/packages/daemon/src/martenquay_daemon/duties/slow_fall.py
@@ -4,11 +4,11 @@
 
 import dataclasses
 
-__all__ = ["SlowFall"]
+__all__ = ["DelayedDecrease"]
 
 
 @dataclasses.dataclass
-class SlowFall:
+class DelayedDecrease:
     """A number that rises at once and falls only after a while.
 
     Attributes:
