--- a/packages/daemon/src/martenquay_daemon/allowances/gate.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/gate.py
@@ -34,7 +34,7 @@
     ) -> terms.AdmissionDecision | None:
         """Have a daemon decide that keeps this one's; None if none answers."""
 
-    async def ask_at(
+    async def ask_address(
         self, address: str, team: str, wish: terms.AdmissionRequest
     ) -> terms.AdmissionDecision | None:
         """Have one daemon decide that has units; None if it says nothing."""
@@ -72,7 +72,9 @@
         verdict = await self._take_here(team, wish)
         match verdict:
             case terms.HeldElsewhere(holder=holder) if holder:
-                answer = await self._keepers.ask_at(holder, team.name, wish)
+                answer = await self._keepers.ask_address(
+                    holder, team.name, wish
+                )
                 if answer is not None and answer.is_admitted:
                     return answer
         return await self.settle(team, wish, verdict, _WAIT_S)
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_desk.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_desk.py
@@ -143,7 +143,7 @@
             if answer is not None or trio.current_time() >= end:
                 return answer
 
-    async def ask_at(
+    async def ask_address(
         self, address: str, team: str, wish: terms.AdmissionRequest
     ) -> terms.AdmissionDecision | None:
         """Return one daemon's answer, or None if it says nothing."""
--- a/tests/allowance_fleet.py
+++ b/tests/allowance_fleet.py
@@ -63,7 +63,7 @@
         del team, wish
         return None
 
-    async def ask_at(
+    async def ask_address(
         self, address: str, team: str, wish: terms.AdmissionRequest
     ) -> terms.AdmissionDecision | None:
         """Return nothing: nobody else is reached."""
--- a/tests/test_allowances/test_escrow.py
+++ b/tests/test_allowances/test_escrow.py
@@ -203,7 +203,7 @@
         self.asked.append((team, wish))
         return self._answer
 
-    async def ask_at(
+    async def ask_address(
         self, address: str, team: str, wish: terms.AdmissionRequest
     ) -> terms.AdmissionDecision | None:
         """Return the answer."""
--- a/tests/test_fleet/test_unit_desk.py
+++ b/tests/test_fleet/test_unit_desk.py
@@ -140,11 +140,11 @@
     def test_a_daemon_that_keeps_units_asks_one_other_only(self) -> None:
         async def scenario() -> None:
             self.ways.answers["far-1"] = [(0.003, _GRANTED)]
-            answer = await self.desk.ask_at("far-1", "florists", _WISH)
+            answer = await self.desk.ask_address("far-1", "florists", _WISH)
             self.assertTrue(answer.is_admitted)
             self.assertEqual(["far-1"], self.ways.redirected)
             self.assertIsNone(
-                await self.desk.ask_at("far-2", "florists", _WISH)
+                await self.desk.ask_address("far-2", "florists", _WISH)
             )
 
         self._run(scenario)
