--- a/packages/daemon/src/martenquay_daemon/fleet/roster.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/roster.py
@@ -25,7 +25,7 @@
 
     Attributes:
         counted: Set once all others reckon with this instance.
-        part_since: Since when this daemon has a part, in trio's time.
+        share_since: Since when this daemon has a part, in trio's time.
         changes: Counts what changes the list or this instance's place on it.
         removed: Set when this instance was taken off the list; then another
             one is made.
@@ -34,7 +34,7 @@
     def __init__(self, instance: str) -> None:
         self.counted = trio.Event()
         self.removed = trio.Event()
-        self.part_since = math.inf
+        self.share_since = math.inf
         self.changes = 0
         self._instance = instance
         self._listed: set[str] = set()
@@ -79,7 +79,7 @@
         self._needed_end = offset + 1
         if is_counted and not self.counted.is_set():
             # Also while no process of this instance ran.
-            self.part_since = -math.inf
+            self.share_since = -math.inf
             self.changes += 1
             self.counted.set()
 
@@ -92,7 +92,7 @@
         if instance == self._instance:
             self.counted = trio.Event()
             self._needed_end = None
-            self.part_since = math.inf
+            self.share_since = math.inf
             self.removed.set()
             self.removed = trio.Event()
 
@@ -142,7 +142,7 @@
         if self._needed_end is None:
             return 0.0
         if not self.counted.is_set() and self._is_read(self._needed_end):
-            self.part_since = trio.current_time()
+            self.share_since = trio.current_time()
             self.changes += 1
             self.counted.set()
             _LOG.write(
--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -383,7 +383,7 @@
             _find_tolerance(bounds),
             rights.RefillShares(
                 lambda: rights.RateShare(
-                    self._roster.find_own_share(), self._roster.part_since
+                    self._roster.find_own_share(), self._roster.share_since
                 ),
                 bounds.allowance_window_s,
                 self.links.find_sole_since,
--- a/tests/allowance_fleet.py
+++ b/tests/allowance_fleet.py
@@ -140,7 +140,7 @@
         self._waiting: list[_Waiting] = []
         mint_rights = rights.RefillShares(
             lambda: rights.RateShare(
-                self._roster.find_own_share(), self._roster.part_since
+                self._roster.find_own_share(), self._roster.share_since
             ),
             BOUNDS.window_s,
         )
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -175,7 +175,7 @@
         )
         self._rights = rights.RefillShares(
             lambda: rights.RateShare(
-                self._roster.find_own_share(), self._roster.part_since
+                self._roster.find_own_share(), self._roster.share_since
             ),
             allowance_fleet.BOUNDS.window_s,
             self._zone.find_sole_since,
