--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -409,7 +409,7 @@
         return max(pace.silent_s, paces.LOST_REPORTS * self._zone.report_s)
 
     def _is_own_due(self, pace: paces.GossipIntervals) -> bool:
-        due_s = pace.hurry_s if self._wake.is_set() else pace.own_s
+        due_s = pace.min_interval_s if self._wake.is_set() else pace.own_s
         return trio.current_time() >= self._told_at + due_s
 
     def _tell_own(self) -> None:
--- a/packages/daemon/src/martenquay_daemon/fleet/pace.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/pace.py
@@ -13,7 +13,7 @@
 
     Attributes:
         own_s: Between two digests of its own.
-        hurry_s: The least time between two, for news that cannot wait.
+        min_interval_s: The least time between two, for news that cannot wait.
         step_s: Between two looks at what there is to do.
         report_s: Between two reports of a hub, at the least.
         longest_report_s: The same, however large reports are.
@@ -23,7 +23,7 @@
     """
 
     own_s: float
-    hurry_s: float
+    min_interval_s: float
     step_s: float
     report_s: float
     longest_report_s: float
@@ -41,7 +41,7 @@
 # reports.
 MESH_PACE = GossipIntervals(
     own_s=0.25,
-    hurry_s=0.04,
+    min_interval_s=0.04,
     step_s=0.04,
     report_s=0.25,
     longest_report_s=0.8,
@@ -53,7 +53,7 @@
 # digests take the rest. A large fleet is reported on less often.
 ZONE_PACE = GossipIntervals(
     own_s=0.5,
-    hurry_s=0.15,
+    min_interval_s=0.15,
     step_s=0.1,
     report_s=0.25,
     longest_report_s=0.8,
--- a/tests/test_fleet/test_links.py
+++ b/tests/test_fleet/test_links.py
@@ -33,7 +33,7 @@
 _HANG_S = 30.0
 _PACE = pace.GossipIntervals(
     own_s=0.02,
-    hurry_s=0.005,
+    min_interval_s=0.005,
     step_s=0.005,
     report_s=0.02,
     longest_report_s=0.1,
