--- a/packages/daemon/src/martenquay_daemon/duties/lease.py
+++ b/packages/daemon/src/martenquay_daemon/duties/lease.py
@@ -98,7 +98,7 @@
         is_free = not self.fence and self._told_free_at <= trio.current_time()
         return is_free and not self._is_stopping and self._find_rank() == 0
 
-    def create_news(self) -> messages.LeaseStatus | None:
+    def create_status(self) -> messages.LeaseStatus | None:
         """Return what to tell candidates; None if it is not held here."""
         if not self.is_held():
             return None
--- a/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
@@ -123,7 +123,7 @@
             log_age_ms=int(log_age_s * 1000),
             capacity=self._identity.capacity,
             is_leaving=self.is_leaving,
-            lease=sources.lease.create_news(),
+            lease=sources.lease.create_status(),
             window=sources.usage.find_window(),
             loan=sources.units.create_delegation(),
             members_end=members_end,
--- a/tests/test_duties/test_lease.py
+++ b/tests/test_duties/test_lease.py
@@ -62,7 +62,7 @@
 async def _tell(first: lease.Lease, second: lease.Lease) -> None:
     """Hand on the first one's news as digests do."""
     while True:
-        news = first.create_news()
+        news = first.create_status()
         second.apply_status("entry-1.aa", news, is_leaving=False)
         await trio.sleep(0.25)
 
@@ -192,7 +192,7 @@
             second, _ = self._create(store, "entry-2")
             async with _hold(first) as nursery:
                 nursery.start_soon(second.run)
-                news = first.create_news()
+                news = first.create_status()
                 second.apply_status("entry-1.aa", news, is_leaving=False)
                 for _ in range(200):
                     await trio.sleep(0.1)
--- a/tests/test_promises/test_suspension.py
+++ b/tests/test_promises/test_suspension.py
@@ -45,7 +45,7 @@
                     await trio.sleep(0.1)
                 self.clock.jump(_SLEEP_S)
                 self.assertFalse(found.is_held())
-                self.assertIsNone(found.create_news())
+                self.assertIsNone(found.create_status())
                 nursery.cancel_scope.cancel()
 
         self._run(scenario)
