--- a/packages/daemon/src/martenquay_daemon/backpressure/parts.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/parts.py
@@ -52,7 +52,7 @@
         observe: Told the kind and the source of each change.
         hurry: Has other daemons told of a change soon.
     """
-    order = send_order.SendOrder(instance, known)
+    order = send_order.SenderRanking(instance, known)
     limits = runner_limits.RunnerLimits(order.find_place)
     asked_rests = rests.RunnerBackoffs()
     for words in (limits, leaving, asked_rests):
--- a/packages/daemon/src/martenquay_daemon/backpressure/send_order.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/send_order.py
@@ -11,13 +11,13 @@
     from martenquay_core.serving import runners
     from martenquay_daemon.fleet import roster
 
-__all__ = ["SendOrder"]
+__all__ = ["SenderRanking"]
 
 # Places are kept of so many runners; the next one empties the table.
 _MOST = 4096
 
 
-class SendOrder:
+class SenderRanking:
     """This daemon's place for each runner, by the list that all read.
 
     The list lies in the platform's log, so a cut changes nobody's place. Those
--- a/tests/test_backpressure/test_send_order.py
+++ b/tests/test_backpressure/test_send_order.py
@@ -11,11 +11,11 @@
 _ZONES = {"entry-0": "a", "entry-1": "b", "entry-2": "b", "entry-3": "c"}
 
 
-def _build(instance: str) -> tuple[send_order.SendOrder, roster.Roster]:
+def _build(instance: str) -> tuple[send_order.SenderRanking, roster.Roster]:
     known = roster.Roster(instance)
     for offset, (name, zone) in enumerate(_ZONES.items()):
         known.note_listed(name, offset, is_counted=True, zone=zone)
-    return send_order.SendOrder(instance, known), known
+    return send_order.SenderRanking(instance, known), known
 
 
 class SendOrderTest(clocked.ClockedTestCase):
@@ -36,7 +36,7 @@
     def test_a_new_daemon_comes_last_until_all_others_know_of_it(self) -> None:
         async def scenario() -> None:
             known = roster.Roster("entry-9")
-            order = send_order.SendOrder("entry-9", known)
+            order = send_order.SenderRanking("entry-9", known)
             for offset, (name, zone) in enumerate(_ZONES.items()):
                 known.note_listed(name, offset, is_counted=True, zone=zone)
             known.note_listed("entry-9", 9, is_counted=False, zone="b")
