--- a/packages/daemon/src/martenquay_daemon/backpressure/runner_gate.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/runner_gate.py
@@ -19,7 +19,7 @@
         runner_limits,
     )
 
-__all__ = ["ClosedRunners", "RunnerAdmission"]
+__all__ = ["UnavailableRunners", "RunnerAdmission"]
 
 _LOG = logs.create_log("backpressure")
 _LEAVES = "the runner says that it leaves"
@@ -28,7 +28,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class ClosedRunners:
+class UnavailableRunners:
     """Runners that take no request of this daemon now.
 
     Attributes:
@@ -141,13 +141,15 @@
         ]
         return min(filter(math.isfinite, waits), default=None)
 
-    def count_closed(self, found: Iterable[runners.Runner]) -> ClosedRunners:
+    def count_closed(
+        self, found: Iterable[runners.Runner]
+    ) -> UnavailableRunners:
         """Count the runners that take nothing now, by their first reason."""
         told = self._list_told()
         problems = collections.Counter(
             self._find_problem(runner) for runner in found if runner.id in told
         )
-        return ClosedRunners(
+        return UnavailableRunners(
             problems[_LEAVES], problems[_RESTS], problems[_OVER]
         )
 
--- a/tests/test_backpressure/test_runner_gate.py
+++ b/tests/test_backpressure/test_runner_gate.py
@@ -68,10 +68,10 @@
             other = builders.build_runner(id="runner-2")
             _note(gate, _RESTS, did_not_run=True)
             found = gate.count_closed([_RUNNER, other])
-            self.assertEqual(runner_gate.ClosedRunners(0, 1, 0), found)
+            self.assertEqual(runner_gate.UnavailableRunners(0, 1, 0), found)
             _note(gate, _LEAVES)
             found = gate.count_closed([_RUNNER, other])
-            self.assertEqual(runner_gate.ClosedRunners(1, 0, 0), found)
+            self.assertEqual(runner_gate.UnavailableRunners(1, 0, 0), found)
 
         self.run_clocked(scenario)
 
