--- a/packages/daemon/src/martenquay_daemon/forwarding/first_tries.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/first_tries.py
@@ -4,14 +4,14 @@
 
 import trio
 
-__all__ = ["FirstTries"]
+__all__ = ["RetryDetector"]
 
 # The longest time of a route's callers is learnt anew after so long, for
 # operators may shorten it.
 _MEMORY_S = 60.0
 
 
-class FirstTries:
+class RetryDetector:
     """How long the callers of each route wait in all.
 
     Each attempt of a caller has an id of its own, but the time that it says it
--- a/packages/daemon/src/martenquay_daemon/forwarding/forwarder.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/forwarder.py
@@ -104,7 +104,7 @@
 
     def __init__(self, parts: ForwarderParts) -> None:
         self._parts = parts
-        self._first_tries = first_tries.FirstTries()
+        self._first_tries = first_tries.RetryDetector()
         self._lines = request_lines.RequestLines(parts.store, parts.metrics)
 
     async def handle(
