--- a/packages/daemon/src/martenquay_daemon/duties/capacity_keeper.py
+++ b/packages/daemon/src/martenquay_daemon/duties/capacity_keeper.py
@@ -29,7 +29,7 @@
     from martenquay_daemon.engines import loads, model
     from martenquay_daemon.fleet import view
 
-__all__ = ["CapacityKeeper", "CapacityParts"]
+__all__ = ["CapacityController", "CapacityParts"]
 
 _LOG = logs.create_log("capacity")
 _POLL_S = 0.5
@@ -83,7 +83,7 @@
     list_serving: Callable[[str, list[runners.Runner]], list[runners.Runner]]
 
 
-class CapacityKeeper:
+class CapacityController:
     """Keep as many runners as the load takes, as cheap as can be."""
 
     def __init__(self, parts: CapacityParts) -> None:
--- a/packages/daemon/src/martenquay_daemon/duties/parts.py
+++ b/packages/daemon/src/martenquay_daemon/duties/parts.py
@@ -98,8 +98,8 @@
 
 def _create_capacity_keeper(
     sources: DutySources, cloud: port_types.CloudPort
-) -> capacity_keeper.CapacityKeeper:
-    return capacity_keeper.CapacityKeeper(
+) -> capacity_keeper.CapacityController:
+    return capacity_keeper.CapacityController(
         capacity_keeper.CapacityParts(
             cloud=cloud,
             holder=sources.settings.instance,
--- a/tests/test_duties/test_capacity_keeper.py
+++ b/tests/test_duties/test_capacity_keeper.py
@@ -21,7 +21,7 @@
 
 
 class CapacityKeeperTest(clocked.ClockedTestCase):
-    def _build(self) -> capacity_keeper.CapacityKeeper:
+    def _build(self) -> capacity_keeper.CapacityController:
         self.cloud = cloud.MemoryCloud()
         self.records = builders.FakeRecords()
         service = builders.build_service(
@@ -44,7 +44,7 @@
         self.lease = lease.create_lease(
             log.MemoryLog(), "lease", "entry-1.aa", "entry-1", 3.0, fleet
         )
-        return capacity_keeper.CapacityKeeper(
+        return capacity_keeper.CapacityController(
             capacity_keeper.CapacityParts(
                 cloud=self.cloud,
                 holder="entry-1",
