--- a/packages/daemon/src/martenquay_daemon/allowances/escrow.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/escrow.py
@@ -367,7 +367,7 @@
         that has left the window this one owes no more than it has let end
         unspent, which is as good as paying it.
         """
-        most = self.bounds.find_most_owed()
+        most = self.bounds.find_max_overdraft()
         held, fresh = self.rights.find_overdraft_shares()
         return most * held + min(most * fresh, account.pile.unspent)
 
--- a/packages/daemon/src/martenquay_daemon/allowances/terms.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/terms.py
@@ -62,14 +62,14 @@
         span_s = self.window_s + self.find_life(team) + _DELAY_S
         return self._find_minted(team) / span_s
 
-    def find_most_owed(self) -> float:
+    def find_max_overdraft(self) -> float:
         """Return what all daemons together may spend before it is minted."""
         return _OWED_SLACK * self.slack
 
     def _find_minted(self, team: catalog.Team) -> float:
         allowance = team.rate * self.window_s + team.burst
         tolerated = allowance * (1 + self.overrun) + self.slack
-        return tolerated - self.find_most_owed()
+        return tolerated - self.find_max_overdraft()
 
 
 @dataclasses.dataclass(frozen=True)
--- a/tests/test_allowances/test_escrow.py
+++ b/tests/test_allowances/test_escrow.py
@@ -52,7 +52,7 @@
                 minted = bounds.find_mint_rate(team)
                 self.assertGreater(minted, 0.95 * rate)
                 span_s = 8.0 + bounds.find_life(team)
-                most = minted * span_s + bounds.find_most_owed()
+                most = minted * span_s + bounds.find_max_overdraft()
                 allowance = rate * 8.0 + burst
                 self.assertLess(most, allowance * (1 + overrun) + slack)
 
