--- a/packages/daemon/src/martenquay_daemon/allowances/escrow.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/escrow.py
@@ -465,7 +465,7 @@
 
     def _find_pace(self, team: catalog.Team) -> _Pace:
         bounds = self.bounds
-        rate = bounds.find_mint_rate(team)
+        rate = bounds.find_refill_rate(team)
         return _Pace(team, bounds, rate, bounds.find_life(team))
 
     def _change_pace(self, account: _Account, pace: _Pace) -> None:
--- a/packages/daemon/src/martenquay_daemon/allowances/terms.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/terms.py
@@ -53,7 +53,7 @@
         life_s = steady_s - self.window_s - _DELAY_S
         return min(_LONGEST_LIFE_S, max(_SHORTEST_LIFE_S, life_s))
 
-    def find_mint_rate(self, team: catalog.Team) -> float:
+    def find_refill_rate(self, team: catalog.Team) -> float:
         """Return the units a second that all daemons together may mint.
 
         What is spent in a window was minted in it or one lifetime before it,
--- a/tests/test_allowances/test_escrow.py
+++ b/tests/test_allowances/test_escrow.py
@@ -12,7 +12,7 @@
 
 _TEAM = allowance_fleet.TEAM
 _BOUNDS = allowance_fleet.BOUNDS
-_RATE = _BOUNDS.find_mint_rate(_TEAM)
+_RATE = _BOUNDS.find_refill_rate(_TEAM)
 _LIFE_S = _BOUNDS.find_life(_TEAM)
 
 
@@ -49,7 +49,7 @@
             team = builders.build_team(rate=rate, burst=burst)
             for overrun, slack in ((0.1, 72_000.0), (0.1, 0.0)):
                 bounds = terms.ToleranceBounds(8.0, overrun, slack)
-                minted = bounds.find_mint_rate(team)
+                minted = bounds.find_refill_rate(team)
                 self.assertGreater(minted, 0.95 * rate)
                 span_s = 8.0 + bounds.find_life(team)
                 most = minted * span_s + bounds.find_max_overdraft()
