--- a/packages/daemon/src/martenquay_daemon/duties/parts.py
+++ b/packages/daemon/src/martenquay_daemon/duties/parts.py
@@ -118,8 +118,8 @@
 
 def _create_rollout_keeper(
     sources: DutySources,
-) -> rollout_keeper.RolloutKeeper:
-    return rollout_keeper.RolloutKeeper(
+) -> rollout_keeper.RolloutController:
+    return rollout_keeper.RolloutController(
         rollout_keeper.RolloutParts(
             log=sources.ports.log,
             topics=sources.ports.topics,
--- a/packages/daemon/src/martenquay_daemon/rollouts/keeper.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/keeper.py
@@ -22,7 +22,7 @@
     from martenquay_daemon.engines import loads
     from martenquay_daemon.rollouts import tallies
 
-__all__ = ["RolloutKeeper", "RolloutParts"]
+__all__ = ["RolloutController", "RolloutParts"]
 
 _LOG = logs.create_log("rollouts")
 # A bad version goes on getting its share until it is rolled back, and the
@@ -60,7 +60,7 @@
     ledger: loads.LoadLedger
 
 
-class RolloutKeeper:
+class RolloutController:
     """Try, judge, switch or roll back, and tell operators."""
 
     def __init__(
--- a/tests/test_rollouts/test_keeper.py
+++ b/tests/test_rollouts/test_keeper.py
@@ -60,7 +60,7 @@
         self.lease = lease.create_lease(
             platform, "lease", f"{name}.aa", name, 3.0, view.FleetView(name)
         )
-        self.keeper = keeper.RolloutKeeper(
+        self.keeper = keeper.RolloutController(
             keeper.RolloutParts(
                 log=platform,
                 topics=_TOPICS,
