--- a/packages/daemon/src/martenquay_daemon/fleet/roster.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/roster.py
@@ -119,7 +119,7 @@
         ]
         return min([own_end, *others])
 
-    def find_zone_part(self, zone: str) -> float:
+    def find_zone_share(self, zone: str) -> float:
         """Return the part of a zone's listed instances together."""
         if not self._listed:
             return 0.0
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
@@ -144,7 +144,7 @@
         So it is for a second after all have started, and after the keeper
         before this one was lost.
         """
-        expected = self._roster.find_zone_part(self._zone)
+        expected = self._roster.find_zone_share(self._zone)
         has_most = (
             self._units.rights.find_usable_share() >= _MOST_PARTS * expected
         )
--- a/tests/test_fleet/test_roster.py
+++ b/tests/test_fleet/test_roster.py
@@ -37,10 +37,10 @@
     @_in_trio
     def test_a_zones_part_is_that_of_its_listed_instances(self) -> None:
         one = roster.Roster("a")
-        self.assertEqual(0.0, one.find_zone_part("x"))
+        self.assertEqual(0.0, one.find_zone_share("x"))
         for offset, (name, zone) in enumerate(["ax", "bx", "cy"]):
             one.note_listed(name, offset, is_counted=True, zone=zone)
-        self.assertAlmostEqual(2 / 3, one.find_zone_part("x"))
+        self.assertAlmostEqual(2 / 3, one.find_zone_share("x"))
 
     @_in_trio
     def test_a_zones_told_end_stands_for_each_of_its_daemons(self) -> None:
