--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -363,7 +363,7 @@
     def _list_unit_keepers(self) -> Iterable[str]:
         if self.is_mesh():
             return list(self._links)
-        return self._zone.list_other_keepers()
+        return self._zone.list_other_quota_hubs()
 
     async def _tell(self) -> None:
         """Tell others of this daemon, and as a hub of the fleet."""
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
@@ -304,7 +304,7 @@
         foreign.sort(key=lambda one: rendezvous.score_candidate(key, one))
         return own + foreign
 
-    def list_other_keepers(self) -> list[str]:
+    def list_other_quota_hubs(self) -> list[str]:
         """Return the other zones' hubs, if this one keeps units like them."""
         return list(self._foreign_hubs) if self.is_quota_hub() else []
 
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -358,7 +358,7 @@
         self._noted_at = now
         self._is_hurried = False
         note = self._news.create_note()
-        for address in self._zone.list_other_keepers():
+        for address in self._zone.list_other_quota_hubs():
             self._tell(address, note)
 
     def _take_waits(self, now: float) -> None:
