--- a/packages/daemon/src/martenquay_daemon/fleet/unit_desk.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_desk.py
@@ -29,7 +29,7 @@
 # than the bound's reckoning allows for.
 _LONGEST_S = 0.2
 # Of that, a keeper may wait for units of other keepers.
-KEEPER_WAIT_S = 0.12
+HUB_WAIT_S = 0.12
 # By so much a timer may be late on a busy instance.
 _LATE_S = 0.03
 # A new link comes up within 5 to 20 ms.
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
@@ -203,7 +203,7 @@
             case terms.HeldElsewhere():
                 reply(messages.QuotaReply(want.number, _Verdict.WAITING))
         answer = await self._gate.settle(
-            team, wish, verdict, unit_desk.KEEPER_WAIT_S
+            team, wish, verdict, unit_desk.HUB_WAIT_S
         )
         reply(self._describe(want.number, answer))
 
