--- a/packages/daemon/src/martenquay_daemon/fleet/hub.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/hub.py
@@ -51,7 +51,7 @@
 
     def __init__(self, table: zones.ZoneTable) -> None:
         self._table = table
-        self._sum = zone_sum.ZoneSum()
+        self._sum = zone_sum.ZoneAggregator()
         self._subscribers: dict[str, _Subscriber] = {}
         self._own: messages.Digest | None = None
         self._number = 0
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_sum.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_sum.py
@@ -13,7 +13,7 @@
     from martenquay_daemon.duties import usage_counts
     from martenquay_daemon.rollouts import tallies
 
-__all__ = ["ZoneTotals", "ZoneSum", "add_loads", "add_reading"]
+__all__ = ["ZoneTotals", "ZoneAggregator", "add_loads", "add_reading"]
 
 # Usage counts of a daemon that ended are kept until they are reported.
 _KEEP_COUNTS_S = 40.0
@@ -60,7 +60,7 @@
     is_replaced: bool = False
 
 
-class ZoneSum:
+class ZoneAggregator:
     """The newest digests of a zone's daemons and their sums."""
 
     def __init__(self) -> None:
--- a/tests/test_fleet/test_zone_sum.py
+++ b/tests/test_fleet/test_zone_sum.py
@@ -13,7 +13,7 @@
 class ZoneSumTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.sum = zone_sum.ZoneSum()
+        self.sum = zone_sum.ZoneAggregator()
 
     def _take(self, name: str, number: int, now: float, **changes) -> None:
         self.sum.take(
