--- a/packages/core/src/martenquay_core/util/http.py
+++ b/packages/core/src/martenquay_core/util/http.py
@@ -114,7 +114,7 @@
     After a call without an answer, later ones get new connections.
     """
 
-    def __init__(self, keeper: pools.PoolKeeper) -> None:
+    def __init__(self, keeper: pools.PoolManager) -> None:
         self._keeper = keeper
 
     async def call(
@@ -243,7 +243,7 @@
             socket_options=options,
         )
 
-    keeper = pools.PoolKeeper(create_pool)
+    keeper = pools.PoolManager(create_pool)
     try:
         yield HttpClient(keeper)
     finally:
--- a/packages/core/src/martenquay_core/util/pools.py
+++ b/packages/core/src/martenquay_core/util/pools.py
@@ -17,7 +17,7 @@
 
     import httpcore
 
-__all__ = ["Generation", "PoolKeeper"]
+__all__ = ["Generation", "PoolManager"]
 
 
 class Generation:
@@ -52,7 +52,7 @@
             scope.cancel()
 
 
-class PoolKeeper:
+class PoolManager:
     """Hand out the newest pool; close older ones after their last call."""
 
     def __init__(
