--- a/packages/core/src/martenquay_core/util/keepalive.py
+++ b/packages/core/src/martenquay_core/util/keepalive.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     import trio
 
-__all__ = ["KeepAlive", "bound_silence", "list_options"]
+__all__ = ["KeepAlive", "enable_keepalive", "list_options"]
 
 _MS = 1000
 
@@ -52,7 +52,7 @@
     ]
 
 
-def bound_silence(sock: trio.socket.SocketType, bound: KeepAlive) -> None:
+def enable_keepalive(sock: trio.socket.SocketType, bound: KeepAlive) -> None:
     """Set the options on a socket."""
     for level, option, value in list_options(bound):
         sock.setsockopt(level, option, value)
--- a/packages/daemon/src/martenquay_daemon/forwarding/listener.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/listener.py
@@ -92,7 +92,7 @@
         listener = trio.socket.from_stdlib_socket(kernel)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         # Connections that it accepts inherit them.
-        keepalive.bound_silence(listener, _SILENCE)
+        keepalive.enable_keepalive(listener, _SILENCE)
         await listener.bind((host, int(port)))
         listener.listen(_BACKLOG)
         bound_host, bound_port = listener.getsockname()
--- a/packages/daemon/src/martenquay_daemon/forwarding/runner_connection.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/runner_connection.py
@@ -202,7 +202,7 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
         if lasts_s > _SILENCE.unacknowledged_s:
-            keepalive.bound_silence(sock, _SILENCE)
+            keepalive.enable_keepalive(sock, _SILENCE)
         with trio.fail_after(timeout_s):
             await sock.connect((host, int(port)))
     except (OSError, trio.TooSlowError) as error:
