--- a/packages/daemon/src/martenquay_daemon/backpressure/leaving_words.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/leaving_words.py
@@ -50,7 +50,7 @@
 
     def __init__(self) -> None:
         self.observe: Callable[[str, str], None] = observers.ignore_change
-        self.notify_soon: Callable[[], None] = observers.tell_nobody
+        self.notify_soon: Callable[[], None] = observers.ignore_notification
         self._words: dict[str, _Word] = {}
 
     def list_ids(self) -> set[str]:
--- a/packages/daemon/src/martenquay_daemon/backpressure/observers.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/observers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-__all__ = ["ignore_change", "tell_nobody"]
+__all__ = ["ignore_change", "ignore_notification"]
 
 
 def ignore_change(signal: str, source: str) -> None:
@@ -10,5 +10,5 @@
     del signal, source
 
 
-def tell_nobody() -> None:
+def ignore_notification() -> None:
     """Tell no other daemon."""
--- a/packages/daemon/src/martenquay_daemon/backpressure/runner_limits.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/runner_limits.py
@@ -69,7 +69,7 @@
         ] = send_shares.find_share,
     ) -> None:
         self.observe: Callable[[str, str], None] = observers.ignore_change
-        self.notify_soon: Callable[[], None] = observers.tell_nobody
+        self.notify_soon: Callable[[], None] = observers.ignore_notification
         self._find_place = find_place
         self._find_share = find_share
         self._known: dict[str, _Known] = {}
