--- a/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
@@ -69,7 +69,7 @@
             {member: _tell_gift(gift) for member, gift in gifts.items()},
         )
 
-    def take_note(self, note: messages.QuotaUpdate) -> None:
+    def apply_update(self, note: messages.QuotaUpdate) -> None:
         """Take what another daemon says of its units and hands over."""
         holdings = {
             team: sharing.QuotaBalance(
--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -364,7 +364,7 @@
             self._shared.change_mode,
             self._unit_news.apply_subscriber_digest,
             self._unit_news.create_note,
-            self._unit_news.take_note,
+            self._unit_news.apply_update,
             self._unit_news.answer,
             self._unit_news.find_zone_end,
             news,
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -277,7 +277,7 @@
                 if self._zone.apply_report(message):
                     self._hear_zones(message)
             case messages.QuotaUpdate():
-                self._news.take_note(message)
+                self._news.apply_update(message)
             case messages.QuotaRequest():
                 self._decide(address, message)
             case messages.QuotaReply():
