--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -272,7 +272,7 @@
             case messages.QuotaRequest():
                 self._answer_units(message, reply)
             case messages.QuotaReply():
-                self.quota_client.take_reply(source, message)
+                self.quota_client.apply_reply(source, message)
             case messages.QuotaUpdate():
                 if self.listeners is not None:
                     self.listeners.take_units(message)
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_desk.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_desk.py
@@ -149,7 +149,7 @@
         """Return one daemon's answer, or None if it says nothing."""
         return await self._ask_once(team, wish, [address], is_redirected=True)
 
-    def take_reply(self, source: str, reply: messages.QuotaReply) -> None:
+    def apply_reply(self, source: str, reply: messages.QuotaReply) -> None:
         """Take a keeper's answer; one that nobody waits for is dropped."""
         one = self._asks.get(reply.number)
         if one is not None and one.reply is None:
--- a/tests/test_fleet/test_unit_desk.py
+++ b/tests/test_fleet/test_unit_desk.py
@@ -59,7 +59,7 @@
 
     async def _reply(self, after_s: float, address: str, reply) -> None:
         await trio.sleep(after_s)
-        self.desk.take_reply(address, reply)
+        self.desk.apply_reply(address, reply)
 
 
 class UnitDeskTest(clocked.ClockedTestCase):
