--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -264,7 +264,7 @@
                 self._take_digest(digest)
             case messages.ZoneExchange():
                 self._take_runner_words(message.runner_reports)
-                self._zone.take_exchange(message)
+                self._zone.apply_exchange(message)
             case messages.FleetReport():
                 self._take_report(message)
             case messages.StateRequest():
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
@@ -136,7 +136,7 @@
         if digest.zone == self._place.zone:
             self._hub.take(digest, trio.current_time())
 
-    def take_exchange(self, exchange: messages.ZoneExchange) -> None:
+    def apply_exchange(self, exchange: messages.ZoneExchange) -> None:
         """Take what another zone's hub tells."""
         summary = exchange.summary
         now = trio.current_time()
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -272,7 +272,7 @@
             case messages.DigestMessage(digest=digest):
                 self._hear_digest(digest)
             case messages.ZoneExchange():
-                self._zone.take_exchange(message)
+                self._zone.apply_exchange(message)
             case messages.FleetReport():
                 if self._zone.apply_report(message):
                     self._hear_zones(message)
