--- a/packages/daemon/src/martenquay_daemon/allowances/escrow.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/escrow.py
@@ -411,7 +411,9 @@
         rate = account.pace.rate
         gifts = sharing.find_transfers(own, others, rate)
         if not gifts:
-            gifts = sharing.find_flow_gifts(own, others, account.minted, rate)
+            gifts = sharing.find_scarcity_transfers(
+                own, others, account.minted, rate
+            )
         account.minted = 0.0
         return gifts
 
--- a/packages/daemon/src/martenquay_daemon/allowances/sharing.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/sharing.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-__all__ = ["QuotaBalance", "find_flow_gifts", "find_transfers"]
+__all__ = ["QuotaBalance", "find_scarcity_transfers", "find_transfers"]
 
 # Each daemon keeps a part of the units as if it were asked for so much of an
 # even part of the rate besides: the next request may come to any of them.
@@ -68,7 +68,7 @@
     return gifts
 
 
-def find_flow_gifts(
+def find_scarcity_transfers(
     own: QuotaBalance,
     others: Mapping[str, QuotaBalance],
     minted: float,
