--- a/packages/daemon/src/martenquay_daemon/forwarding/attempt.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/attempt.py
@@ -103,7 +103,7 @@
                     _CONNECT_S,
                     lasts_s=current.deadline - trio.current_time(),
                 ) as connection:
-                    bounds = patience.find_patience(
+                    bounds = patience.find_silence_limits(
                         current, placement, may_move
                     )
                     result = await self._talk_while_there(
--- a/packages/daemon/src/martenquay_daemon/forwarding/patience.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/patience.py
@@ -16,7 +16,7 @@
     from martenquay_daemon.engines import placer
     from martenquay_daemon.forwarding import exchange
 
-__all__ = ["find_patience"]
+__all__ = ["find_silence_limits"]
 
 # Events of a busy engine are up to 0.2 s apart, and a pause of 0.5 s makes an
 # answer late; a runner that is gone has to be found out in between.
@@ -31,7 +31,7 @@
 _LONGEST_PART = 2 / 3
 
 
-def find_patience(
+def find_silence_limits(
     current: exchange.Exchange,
     placement: placer.Placement,
     may_move: Callable[[], bool],
