--- a/packages/daemon/src/martenquay_daemon/quarantine/desk.py
+++ b/packages/daemon/src/martenquay_daemon/quarantine/desk.py
@@ -167,7 +167,7 @@
 
     def _decode(self, record: ports.KeyedRecord) -> strikes.CrashRecord | None:
         try:
-            return records.decode_strike(record)
+            return records.decode_crash(record)
         except ValueError as error:
             now = trio.current_time()
             if now >= self._told_foreign_at + _FOREIGN_LINE_S:
--- a/packages/daemon/src/martenquay_daemon/quarantine/records.py
+++ b/packages/daemon/src/martenquay_daemon/quarantine/records.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from martenquay_core.serving import ports
 
-__all__ = ["Crash", "decode_strike", "encode_crash", "encode_end"]
+__all__ = ["Crash", "decode_crash", "encode_crash", "encode_end"]
 
 _SEPARATOR = "."
 
@@ -44,7 +44,7 @@
     return log.join_keyed(_join_key(strike), b"")
 
 
-def decode_strike(record: ports.KeyedRecord) -> strikes.CrashRecord:
+def decode_crash(record: ports.KeyedRecord) -> strikes.CrashRecord:
     """Return the strike that a record is about.
 
     Raises:
