--- a/packages/daemon/src/martenquay_daemon/allowances/escrow.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/escrow.py
@@ -165,7 +165,7 @@
         Args:
             bounds: What is tolerated.
             mint_rights: What this daemon may mint.
-            hurry: Has this daemon's units told to others soon.
+            notify_soon: Has this daemon's units told to others soon.
         """
         self.bounds = bounds
         self.rights = mint_rights
--- a/packages/daemon/src/martenquay_daemon/backpressure/leaving_words.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/leaving_words.py
@@ -45,7 +45,7 @@
 
     Attributes:
         observe: Told the kind and the source of each word that is new.
-        hurry: Has other daemons told soon.
+        notify_soon: Has other daemons told soon.
     """
 
     def __init__(self) -> None:
--- a/packages/daemon/src/martenquay_daemon/backpressure/parts.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/parts.py
@@ -50,7 +50,7 @@
         known: The instances that share what runners take.
         leaving: The directory's: it lists none of those that leave.
         observe: Told the kind and the source of each change.
-        hurry: Has other daemons told of a change soon.
+        notify_soon: Has other daemons told of a change soon.
     """
     order = send_order.SenderRanking(instance, known)
     limits = runner_limits.RunnerLimits(order.find_place)
--- a/packages/daemon/src/martenquay_daemon/backpressure/runner_limits.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/runner_limits.py
@@ -58,7 +58,7 @@
 
     Attributes:
         observe: Told the kind and the source of each change.
-        hurry: Has other daemons told of a change soon.
+        notify_soon: Has other daemons told of a change soon.
     """
 
     def __init__(
--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -57,8 +57,9 @@
         apply_digest: Of one other daemon, in a small fleet.
         apply_report: Of all others, in a large one.
         change_mode: The fleet has become large or small.
-        apply_subscriber_digest: Of a daemon that takes this one for its hub, with the
-            time at which the report was sent that its loan counts from.
+        apply_subscriber_digest: Of a daemon that takes this one for its hub,
+            with the time at which the report was sent that its loan counts
+            from.
         create_units: Returns what to tell others that keep units.
         take_units: Of one that does.
         answer_units: Decides on another daemon's request; tells the reply,
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_desk.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_desk.py
@@ -110,7 +110,7 @@
 
 
 class QuotaClient:
-    """Implement `gate.Keepers` by asking over the links.
+    """Implement `gate.QuotaHolders` by asking over the links.
 
     Attributes:
         observe: Told the outcome of each question and the seconds that it
--- a/tests/allowance_fleet.py
+++ b/tests/allowance_fleet.py
@@ -50,7 +50,7 @@
 
 
 class OwnKeeper:
-    """Implement `gate.Keepers` for a daemon that keeps its own units."""
+    """Implement `gate.QuotaHolders` for a daemon that keeps its own units."""
 
     def holds_quota_here(self) -> bool:
         """Tell that it does."""
--- a/tests/test_allowances/test_escrow.py
+++ b/tests/test_allowances/test_escrow.py
@@ -186,7 +186,7 @@
 
 
 class _FarKeeper:
-    """Implement `gate.Keepers` with one answer."""
+    """Implement `gate.QuotaHolders` with one answer."""
 
     def __init__(self, answer: terms.AdmissionDecision | None) -> None:
         self.asked: list[tuple[str, terms.AdmissionRequest]] = []
