--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -19,9 +19,9 @@
 from martenquay_core.peers import sockets
 from martenquay_daemon.fleet import (
     messages,
+    quota_client,
     state_copies,
     topology,
-    unit_desk,
     zone_mode,
 )
 from martenquay_daemon.fleet import pace as paces
@@ -137,7 +137,7 @@
         # Other zones' hubs that were asked for units, and until when they are
         # kept linked.
         self._asked_hubs: dict[str, float] = {}
-        self.quota_client = unit_desk.QuotaClient(self)
+        self.quota_client = quota_client.QuotaClient(self)
         self._zone.find_members_end = self._find_zone_end
         self._zone.create_runner_reports = self._create_runner_words
 
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
@@ -8,7 +8,7 @@
 import trio
 
 from martenquay_daemon.allowances import escrow, rights, sharing, terms
-from martenquay_daemon.fleet import messages, send_times, unit_desk
+from martenquay_daemon.fleet import messages, quota_client, send_times
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -203,7 +203,7 @@
             case terms.HeldElsewhere():
                 reply(messages.QuotaReply(want.number, _Verdict.WAITING))
         answer = await self._gate.settle(
-            team, wish, verdict, unit_desk.HUB_WAIT_S
+            team, wish, verdict, quota_client.HUB_WAIT_S
         )
         reply(self._describe(want.number, answer))
 
--- a/tests/test_fleet/test_links.py
+++ b/tests/test_fleet/test_links.py
@@ -21,10 +21,10 @@
     links,
     messages,
     pace,
+    quota_client,
     runner_news,
     state_copies,
     topology,
-    unit_desk,
     view,
 )
 from martenquay_standins.ports import log
@@ -309,8 +309,8 @@
 
     def test_in_a_large_fleet_a_hub_answers_for_units(self) -> None:
         # All daemons run in this one process, which may be busy for longer.
-        self.patch(unit_desk, "_HEDGE_S", _HANG_S)
-        self.patch(unit_desk, "_LONGEST_S", _HANG_S)
+        self.patch(quota_client, "_HEDGE_S", _HANG_S)
+        self.patch(quota_client, "_LONGEST_S", _HANG_S)
 
         async def scenario(daemons: list[_Daemon]) -> None:
             _introduce(daemons)
--- a/tests/test_fleet/test_unit_desk.py
+++ b/tests/test_fleet/test_quota_client.py
@@ -5,7 +5,7 @@
 import trio
 
 from martenquay_daemon.allowances import terms
-from martenquay_daemon.fleet import messages, unit_desk
+from martenquay_daemon.fleet import messages, quota_client
 from tests import clocked
 
 _WISH = terms.AdmissionRequest(500.0, 1)
@@ -16,7 +16,7 @@
 
 
 class _Ways:
-    """Implement `unit_desk.QuotaTransport` with keepers that answer as told.
+    """Implement `quota_client.QuotaTransport` with keepers that answer as told.
 
     Attributes:
         keepers: Their addresses.
@@ -32,7 +32,7 @@
         self.unlinked: set[str] = set()
         self.redirected: list[str] = []
         self.nursery: trio.Nursery | None = None
-        self.desk: unit_desk.QuotaClient | None = None
+        self.desk: quota_client.QuotaClient | None = None
 
     def holds_own_quota(self) -> bool:
         """Tell that others do."""
@@ -67,7 +67,7 @@
         async def run() -> None:
             self.ways = _Ways()
             self.outcomes: list[str] = []
-            self.desk = unit_desk.QuotaClient(self.ways)
+            self.desk = quota_client.QuotaClient(self.ways)
             self.desk.observe = lambda outcome, _: self.outcomes.append(outcome)
             self.ways.desk = self.desk
             async with trio.open_nursery() as nursery:
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -18,10 +18,10 @@
 from martenquay_daemon.fleet import (
     messages,
     pace,
+    quota_client,
     roster,
     state_copies,
     topology,
-    unit_desk,
     unit_news,
     view,
     zone_mode,
@@ -344,7 +344,7 @@
                 waiting = messages.QuotaVerdict.WAITING
                 self._tell(address, messages.QuotaReply(want.number, waiting))
                 self.units.note_shortage(allowance_fleet.TEAM, missing)
-                until = trio.current_time() + unit_desk.HUB_WAIT_S
+                until = trio.current_time() + quota_client.HUB_WAIT_S
                 self._waits.append(
                     _Wait(address, want.number, want.units, missing, until)
                 )
