--- a/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
@@ -19,9 +19,9 @@
     from martenquay_daemon.engines import demand
     from martenquay_daemon.fleet import (
         links,
+        quota_exchange,
         roster,
         runner_news,
-        unit_news,
         view,
     )
     from martenquay_daemon.rollouts import book, tallies
@@ -77,7 +77,7 @@
     store: catalog_store.CatalogStore
     directory: runner_directory.RunnerDirectory
     contact: contact.LogContact
-    units: unit_news.QuotaExchange
+    units: quota_exchange.QuotaExchange
     listed: roster.Roster
     loads: loads.LoadLedger
     runner_news: runner_news.RunnerReportGossip
--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -33,12 +33,12 @@
 from martenquay_daemon.fleet import (
     announcements,
     links,
+    quota_exchange,
     roster,
     runner_news,
     shared_state,
     state_copies,
     topology,
-    unit_news,
     view,
 )
 from martenquay_daemon.forwarding import (
@@ -392,7 +392,7 @@
         )
         self.links.quota_client.observe = self.metrics.note_units_asked
         self._gate = gate.create_gate(self._units, self.links.quota_client)
-        self._unit_news = unit_news.QuotaExchange(
+        self._unit_news = quota_exchange.QuotaExchange(
             self.member,
             self._settings.zone,
             self._store,
--- a/tests/test_fleet/test_unit_news.py
+++ b/tests/test_fleet/test_quota_exchange.py
@@ -6,7 +6,7 @@
 
 from martenquay_daemon.allowances import escrow, gate, rights
 from martenquay_daemon.discovery import catalog_store
-from martenquay_daemon.fleet import messages, roster, unit_news, zone_mode
+from martenquay_daemon.fleet import messages, quota_exchange, roster, zone_mode
 from tests import allowance_fleet, clocked
 from tests import serving_builders as builders
 
@@ -44,7 +44,7 @@
 
 
 class UnitNewsTest(clocked.ClockedTestCase):
-    def _build(self, part: float) -> unit_news.QuotaExchange:
+    def _build(self, part: float) -> quota_exchange.QuotaExchange:
         records = builders.FakeRecords()
         records.catalogs[b"catalog"] = builders.build_catalog(teams=(_TEAM,))
         store = catalog_store.create_store(records)
@@ -66,7 +66,7 @@
                 zone="a" if number < 2 else "b",
             )
         self.links = _Links()
-        return unit_news.QuotaExchange(
+        return quota_exchange.QuotaExchange(
             "entry-1.aa",
             "a",
             store,
@@ -79,7 +79,7 @@
 
     async def _ask(
         self,
-        news: unit_news.QuotaExchange,
+        news: quota_exchange.QuotaExchange,
         units: float,
         team: str = _TEAM.name,
     ) -> list[messages.QuotaVerdict]:
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -19,10 +19,10 @@
     messages,
     pace,
     quota_client,
+    quota_exchange,
     roster,
     state_copies,
     topology,
-    unit_news,
     view,
     zone_mode,
 )
@@ -184,7 +184,7 @@
             allowance_fleet.BOUNDS, self._rights, self._hurry
         )
         self.units.refill([allowance_fleet.TEAM])
-        self._news = unit_news.QuotaExchange(
+        self._news = quota_exchange.QuotaExchange(
             self._member,
             place.zone,
             store,
