--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -313,7 +313,7 @@
         f"{DAEMON}/discovery/runner_directory.py",
         "runner.is_leaving or self.leaving.holds(runner)",
         "runner.is_leaving",
-        f"{_BACKPRESSURE}.test_leaving_words",
+        f"{_BACKPRESSURE}.test_drain_reports",
     ),
     Mutation(
         "after a rest one request goes first",
--- a/packages/daemon/src/martenquay_daemon/backpressure/parts.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/parts.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from martenquay_daemon.backpressure import (
-    leaving_words,
+    drain_reports,
     rests,
     runner_gate,
     runner_limits,
@@ -32,14 +32,14 @@
     """
 
     limits: runner_limits.RunnerLimits
-    leaving: leaving_words.DrainReports
+    leaving: drain_reports.DrainReports
     gate: runner_gate.RunnerAdmission
 
 
 def create_backpressure(
     instance: str,
     known: roster.Roster,
-    leaving: leaving_words.DrainReports,
+    leaving: drain_reports.DrainReports,
     observe: Callable[[str, str], None],
     notify_soon: Callable[[], None],
 ) -> Backpressure:
--- a/packages/daemon/src/martenquay_daemon/backpressure/runner_gate.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/runner_gate.py
@@ -14,7 +14,7 @@
 
     from martenquay_core.serving import calls, runners
     from martenquay_daemon.backpressure import (
-        leaving_words,
+        drain_reports,
         rests,
         runner_limits,
     )
@@ -52,7 +52,7 @@
     def __init__(
         self,
         limits: runner_limits.RunnerLimits,
-        leaving: leaving_words.DrainReports,
+        leaving: drain_reports.DrainReports,
         asked_rests: rests.RunnerBackoffs,
     ) -> None:
         self._limits = limits
--- a/packages/daemon/src/martenquay_daemon/discovery/runner_directory.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/runner_directory.py
@@ -8,7 +8,7 @@
 import trio
 
 from martenquay_core import logs
-from martenquay_daemon.backpressure import leaving_words
+from martenquay_daemon.backpressure import drain_reports
 from martenquay_daemon.discovery import runner_entries
 
 if TYPE_CHECKING:
@@ -46,7 +46,7 @@
     def __init__(
         self, codec: ports.PlatformCodec, log_contact: contact.LogContact
     ) -> None:
-        self.leaving = leaving_words.DrainReports()
+        self.leaving = drain_reports.DrainReports()
         self.entries = runner_entries.RunnerEntries(codec)
         self.on_restart: Callable[[str], None] = _ignore
         self.on_unusable: Callable[[str], None] = _ignore
--- a/packages/daemon/src/martenquay_daemon/fleet/runner_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/runner_news.py
@@ -10,7 +10,7 @@
 from martenquay_daemon.fleet import messages
 
 if TYPE_CHECKING:
-    from martenquay_daemon.backpressure import leaving_words, runner_limits
+    from martenquay_daemon.backpressure import drain_reports, runner_limits
 
 __all__ = ["RunnerReportGossip"]
 
@@ -28,7 +28,7 @@
     def __init__(
         self,
         limits: runner_limits.RunnerLimits,
-        leaving: leaving_words.DrainReports,
+        leaving: drain_reports.DrainReports,
     ) -> None:
         self._limits = limits
         self._leaving = leaving
--- a/tests/serving_builders.py
+++ b/tests/serving_builders.py
@@ -13,7 +13,7 @@
     topics,
 )
 from martenquay_daemon.backpressure import (
-    leaving_words,
+    drain_reports,
     rests,
     runner_gate,
     runner_limits,
@@ -137,7 +137,7 @@
     """Return what a daemon that is alone has been told of runners: nothing."""
     return runner_gate.RunnerAdmission(
         build_runner_limits(),
-        leaving_words.DrainReports(),
+        drain_reports.DrainReports(),
         rests.RunnerBackoffs(),
     )
 
--- a/tests/test_backpressure/test_leaving_words.py
+++ b/tests/test_backpressure/test_drain_reports.py
@@ -5,7 +5,7 @@
 import trio
 
 from martenquay_core.serving import ports
-from martenquay_daemon.backpressure import leaving_words
+from martenquay_daemon.backpressure import drain_reports
 from martenquay_daemon.discovery import contact, runner_directory
 from tests import clocked
 from tests import serving_builders as builders
@@ -16,7 +16,7 @@
 class LeavingWordsTest(clocked.ClockedTestCase):
     def test_a_process_that_has_said_so_leaves_for_good(self) -> None:
         async def scenario() -> None:
-            words = leaving_words.DrainReports()
+            words = drain_reports.DrainReports()
             words.note_answer(_RUNNER)
             await trio.sleep(600.0)
             self.assertTrue(words.holds(_RUNNER))
@@ -25,7 +25,7 @@
 
     def test_the_next_process_does_not_leave(self) -> None:
         async def scenario() -> None:
-            words = leaving_words.DrainReports()
+            words = drain_reports.DrainReports()
             words.note_answer(_RUNNER)
             fresh = builders.build_runner(born_ms=8)
             self.assertFalse(words.holds(fresh))
@@ -39,9 +39,9 @@
 
     def test_others_are_told_for_a_while(self) -> None:
         async def scenario() -> None:
-            words = leaving_words.DrainReports()
+            words = drain_reports.DrainReports()
             words.note_answer(_RUNNER)
-            other = leaving_words.DrainReports()
+            other = drain_reports.DrainReports()
             other.apply_gossip(words.list_recent_reports())
             self.assertTrue(other.holds(_RUNNER))
             await trio.sleep(31.0)
@@ -71,7 +71,7 @@
 
     def test_memory_is_bounded(self) -> None:
         async def scenario() -> None:
-            words = leaving_words.DrainReports()
+            words = drain_reports.DrainReports()
             for number in range(5000):
                 words.note_answer(builders.build_runner(id=f"r-{number}"))
             self.assertTrue(words.holds(builders.build_runner(id="r-4999")))
