--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -296,10 +296,10 @@
     ),
     Mutation(
         "an overtaken answer ends no limit",
-        f"{DAEMON}/backpressure/limit_words.py",
+        f"{DAEMON}/backpressure/limit_reports.py",
         "    if word.sent_at >= known.heard_at:",
         "    if word.sent_at >= known.sent_at:",
-        f"{_BACKPRESSURE}.test_limit_words",
+        f"{_BACKPRESSURE}.test_limit_reports",
     ),
     Mutation(
         "the gate is asked at the sending",
--- a/packages/daemon/src/martenquay_daemon/backpressure/runner_limits.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/runner_limits.py
@@ -10,7 +10,7 @@
 
 from martenquay_core import logs
 from martenquay_daemon.backpressure import (
-    limit_words,
+    limit_reports,
     observers,
     send_shares,
 )
@@ -46,7 +46,7 @@
         over_since: Since when it goes by the end of a limit, in trio's time.
     """
 
-    word: limit_words.LimitReport
+    word: limit_reports.LimitReport
     is_own: bool
     since: float = -math.inf
     sent_at: float = -math.inf
@@ -100,27 +100,27 @@
             return
         if told.limit_per_s is None and self._renew_end(runner, sent_at):
             return
-        word = limit_words.LimitReport(
+        word = limit_reports.LimitReport(
             told.limit_per_s, runner.born_ms, sent_at, trio.current_time()
         )
         known = self._find_word(runner.id)
-        folded = limit_words.merge_report(known, word)
+        folded = limit_reports.merge_report(known, word)
         if self._keep(runner.id, known, folded, is_own=True):
             self.notify_soon()
 
     def apply_gossip(
-        self, words: Iterable[tuple[str, limit_words.LimitReport]]
+        self, words: Iterable[tuple[str, limit_reports.LimitReport]]
     ) -> None:
         """Take what other daemons were told, by runner id."""
         for runner_id, word in words:
             known = self._find_word(runner_id)
-            folded = limit_words.merge_gossiped_report(known, word)
+            folded = limit_reports.merge_gossiped_report(known, word)
             if folded is not known:
                 self._keep(runner_id, known, folded, is_own=False)
 
     def list_recent_reports(
         self, *, is_relayed: bool
-    ) -> list[tuple[str, limit_words.LimitReport]]:
+    ) -> list[tuple[str, limit_reports.LimitReport]]:
         """Return what was heard lately, the newest first.
 
         Args:
@@ -204,20 +204,20 @@
         if known.word.heard_at < now - _FORGET_END_S:
             del self._known[runner.id]
         elif now < known.over_since + _TELL_S:
-            word = limit_words.LimitReport(None, runner.born_ms, sent_at, now)
-            known.word = limit_words.choose_later_end(known.word, word)
+            word = limit_reports.LimitReport(None, runner.born_ms, sent_at, now)
+            known.word = limit_reports.choose_later_end(known.word, word)
             known.is_own = True
         return True
 
-    def _find_word(self, runner_id: str) -> limit_words.LimitReport | None:
+    def _find_word(self, runner_id: str) -> limit_reports.LimitReport | None:
         known = self._known.get(runner_id)
         return None if known is None else known.word
 
     def _keep(
         self,
         runner_id: str,
-        before: limit_words.LimitReport | None,
-        word: limit_words.LimitReport | None,
+        before: limit_reports.LimitReport | None,
+        word: limit_reports.LimitReport | None,
         *,
         is_own: bool,
     ) -> bool:
@@ -245,7 +245,7 @@
         self,
         runner_id: str,
         old: float | None,
-        word: limit_words.LimitReport,
+        word: limit_reports.LimitReport,
         *,
         is_own: bool,
     ) -> None:
--- a/packages/daemon/src/martenquay_daemon/fleet/runner_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/runner_news.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from martenquay_daemon.backpressure import limit_words
+from martenquay_daemon.backpressure import limit_reports
 from martenquay_daemon.fleet import messages
 
 if TYPE_CHECKING:
@@ -48,7 +48,7 @@
 
 
 def _write_words(
-    words: list[tuple[str, limit_words.LimitReport]],
+    words: list[tuple[str, limit_reports.LimitReport]],
 ) -> dict[str, messages.LimitEntry]:
     """Return lines for words, by runner id."""
     now = trio.current_time()
@@ -65,12 +65,12 @@
 
 def _read_words(
     lines: dict[str, messages.LimitEntry],
-) -> list[tuple[str, limit_words.LimitReport]]:
+) -> list[tuple[str, limit_reports.LimitReport]]:
     now = trio.current_time()
     return [
         (
             runner_id,
-            limit_words.LimitReport(
+            limit_reports.LimitReport(
                 line.limit,
                 line.born_ms,
                 # Nobody hears of what is still to come.
--- a/tests/test_backpressure/test_runner_limits.py
+++ b/tests/test_backpressure/test_runner_limits.py
@@ -9,7 +9,7 @@
 
 from martenquay_core.serving import runners, signals
 from martenquay_daemon.backpressure import (
-    limit_words,
+    limit_reports,
     runner_limits,
     send_shares,
 )
@@ -118,7 +118,7 @@
         async def scenario() -> None:
             limits = builders.build_runner_limits(rank=5, daemons=6)
             now = trio.current_time()
-            word = limit_words.LimitReport(1.0, 7, now - 0.2, now - 0.1)
+            word = limit_reports.LimitReport(1.0, 7, now - 0.2, now - 0.1)
             limits.apply_gossip([(_RUNNER.id, word)])
             self.assertFalse(_take_turn(limits, _RUNNER))
             # Only what a runner said to this daemon is told as its own.
