--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -317,10 +317,10 @@
     ),
     Mutation(
         "after a rest one request goes first",
-        f"{DAEMON}/backpressure/rests.py",
+        f"{DAEMON}/backpressure/runner_backoffs.py",
         "max(rest.until, rest.tried_at + _TRIAL_S)",
         "rest.until",
-        f"{_BACKPRESSURE}.test_rests",
+        f"{_BACKPRESSURE}.test_runner_backoffs",
     ),
     Mutation(
         "a misdirected send is a repeat",
--- a/packages/daemon/src/martenquay_daemon/backpressure/parts.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/parts.py
@@ -7,7 +7,7 @@
 
 from martenquay_daemon.backpressure import (
     drain_reports,
-    rests,
+    runner_backoffs,
     runner_gate,
     runner_limits,
     send_order,
@@ -54,7 +54,7 @@
     """
     order = send_order.SenderRanking(instance, known)
     limits = runner_limits.RunnerLimits(order.find_place)
-    asked_rests = rests.RunnerBackoffs()
+    asked_rests = runner_backoffs.RunnerBackoffs()
     for words in (limits, leaving, asked_rests):
         words.observe = observe
     limits.notify_soon = leaving.notify_soon = notify_soon
--- a/packages/daemon/src/martenquay_daemon/backpressure/runner_gate.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/runner_gate.py
@@ -15,7 +15,7 @@
     from martenquay_core.serving import calls, runners
     from martenquay_daemon.backpressure import (
         drain_reports,
-        rests,
+        runner_backoffs,
         runner_limits,
     )
 
@@ -53,7 +53,7 @@
         self,
         limits: runner_limits.RunnerLimits,
         leaving: drain_reports.DrainReports,
-        asked_rests: rests.RunnerBackoffs,
+        asked_rests: runner_backoffs.RunnerBackoffs,
     ) -> None:
         self._limits = limits
         self._leaving = leaving
--- a/tests/serving_builders.py
+++ b/tests/serving_builders.py
@@ -14,7 +14,7 @@
 )
 from martenquay_daemon.backpressure import (
     drain_reports,
-    rests,
+    runner_backoffs,
     runner_gate,
     runner_limits,
     send_shares,
@@ -138,7 +138,7 @@
     return runner_gate.RunnerAdmission(
         build_runner_limits(),
         drain_reports.DrainReports(),
-        rests.RunnerBackoffs(),
+        runner_backoffs.RunnerBackoffs(),
     )
 
 
--- a/tests/test_backpressure/test_rests.py
+++ b/tests/test_backpressure/test_runner_backoffs.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from martenquay_daemon.backpressure import rests
+from martenquay_daemon.backpressure import runner_backoffs
 from tests import clocked
 from tests import serving_builders as builders
 
@@ -15,7 +15,7 @@
     def test_fractions_of_seconds_and_long_times_are_kept(self) -> None:
         async def scenario() -> None:
             for rest_s in (0.0, 0.25, 3.0, 1e9, 1e308):
-                asked = rests.RunnerBackoffs()
+                asked = runner_backoffs.RunnerBackoffs()
                 asked.note_refusal(_RUNNER, rest_s)
                 self.assertAlmostEqual(rest_s, asked.find_wait_s(_RUNNER))
 
@@ -23,7 +23,7 @@
 
     def test_a_second_refusal_does_not_cut_the_first_time_short(self) -> None:
         async def scenario() -> None:
-            asked = rests.RunnerBackoffs()
+            asked = runner_backoffs.RunnerBackoffs()
             asked.note_refusal(_RUNNER, 3.0)
             await trio.sleep(1.0)
             asked.note_refusal(_RUNNER, 0.5)
@@ -35,7 +35,7 @@
 
     def test_an_answer_that_was_under_way_ends_no_rest(self) -> None:
         async def scenario() -> None:
-            asked = rests.RunnerBackoffs()
+            asked = runner_backoffs.RunnerBackoffs()
             sent_at = trio.current_time()
             asked.note_refusal(_RUNNER, 3.0)
             await trio.sleep(4.0)
@@ -47,7 +47,7 @@
 
     def test_after_the_rest_one_request_goes_first(self) -> None:
         async def scenario() -> None:
-            asked = rests.RunnerBackoffs()
+            asked = runner_backoffs.RunnerBackoffs()
             asked.note_refusal(_RUNNER, 3.0)
             await trio.sleep(3.0)
             sent_at = trio.current_time()
@@ -62,7 +62,7 @@
 
     def test_a_first_request_that_is_not_answered_is_followed(self) -> None:
         async def scenario() -> None:
-            asked = rests.RunnerBackoffs()
+            asked = runner_backoffs.RunnerBackoffs()
             asked.note_refusal(_RUNNER, 3.0)
             await trio.sleep(3.0)
             asked.note_sent(_RUNNER)
@@ -73,7 +73,7 @@
 
     def test_a_new_process_has_asked_for_nothing(self) -> None:
         async def scenario() -> None:
-            asked = rests.RunnerBackoffs()
+            asked = runner_backoffs.RunnerBackoffs()
             asked.note_refusal(_RUNNER, 3.0)
             fresh = builders.build_runner(born_ms=8)
             self.assertEqual(0.0, asked.find_wait_s(fresh))
@@ -84,7 +84,7 @@
 
     def test_memory_is_bounded(self) -> None:
         async def scenario() -> None:
-            asked = rests.RunnerBackoffs()
+            asked = runner_backoffs.RunnerBackoffs()
             for number in range(5000):
                 runner = builders.build_runner(id=f"r-{number}")
                 asked.note_refusal(runner, 1.0 + number)
--- a/tests/test_engines/test_placer.py
+++ b/tests/test_engines/test_placer.py
@@ -5,7 +5,7 @@
 import random
 
 from martenquay_core.serving import calls, catalog, ports
-from martenquay_daemon.backpressure import rests, runner_gate
+from martenquay_daemon.backpressure import runner_backoffs, runner_gate
 from martenquay_daemon.discovery import contact, runner_directory
 from martenquay_daemon.engines import loads, model, placer
 from martenquay_daemon.limits import ejection
@@ -52,7 +52,7 @@
         self.ejector = ejection.Ejector()
         self.limits = builders.build_runner_limits()
         self.gate = runner_gate.RunnerAdmission(
-            self.limits, directory.leaving, rests.RunnerBackoffs()
+            self.limits, directory.leaving, runner_backoffs.RunnerBackoffs()
         )
         return placer.Placer(
             "a",
