--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -29,7 +29,7 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable, Iterable
 
-    from martenquay_daemon.fleet import runner_news, view
+    from martenquay_daemon.fleet import runner_report_gossip, view
 
 __all__ = ["FleetLinks", "Listeners"]
 
@@ -80,7 +80,7 @@
         Awaitable[None],
     ]
     find_zone_end: Callable[[str], int]
-    runner_news: runner_news.RunnerReportGossip
+    runner_news: runner_report_gossip.RunnerReportGossip
 
 
 @dataclasses.dataclass
--- a/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
@@ -21,7 +21,7 @@
         links,
         quota_exchange,
         roster,
-        runner_news,
+        runner_report_gossip,
         view,
     )
     from martenquay_daemon.rollouts import book, tallies
@@ -80,7 +80,7 @@
     units: quota_exchange.QuotaExchange
     listed: roster.Roster
     loads: loads.LoadLedger
-    runner_news: runner_news.RunnerReportGossip
+    runner_news: runner_report_gossip.RunnerReportGossip
     usage: usage_counts.UsageCounts
     meter: demand.DemandMeter
     estimates: model.RunnerModel
--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -35,7 +35,7 @@
     links,
     quota_exchange,
     roster,
-    runner_news,
+    runner_report_gossip,
     shared_state,
     state_copies,
     topology,
@@ -330,7 +330,7 @@
 
     def _share_state(self) -> None:
         settings = self._settings
-        news = runner_news.RunnerReportGossip(
+        news = runner_report_gossip.RunnerReportGossip(
             self._backpressure.limits, self._backpressure.leaving
         )
         self._shared = shared_state.StateGossip(
--- a/tests/test_fleet/test_links.py
+++ b/tests/test_fleet/test_links.py
@@ -22,7 +22,7 @@
     messages,
     pace,
     quota_client,
-    runner_news,
+    runner_report_gossip,
     state_copies,
     topology,
     view,
@@ -80,7 +80,7 @@
             place, self.view, state, self._digest, _PACE, _PACE
         )
         self.limits = builders.build_runner_limits()
-        self.runner_news = runner_news.RunnerReportGossip(
+        self.runner_news = runner_report_gossip.RunnerReportGossip(
             self.limits, self.directory.leaving
         )
         self.links.listeners = links.Listeners(
