--- a/packages/daemon/src/martenquay_daemon/allowances/escrow.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/escrow.py
@@ -22,7 +22,7 @@
 
 import trio
 
-from martenquay_daemon.allowances import sharing, terms, tokens
+from martenquay_daemon.allowances import quota_bucket, sharing, terms
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -124,7 +124,7 @@
     """
 
     pace: _Pace
-    pile: tokens.QuotaBucket
+    pile: quota_bucket.QuotaBucket
     minted_at: float
     asked: float = 0.0
     asked_at: float = 0.0
@@ -294,7 +294,9 @@
                 continue
             account.pile.expire(now)
             for units, life_s in parcels:
-                account.pile.add(now, tokens.QuotaLot(units, told_at + life_s))
+                account.pile.add(
+                    now, quota_bucket.QuotaLot(units, told_at + life_s)
+                )
         self.news.set()
         self.news = trio.Event()
 
@@ -442,7 +444,7 @@
         if account is None:
             pace = self._find_pace(team)
             account = _Account(
-                pace, tokens.QuotaBucket(pace.life_s), self._started_at
+                pace, quota_bucket.QuotaBucket(pace.life_s), self._started_at
             )
             self._accounts[team.name] = account
         elif account.pace.team is not team or account.pace.bounds is not (
--- a/tests/test_allowances/test_tokens.py
+++ b/tests/test_allowances/test_quota_bucket.py
@@ -4,14 +4,14 @@
 
 import testtools
 
-from martenquay_daemon.allowances import tokens
+from martenquay_daemon.allowances import quota_bucket
 
 _LIFE_S = 1.6
 
 
 class TokenPileTest(testtools.TestCase):
     def test_units_end_a_lifetime_after_they_were_minted(self) -> None:
-        pile = tokens.QuotaBucket(_LIFE_S)
+        pile = quota_bucket.QuotaBucket(_LIFE_S)
         pile.mint(10.1, 10.0, 10.1, 100.0)
         self.assertAlmostEqual(10.0, pile.total)
         pile.expire(11.4)
@@ -20,13 +20,13 @@
         self.assertAlmostEqual(0.0, pile.total)
 
     def test_a_long_pause_mints_no_more_than_a_lifetime_gives(self) -> None:
-        pile = tokens.QuotaBucket(_LIFE_S)
+        pile = quota_bucket.QuotaBucket(_LIFE_S)
         pile.mint(50.0, 0.0, 50.0, 100.0)
         self.assertLessEqual(pile.total, 100.0 * _LIFE_S + 0.001)
         self.assertGreater(pile.total, 80.0 * _LIFE_S)
 
     def test_what_is_owed_is_paid_by_what_comes(self) -> None:
-        pile = tokens.QuotaBucket(_LIFE_S)
+        pile = quota_bucket.QuotaBucket(_LIFE_S)
         pile.spend(30.0)
         self.assertEqual(-30.0, pile.level)
         pile.mint(0.5, 0.0, 0.5, 100.0)
@@ -34,14 +34,14 @@
         self.assertEqual(0.0, pile.debt)
 
     def test_units_that_end_first_are_spent_first(self) -> None:
-        pile = tokens.QuotaBucket(_LIFE_S)
+        pile = quota_bucket.QuotaBucket(_LIFE_S)
         pile.mint(1.0, 0.0, 1.0, 100.0)
         pile.spend(50.0)
         pile.expire(2.0)
         self.assertAlmostEqual(50.0, pile.total, delta=11.0)
 
     def test_units_taken_away_are_gone_and_keep_their_end(self) -> None:
-        pile = tokens.QuotaBucket(_LIFE_S)
+        pile = quota_bucket.QuotaBucket(_LIFE_S)
         pile.mint(1.0, 0.0, 1.0, 100.0)
         parcels = pile.take_away(1.0, 60.0)
         self.assertAlmostEqual(60.0, sum(one.units for one in parcels))
@@ -49,14 +49,14 @@
         self.assertLessEqual(max(one.ends_at for one in parcels), 2.6)
 
     def test_units_given_beyond_what_is_there_are_owed(self) -> None:
-        pile = tokens.QuotaBucket(_LIFE_S)
+        pile = quota_bucket.QuotaBucket(_LIFE_S)
         pile.mint(0.1, 0.0, 0.1, 100.0)
         parcels = pile.take_away(0.1, 25.0)
         self.assertAlmostEqual(25.0, sum(one.units for one in parcels))
         self.assertAlmostEqual(-15.0, pile.level)
 
     def test_units_keep_their_end_or_a_shorter_life(self) -> None:
-        pile = tokens.QuotaBucket(_LIFE_S)
+        pile = quota_bucket.QuotaBucket(_LIFE_S)
         pile.mint(1.0, 0.0, 1.0, 100.0)
         longer = pile.change_life(1.0, 3.0)
         self.assertAlmostEqual(100.0, longer.total)
@@ -67,7 +67,7 @@
         self.assertAlmostEqual(0.0, shorter.total)
 
     def test_units_that_have_ended_are_of_no_use(self) -> None:
-        pile = tokens.QuotaBucket(_LIFE_S)
-        self.assertEqual(0.0, pile.add(5.0, tokens.QuotaLot(9.0, 4.9)))
+        pile = quota_bucket.QuotaBucket(_LIFE_S)
+        self.assertEqual(0.0, pile.add(5.0, quota_bucket.QuotaLot(9.0, 4.9)))
         self.assertEqual(0.0, pile.total)
-        self.assertEqual(9.0, pile.add(5.0, tokens.QuotaLot(9.0, 5.9)))
+        self.assertEqual(9.0, pile.add(5.0, quota_bucket.QuotaLot(9.0, 5.9)))
