--- a/packages/daemon/src/martenquay_daemon/duties/capacity_keeper.py
+++ b/packages/daemon/src/martenquay_daemon/duties/capacity_keeper.py
@@ -12,9 +12,9 @@
 from martenquay_core import logs
 from martenquay_core.serving import ports
 from martenquay_daemon.duties import (
+    capacity_order,
     capacity_plan,
     demand_trend,
-    order_line,
     slow_fall,
 )
 from martenquay_daemon.engines import demand
@@ -88,7 +88,9 @@
 
     def __init__(self, parts: CapacityParts) -> None:
         self._parts = parts
-        self._lines: dict[tuple[str, str, bool], order_line.CapacityOrder] = {}
+        self._lines: dict[
+            tuple[str, str, bool], capacity_order.CapacityOrder
+        ] = {}
         self._needs: dict[str, slow_fall.DelayedDecrease] = {}
         self._comforts: dict[str, slow_fall.DelayedDecrease] = {}
         self._rises: dict[str, slow_fall.DelayedDecrease] = {}
@@ -291,7 +293,7 @@
     ) -> None:
         wanted = order.wanted
         key = (service, order.zone, order.is_reclaimable)
-        line = self._lines.setdefault(key, order_line.CapacityOrder())
+        line = self._lines.setdefault(key, capacity_order.CapacityOrder())
         serving = state.count(order.zone, is_reclaimable=order.is_reclaimable)
         line.note_serving(serving)
         if not line.is_due(trio.current_time(), wanted, state.limits.boot_s):
