--- a/packages/daemon/src/martenquay_daemon/fleet/hub.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/hub.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from martenquay_daemon.fleet import messages, trial_lines, zone_sum
+from martenquay_daemon.fleet import messages, trial_lines, zone_aggregator
 
 if TYPE_CHECKING:
     from martenquay_daemon.fleet import zones
@@ -51,7 +51,7 @@
 
     def __init__(self, table: zones.ZoneTable) -> None:
         self._table = table
-        self._sum = zone_sum.ZoneAggregator()
+        self._sum = zone_aggregator.ZoneAggregator()
         self._subscribers: dict[str, _Subscriber] = {}
         self._own: messages.Digest | None = None
         self._number = 0
@@ -120,7 +120,7 @@
 
     def _create_report(
         self,
-        part: zone_sum.ZoneTotals,
+        part: zone_aggregator.ZoneTotals,
         others: list[zones.KnownSummary],
         facts: HubFacts,
         heard: int,
@@ -133,8 +133,8 @@
         loads = dict(part.loads)
         reading = dict(part.reading)
         for known in others:
-            zone_sum.add_loads(loads, known.loads, 1)
-            zone_sum.add_reading(reading, known.summary.reading, 1)
+            zone_aggregator.add_loads(loads, known.loads, 1)
+            zone_aggregator.add_reading(reading, known.summary.reading, 1)
         if not is_full:
             summaries = [_shorten(summary) for summary in summaries]
         return messages.FleetReport(
@@ -149,7 +149,7 @@
         )
 
     def _summarize(
-        self, part: zone_sum.ZoneTotals, facts: HubFacts
+        self, part: zone_aggregator.ZoneTotals, facts: HubFacts
     ) -> messages.ZoneSummary:
         own = self._own
         assert own is not None, "its own digest comes first"
--- a/tests/test_fleet/test_zone_sum.py
+++ b/tests/test_fleet/test_zone_aggregator.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from martenquay_daemon.fleet import messages, zone_sum
+from martenquay_daemon.fleet import messages, zone_aggregator
 from tests import serving_builders as builders
 
 _SILENT_S = 2.0
@@ -13,7 +13,7 @@
 class ZoneSumTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.sum = zone_sum.ZoneAggregator()
+        self.sum = zone_aggregator.ZoneAggregator()
 
     def _take(self, name: str, number: int, now: float, **changes) -> None:
         self.sum.take(
@@ -23,7 +23,7 @@
             now,
         )
 
-    def _add_up(self, now: float) -> zone_sum.ZoneTotals:
+    def _add_up(self, now: float) -> zone_aggregator.ZoneTotals:
         return self.sum.add_up(now, _SILENT_S)
 
     def test_a_silent_daemon_has_no_load_but_its_counts_stay(self) -> None:
