--- a/packages/daemon/src/martenquay_daemon/forwarding/attempt.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/attempt.py
@@ -15,8 +15,8 @@
     departure,
     event_stream,
     exchange,
-    patience,
     silence,
+    silence_limits,
 )
 from martenquay_daemon.forwarding import runner_connection as connections
 
@@ -103,7 +103,7 @@
                     _CONNECT_S,
                     lasts_s=current.deadline - trio.current_time(),
                 ) as connection:
-                    bounds = patience.find_silence_limits(
+                    bounds = silence_limits.find_silence_limits(
                         current, placement, may_move
                     )
                     result = await self._talk_while_there(
--- a/tests/test_forwarding/test_departure.py
+++ b/tests/test_forwarding/test_departure.py
@@ -9,7 +9,7 @@
 import trio
 import trio.testing
 
-from martenquay_daemon.forwarding import attempt, forwarder, patience
+from martenquay_daemon.forwarding import attempt, forwarder, silence_limits
 from tests import departures, leaving
 from tests import serving_builders as builders
 
@@ -144,7 +144,7 @@
             # Else a test that is held up for 0.15 s has the first runner asked
             # whether it lives, and that connection is the one that hangs.
             with mock.patch.object(
-                patience, "_QUIET_CALL_S", departures.LONG_S
+                silence_limits, "_QUIET_CALL_S", departures.LONG_S
             ):
                 caller = await world.call()
                 first = world.scene.runners[0]
