--- a/packages/daemon/src/martenquay_daemon/forwarding/forwarder.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/forwarder.py
@@ -14,9 +14,9 @@
     answers,
     departure,
     exchange,
-    first_tries,
     own_answers,
     request_lines,
+    retry_detector,
     stop_window,
 )
 
@@ -104,7 +104,7 @@
 
     def __init__(self, parts: ForwarderParts) -> None:
         self._parts = parts
-        self._first_tries = first_tries.RetryDetector()
+        self._first_tries = retry_detector.RetryDetector()
         self._lines = request_lines.RequestLines(parts.store, parts.metrics)
 
     async def handle(
