--- a/packages/daemon/src/martenquay_daemon/allowances/gate.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/gate.py
@@ -12,7 +12,7 @@
     from collections.abc import Callable
 
     from martenquay_core.serving import catalog
-    from martenquay_daemon.allowances import escrow
+    from martenquay_daemon.allowances import quota_ledger
 
 __all__ = ["AllowanceGate", "QuotaHolders", "create_gate"]
 
@@ -53,7 +53,7 @@
     """
 
     def __init__(
-        self, units: escrow.QuotaLedger, keepers: QuotaHolders
+        self, units: quota_ledger.QuotaLedger, keepers: QuotaHolders
     ) -> None:
         self.lacks_shares: Callable[[], bool] = _lack_none
         self._units = units
@@ -144,7 +144,7 @@
 
 
 def create_gate(
-    units: escrow.QuotaLedger, keepers: QuotaHolders
+    units: quota_ledger.QuotaLedger, keepers: QuotaHolders
 ) -> AllowanceGate:
     """Return a gate."""
     return AllowanceGate(units, keepers)
--- a/packages/daemon/src/martenquay_daemon/fleet/quota_exchange.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/quota_exchange.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from martenquay_daemon.allowances import escrow, rights, sharing, terms
+from martenquay_daemon.allowances import quota_ledger, rights, sharing, terms
 from martenquay_daemon.fleet import messages, quota_client, send_times
 
 if TYPE_CHECKING:
@@ -35,7 +35,7 @@
         member: str,
         zone: str,
         store: catalog_store.CatalogStore,
-        units: escrow.QuotaLedger,
+        units: quota_ledger.QuotaLedger,
         decider: gate.AllowanceGate,
         listed: roster.Roster,
         members: keyed_follower.KeyedFollower,
@@ -243,7 +243,7 @@
         }
 
 
-def _tell_gift(gift: escrow.QuotaTransfer) -> messages.TransferEntry:
+def _tell_gift(gift: quota_ledger.QuotaTransfer) -> messages.TransferEntry:
     parcels = {
         team: [
             # Rounded down: no unit may live longer by its way.
@@ -255,9 +255,9 @@
     return messages.TransferEntry(gift.heard, parcels)
 
 
-def _read_gift(line: messages.TransferEntry) -> escrow.QuotaTransfer:
+def _read_gift(line: messages.TransferEntry) -> quota_ledger.QuotaTransfer:
     parcels = {
         team: [(one.units, one.life_ms / _MS) for one in found]
         for team, found in line.parcels.items()
     }
-    return escrow.QuotaTransfer(line.heard, parcels)
+    return quota_ledger.QuotaTransfer(line.heard, parcels)
--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -10,8 +10,8 @@
 
 from martenquay_daemon import supervision
 from martenquay_daemon.allowances import (
-    escrow,
     gate,
+    quota_ledger,
     rights,
     terms,
 )
@@ -379,7 +379,7 @@
 
     def _build_allowances(self) -> None:
         bounds = self._settings.bounds
-        self._units = escrow.create_quota_ledger(
+        self._units = quota_ledger.create_quota_ledger(
             _find_tolerance(bounds),
             rights.RefillShares(
                 lambda: rights.RateShare(
--- a/tests/allowance_fleet.py
+++ b/tests/allowance_fleet.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from martenquay_daemon.allowances import escrow, rights, sharing, terms
+from martenquay_daemon.allowances import quota_ledger, rights, sharing, terms
 from martenquay_daemon.fleet import roster, send_times
 from tests import serving_builders as builders
 
@@ -44,9 +44,11 @@
 
 def build_escrow(
     part: float = 1.0, bounds: terms.ToleranceBounds = BOUNDS
-) -> escrow.QuotaLedger:
+) -> quota_ledger.QuotaLedger:
     """Return the units of one daemon with a part of the rate."""
-    return escrow.create_quota_ledger(bounds, build_rights(part), lambda: None)
+    return quota_ledger.create_quota_ledger(
+        bounds, build_rights(part), lambda: None
+    )
 
 
 class OwnKeeper:
@@ -106,7 +108,7 @@
     number: int
     members_end: int
     holdings: dict[str, sharing.QuotaBalance]
-    gifts: dict[str, escrow.QuotaTransfer]
+    gifts: dict[str, quota_ledger.QuotaTransfer]
 
 
 @dataclasses.dataclass(frozen=True)
@@ -144,7 +146,7 @@
             ),
             BOUNDS.window_s,
         )
-        self._units = escrow.create_quota_ledger(
+        self._units = quota_ledger.create_quota_ledger(
             BOUNDS, mint_rights, self._hurry
         )
         self._units.refill([TEAM])
--- a/tests/test_allowances/test_escrow.py
+++ b/tests/test_allowances/test_quota_ledger.py
@@ -6,7 +6,13 @@
 
 import trio
 
-from martenquay_daemon.allowances import escrow, gate, rights, sharing, terms
+from martenquay_daemon.allowances import (
+    gate,
+    quota_ledger,
+    rights,
+    sharing,
+    terms,
+)
 from tests import allowance_fleet, clocked
 from tests import serving_builders as builders
 
@@ -16,7 +22,7 @@
 _LIFE_S = _BOUNDS.find_life(_TEAM)
 
 
-async def _fill(units: escrow.QuotaLedger) -> None:
+async def _fill(units: quota_ledger.QuotaLedger) -> None:
     """Let a lifetime pass, in which the units come that there may be."""
     units.refill([_TEAM])
     await trio.sleep(_LIFE_S)
@@ -24,7 +30,7 @@
 
 
 def _count_admitted(
-    units: escrow.QuotaLedger, wish: terms.AdmissionRequest
+    units: quota_ledger.QuotaLedger, wish: terms.AdmissionRequest
 ) -> int:
     """Ask until it is refused; return how often it was not."""
     count = 0
@@ -134,7 +140,8 @@
             told_at = trio.current_time()
             await trio.sleep(2.0)
             receiver.accept_transfer(
-                escrow.QuotaTransfer(1, {_TEAM.name: [(900.0, 0.9)]}), told_at
+                quota_ledger.QuotaTransfer(1, {_TEAM.name: [(900.0, 0.9)]}),
+                told_at,
             )
             self.assertEqual(0.0, receiver.describe(_TEAM.name).there)
 
@@ -171,7 +178,7 @@
             mint_rights = rights.RefillShares(
                 lambda: rights.RateShare(parts[0], -math.inf), _BOUNDS.window_s
             )
-            units = escrow.create_quota_ledger(
+            units = quota_ledger.create_quota_ledger(
                 _BOUNDS, mint_rights, lambda: None
             )
             units.refill([_TEAM])
@@ -214,7 +221,7 @@
 class AllowanceGateTest(clocked.ClockedTestCase):
     def _build(
         self,
-        units: escrow.QuotaLedger,
+        units: quota_ledger.QuotaLedger,
         keepers: gate.QuotaHolders | None = None,
     ) -> gate.AllowanceGate:
         keepers = keepers or allowance_fleet.OwnKeeper()
@@ -240,7 +247,9 @@
                 await trio.sleep(0.08)
                 needed = units.list_holdings()[_TEAM.name].needed
                 self.assertAlmostEqual(500.0, needed)
-                gift = escrow.QuotaTransfer(1, {_TEAM.name: [(600.0, 0.9)]})
+                gift = quota_ledger.QuotaTransfer(
+                    1, {_TEAM.name: [(600.0, 0.9)]}
+                )
                 units.accept_transfer(gift, told_at)
             self.assertEqual([True], answers)
             self.assertEqual(0.0, units.list_holdings()[_TEAM.name].needed)
@@ -297,7 +306,7 @@
             mint_rights = rights.RefillShares(
                 lambda: rights.RateShare(parts[0], -math.inf), _BOUNDS.window_s
             )
-            units = escrow.create_quota_ledger(
+            units = quota_ledger.create_quota_ledger(
                 _BOUNDS, mint_rights, lambda: None
             )
             units.refill([_TEAM])
--- a/tests/test_fleet/test_quota_exchange.py
+++ b/tests/test_fleet/test_quota_exchange.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from martenquay_daemon.allowances import escrow, gate, rights
+from martenquay_daemon.allowances import gate, quota_ledger, rights
 from martenquay_daemon.discovery import catalog_store
 from martenquay_daemon.fleet import messages, quota_exchange, roster, zone_mode
 from tests import allowance_fleet, clocked
@@ -53,7 +53,7 @@
         self.rights = rights.RefillShares(
             lambda: rights.RateShare(self.part, 0.0), 8.0
         )
-        self.units = escrow.create_quota_ledger(
+        self.units = quota_ledger.create_quota_ledger(
             allowance_fleet.BOUNDS, self.rights, lambda: None
         )
         self.units.refill([_TEAM])
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -8,7 +8,7 @@
 
 import trio
 
-from martenquay_daemon.allowances import escrow, gate, rights, terms
+from martenquay_daemon.allowances import gate, quota_ledger, rights, terms
 from martenquay_daemon.discovery import (
     catalog_store,
     contact,
@@ -180,7 +180,7 @@
             allowance_fleet.BOUNDS.window_s,
             self._zone.find_sole_since,
         )
-        self.units = escrow.create_quota_ledger(
+        self.units = quota_ledger.create_quota_ledger(
             allowance_fleet.BOUNDS, self._rights, self._hurry
         )
         self.units.refill([allowance_fleet.TEAM])
