--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -8,7 +8,7 @@
 
 _FORWARDER = "tests.test_forwarding.test_forwarder"
 _BACKPRESSURE = "tests.test_backpressure"
-_RIGHTS = "tests.test_allowances.test_rights"
+_RIGHTS = "tests.test_allowances.test_refill_shares"
 _LEASE = "tests.test_duties.test_lease"
 _SILENT_CONNECTIONS = "tests.test_forwarding.test_silent_connections"
 _SILENT_STORE = "tests.test_platform.test_silent_store"
@@ -161,21 +161,21 @@
     ),
     Mutation(
         "a loan ends counted from the report that it names",
-        f"{DAEMON}/allowances/rights.py",
+        f"{DAEMON}/allowances/refill_shares.py",
         "end = reported_at + loan.ends_s",
         "end = now + loan.ends_s",
         _RIGHTS,
     ),
     Mutation(
         "a part is not lent twice at a time",
-        f"{DAEMON}/allowances/rights.py",
+        f"{DAEMON}/allowances/refill_shares.py",
         "starts_at = max(now, last.until)",
         "starts_at = now",
         _RIGHTS,
     ),
     Mutation(
         "a new process ends the loans of the one before",
-        f"{DAEMON}/allowances/rights.py",
+        f"{DAEMON}/allowances/refill_shares.py",
         "known.span = dataclasses.replace(known.span, end=now)",
         "pass",
         _RIGHTS,
--- a/packages/daemon/src/martenquay_daemon/allowances/quota_ledger.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/quota_ledger.py
@@ -28,7 +28,7 @@
     from collections.abc import Callable, Iterable
 
     from martenquay_core.serving import catalog
-    from martenquay_daemon.allowances import rights
+    from martenquay_daemon.allowances import refill_shares
 
 __all__ = ["QuotaLedger", "QuotaTransfer", "create_quota_ledger"]
 
@@ -157,7 +157,7 @@
     def __init__(
         self,
         bounds: terms.ToleranceBounds,
-        mint_rights: rights.RefillShares,
+        mint_rights: refill_shares.RefillShares,
         notify_soon: Callable[[], None],
     ) -> None:
         """Begin without units.
@@ -488,7 +488,7 @@
 
 def create_quota_ledger(
     bounds: terms.ToleranceBounds,
-    mint_rights: rights.RefillShares,
+    mint_rights: refill_shares.RefillShares,
     notify_soon: Callable[[], None],
 ) -> QuotaLedger:
     """Return a ledger without units."""
--- a/packages/daemon/src/martenquay_daemon/fleet/quota_exchange.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/quota_exchange.py
@@ -7,7 +7,12 @@
 
 import trio
 
-from martenquay_daemon.allowances import quota_ledger, rights, sharing, terms
+from martenquay_daemon.allowances import (
+    quota_ledger,
+    refill_shares,
+    sharing,
+    terms,
+)
 from martenquay_daemon.fleet import messages, quota_client, send_times
 
 if TYPE_CHECKING:
@@ -127,7 +132,7 @@
         line = digest.loan
         if line is None or reported_at is None or line.receiver != self._member:
             return
-        loan = rights.ShareDelegation(
+        loan = refill_shares.ShareDelegation(
             line.receiver,
             line.heard,
             line.part,
--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -12,7 +12,7 @@
 from martenquay_daemon.allowances import (
     gate,
     quota_ledger,
-    rights,
+    refill_shares,
     terms,
 )
 from martenquay_daemon.backpressure import parts as backpressure_parts
@@ -381,8 +381,8 @@
         bounds = self._settings.bounds
         self._units = quota_ledger.create_quota_ledger(
             _find_tolerance(bounds),
-            rights.RefillShares(
-                lambda: rights.RateShare(
+            refill_shares.RefillShares(
+                lambda: refill_shares.RateShare(
                     self._roster.find_own_share(), self._roster.share_since
                 ),
                 bounds.allowance_window_s,
--- a/tests/allowance_fleet.py
+++ b/tests/allowance_fleet.py
@@ -7,7 +7,12 @@
 
 import trio
 
-from martenquay_daemon.allowances import quota_ledger, rights, sharing, terms
+from martenquay_daemon.allowances import (
+    quota_ledger,
+    refill_shares,
+    sharing,
+    terms,
+)
 from martenquay_daemon.fleet import roster, send_times
 from tests import serving_builders as builders
 
@@ -36,10 +41,10 @@
     return allowance * (1 + BOUNDS.overrun) + BOUNDS.slack
 
 
-def build_rights(part: float = 1.0) -> rights.RefillShares:
+def build_rights(part: float = 1.0) -> refill_shares.RefillShares:
     """Return what a daemon may mint that always had a part of the rate."""
-    own = rights.RateShare(part, -math.inf)
-    return rights.RefillShares(lambda: own, BOUNDS.window_s)
+    own = refill_shares.RateShare(part, -math.inf)
+    return refill_shares.RefillShares(lambda: own, BOUNDS.window_s)
 
 
 def build_escrow(
@@ -140,8 +145,8 @@
         self._roster = roster.Roster(instance)
         self._told = send_times.SendTimes()
         self._waiting: list[_Waiting] = []
-        mint_rights = rights.RefillShares(
-            lambda: rights.RateShare(
+        mint_rights = refill_shares.RefillShares(
+            lambda: refill_shares.RateShare(
                 self._roster.find_own_share(), self._roster.share_since
             ),
             BOUNDS.window_s,
--- a/tests/test_allowances/test_quota_ledger.py
+++ b/tests/test_allowances/test_quota_ledger.py
@@ -9,7 +9,7 @@
 from martenquay_daemon.allowances import (
     gate,
     quota_ledger,
-    rights,
+    refill_shares,
     sharing,
     terms,
 )
@@ -175,8 +175,9 @@
     ) -> None:
         async def scenario() -> None:
             parts = [0.5]
-            mint_rights = rights.RefillShares(
-                lambda: rights.RateShare(parts[0], -math.inf), _BOUNDS.window_s
+            mint_rights = refill_shares.RefillShares(
+                lambda: refill_shares.RateShare(parts[0], -math.inf),
+                _BOUNDS.window_s,
             )
             units = quota_ledger.create_quota_ledger(
                 _BOUNDS, mint_rights, lambda: None
@@ -303,8 +304,9 @@
     def test_a_keeper_waits_for_parts_that_are_yet_to_be_lent(self) -> None:
         async def scenario() -> None:
             parts = [0.0]
-            mint_rights = rights.RefillShares(
-                lambda: rights.RateShare(parts[0], -math.inf), _BOUNDS.window_s
+            mint_rights = refill_shares.RefillShares(
+                lambda: refill_shares.RateShare(parts[0], -math.inf),
+                _BOUNDS.window_s,
             )
             units = quota_ledger.create_quota_ledger(
                 _BOUNDS, mint_rights, lambda: None
--- a/tests/test_allowances/test_rights.py
+++ b/tests/test_allowances/test_refill_shares.py
@@ -6,13 +6,15 @@
 
 import trio
 
-from martenquay_daemon.allowances import rights
+from martenquay_daemon.allowances import refill_shares
 from tests import allowance_fleet, clocked
 
 _WINDOW_S = allowance_fleet.BOUNDS.window_s
 
 
-def _sum_spans(one: rights.RefillShares, since: float = -math.inf) -> float:
+def _sum_spans(
+    one: refill_shares.RefillShares, since: float = -math.inf
+) -> float:
     """Return the seconds of the whole rate that may be minted."""
     one.advance()
     return sum(s.part * (s.end - s.start) for s in one.list_spans(since))
@@ -26,7 +28,7 @@
             loan = lender.delegate("hub.1", 7)
             self.assertAlmostEqual(0.1, loan.part)
             self.assertEqual(0.0, lender.find_usable_share())
-            await trio.sleep(rights.DELEGATION_S + 0.5)
+            await trio.sleep(refill_shares.DELEGATION_S + 0.5)
             self.assertAlmostEqual(0.1, lender.find_usable_share())
             self.assertAlmostEqual(0.15, _sum_spans(lender))
 
@@ -44,7 +46,7 @@
             hub.accept_delegation("entry-1", "entry-1.1", loan, reported_at)
             self.assertAlmostEqual(0.1, hub.find_usable_share())
             await trio.sleep(5.0)
-            left_s = rights.DELEGATION_S - 0.5 - 0.8
+            left_s = refill_shares.DELEGATION_S - 0.5 - 0.8
             self.assertAlmostEqual(0.1 * left_s, _sum_spans(hub))
             self.assertEqual(0.0, hub.find_usable_share())
 
@@ -56,7 +58,7 @@
             lender = allowance_fleet.build_rights(0.1)
             reported_at = trio.current_time()
             loan = lender.delegate("hub.1", 7)
-            await trio.sleep(rights.DELEGATION_S + 0.1)
+            await trio.sleep(refill_shares.DELEGATION_S + 0.1)
             hub.accept_delegation("entry-1", "entry-1.1", loan, reported_at)
             self.assertEqual(0.0, hub.find_usable_share())
 
@@ -110,8 +112,8 @@
     ) -> None:
         async def scenario() -> None:
             sole_since = [math.inf]
-            own = rights.RateShare(0.1, -math.inf)
-            one = rights.RefillShares(
+            own = refill_shares.RateShare(0.1, -math.inf)
+            one = refill_shares.RefillShares(
                 lambda: own, _WINDOW_S, lambda: sole_since[0]
             )
             await trio.sleep(0.4)
@@ -121,10 +123,10 @@
             await trio.sleep(0.1)
             self.assertAlmostEqual(0.1, one.find_usable_share())
             self.assertAlmostEqual(0.01, _sum_spans(one))
-            other = rights.RefillShares(
+            other = refill_shares.RefillShares(
                 lambda: own, _WINDOW_S, lambda: math.inf
             )
-            await trio.sleep(rights.DELEGATION_S + 0.1)
+            await trio.sleep(refill_shares.DELEGATION_S + 0.1)
             self.assertAlmostEqual(0.1, other.find_usable_share())
 
         self.run_clocked(scenario)
@@ -158,8 +160,8 @@
     def test_a_larger_loan_of_before_is_told_while_it_is_good(self) -> None:
         async def scenario() -> None:
             parts = [0.2]
-            one = rights.RefillShares(
-                lambda: rights.RateShare(parts[0], -math.inf), _WINDOW_S
+            one = refill_shares.RefillShares(
+                lambda: refill_shares.RateShare(parts[0], -math.inf), _WINDOW_S
             )
             one.delegate("hub.1", 1)
             parts[0] = 0.1
@@ -167,7 +169,7 @@
             await trio.sleep(0.5)
             self.assertAlmostEqual(0.1, one.delegate("hub.1", 2).part)
             self.assertTrue(one.has_larger_delegation())
-            await trio.sleep(rights.DELEGATION_S)
+            await trio.sleep(refill_shares.DELEGATION_S)
             self.assertFalse(one.has_larger_delegation())
 
         self.run_clocked(scenario)
@@ -186,6 +188,8 @@
             spans = list(hub.list_spans(0.0))
             self.assertEqual(1, len(spans))
             self.assertAlmostEqual(start, spans[0].start)
-            self.assertAlmostEqual(start + rights.DELEGATION_S, spans[0].end)
+            self.assertAlmostEqual(
+                start + refill_shares.DELEGATION_S, spans[0].end
+            )
 
         self.run_clocked(scenario)
--- a/tests/test_fleet/test_quota_exchange.py
+++ b/tests/test_fleet/test_quota_exchange.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from martenquay_daemon.allowances import gate, quota_ledger, rights
+from martenquay_daemon.allowances import gate, quota_ledger, refill_shares
 from martenquay_daemon.discovery import catalog_store
 from martenquay_daemon.fleet import messages, quota_exchange, roster, zone_mode
 from tests import allowance_fleet, clocked
@@ -50,8 +50,8 @@
         store = catalog_store.create_store(records)
         store.offer(b"catalog", "the test")
         self.part = part
-        self.rights = rights.RefillShares(
-            lambda: rights.RateShare(self.part, 0.0), 8.0
+        self.rights = refill_shares.RefillShares(
+            lambda: refill_shares.RateShare(self.part, 0.0), 8.0
         )
         self.units = quota_ledger.create_quota_ledger(
             allowance_fleet.BOUNDS, self.rights, lambda: None
--- a/tests/test_promises/test_suspension.py
+++ b/tests/test_promises/test_suspension.py
@@ -11,7 +11,7 @@
 import trio
 import trio.testing
 
-from martenquay_daemon.allowances import rights
+from martenquay_daemon.allowances import refill_shares
 from martenquay_daemon.discovery import copy_age
 from martenquay_daemon.duties import lease
 from martenquay_daemon.fleet import view
@@ -62,7 +62,7 @@
             self.assertEqual(0.0, hub.find_usable_share())
             hub.advance()
             minted_s = sum(s.end - s.start for s in hub.list_spans(0.0))
-            self.assertLessEqual(minted_s, rights.DELEGATION_S)
+            self.assertLessEqual(minted_s, refill_shares.DELEGATION_S)
 
         self._run(scenario)
 
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -8,7 +8,12 @@
 
 import trio
 
-from martenquay_daemon.allowances import gate, quota_ledger, rights, terms
+from martenquay_daemon.allowances import (
+    gate,
+    quota_ledger,
+    refill_shares,
+    terms,
+)
 from martenquay_daemon.discovery import (
     catalog_store,
     contact,
@@ -173,8 +178,8 @@
             state_copies.FleetState(store, directory, follower, log_contact),
             _PACE,
         )
-        self._rights = rights.RefillShares(
-            lambda: rights.RateShare(
+        self._rights = refill_shares.RefillShares(
+            lambda: refill_shares.RateShare(
                 self._roster.find_own_share(), self._roster.share_since
             ),
             allowance_fleet.BOUNDS.window_s,
