--- a/packages/daemon/src/martenquay_daemon/forwarding/content_guard.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/content_guard.py
@@ -12,7 +12,7 @@
 
     from martenquay_core.serving import runners
     from martenquay_daemon.discovery import runner_directory
-    from martenquay_daemon.quarantine import desk
+    from martenquay_daemon.quarantine import manager
 
 __all__ = ["ContentGuard"]
 
@@ -22,7 +22,7 @@
 
     def __init__(
         self,
-        quarantine: desk.QuarantineManager,
+        quarantine: manager.QuarantineManager,
         directory: runner_directory.RunnerDirectory,
         has_ended: Callable[[str], Awaitable[bool]] = evidence.has_ended,
     ) -> None:
--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -52,7 +52,7 @@
     trial_notes,
 )
 from martenquay_daemon.limits import ejection
-from martenquay_daemon.quarantine import desk
+from martenquay_daemon.quarantine import manager
 from martenquay_daemon.rollouts import parts as rollout_parts
 
 if TYPE_CHECKING:
@@ -407,7 +407,7 @@
 
     def _build_quarantine(self) -> None:
         topic = self._ports.topics.strikes
-        self._quarantine = desk.create_quarantine_manager(
+        self._quarantine = manager.create_quarantine_manager(
             self._ports.log, topic
         )
         self._quarantine.on_strike = self.metrics.count_strike
--- a/tests/serving_scene.py
+++ b/tests/serving_scene.py
@@ -32,7 +32,7 @@
     trial_notes,
 )
 from martenquay_daemon.limits import ejection
-from martenquay_daemon.quarantine import desk
+from martenquay_daemon.quarantine import manager
 from martenquay_daemon.rollouts import book, tallies, versions
 from martenquay_platform import codec
 from martenquay_standins.ports import log
@@ -124,7 +124,7 @@
         self.hurries = 0
         self.runner_gate = builders.build_runner_gate()
         ejector = ejection.Ejector()
-        self.quarantine = desk.create_quarantine_manager(
+        self.quarantine = manager.create_quarantine_manager(
             self.log, builders.TOPICS.strikes
         )
         self.strikes = keyed_follower.KeyedFollower(
--- a/tests/test_quarantine/test_desk.py
+++ b/tests/test_quarantine/test_manager.py
@@ -7,7 +7,7 @@
 import trio
 
 from martenquay_daemon.discovery import contact, keyed_follower
-from martenquay_daemon.quarantine import desk, records
+from martenquay_daemon.quarantine import manager, records
 from martenquay_standins.ports import log
 from tests import clocked
 from tests import serving_builders as builders
@@ -166,7 +166,7 @@
             async with trio.open_nursery() as nursery:
                 finder, other = self._start(nursery), self._start(nursery)
                 await trio.sleep(1.0)
-                with mock.patch.object(desk, "_LOG") as lines:
+                with mock.patch.object(manager, "_LOG") as lines:
                     finder.note_crash("a", 0, "runner-1", _CRASH)
                     await trio.sleep(1.0)
                 told = [call.kwargs for call in lines.write.call_args_list]
@@ -184,12 +184,14 @@
 
         self.run_clocked(scenario)
 
-    def _strike_out(self, found: desk.QuarantineManager, content: str) -> None:
+    def _strike_out(
+        self, found: manager.QuarantineManager, content: str
+    ) -> None:
         for number in range(3):
             found.note_crash(content, number, "runner-1", _CRASH)
 
-    def _start(self, nursery: trio.Nursery) -> desk.QuarantineManager:
-        found = desk.create_quarantine_manager(self.log, _TOPIC)
+    def _start(self, nursery: trio.Nursery) -> manager.QuarantineManager:
+        found = manager.create_quarantine_manager(self.log, _TOPIC)
         follower = keyed_follower.KeyedFollower(
             self.log, contact.LogContact(), _TOPIC, found, _PACE
         )
