--- a/packages/daemon/src/martenquay_daemon/dispatch/service.py
+++ b/packages/daemon/src/martenquay_daemon/dispatch/service.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from martenquay_core.platform import instances
     from martenquay_core.util import http
-    from martenquay_daemon.claims import desk
+    from martenquay_daemon.claims import manager
     from martenquay_daemon.dispatch import book
     from martenquay_daemon.limits import ejection, retries
     from martenquay_daemon.membership import directory, table
@@ -111,7 +111,7 @@
         fresh: http.HttpClient,
         runners: directory.RunnerDirectory,
         members: table.MemberTable,
-        claims: desk.ClaimManager,
+        claims: manager.ClaimManager,
         load_book: loads.LoadBook,
         ejector: ejection.Ejector,
         budget: retries.RetryBudget,
--- a/packages/daemon/src/martenquay_daemon/parts.py
+++ b/packages/daemon/src/martenquay_daemon/parts.py
@@ -12,7 +12,7 @@
 from martenquay_daemon import answers
 from martenquay_daemon.callers import app as caller_app
 from martenquay_daemon.callers import chats, gate, services, teams
-from martenquay_daemon.claims import desk as claim_desk
+from martenquay_daemon.claims import manager as claim_manager
 from martenquay_daemon.configuration import changes, follower, publisher, store
 from martenquay_daemon.deferrable import desk as deferrable_desk
 from martenquay_daemon.deferrable import worker
@@ -190,7 +190,7 @@
         claim_map = shards.ShardMap(
             self.members, "claims", limits.claim_shards, limits.shard_followers
         )
-        self.claims = claim_desk.ClaimManager(
+        self.claims = claim_manager.ClaimManager(
             self._log_client,
             self.health,
             claim_map,
