--- a/packages/daemon/src/martenquay_daemon/answers.py
+++ b/packages/daemon/src/martenquay_daemon/answers.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from martenquay_daemon.claims import manager as claim_manager
     from martenquay_daemon.configuration import store
-    from martenquay_daemon.deferrable import desk as deferrable_desk
+    from martenquay_daemon.deferrable import manager as deferrable_manager
     from martenquay_daemon.operators import queries
 
 __all__ = ["PeerAnswers"]
@@ -21,14 +21,14 @@
     def __init__(self) -> None:
         self._config: store.ConfigStore | None = None
         self._claims: claim_manager.ClaimManager | None = None
-        self._deferrable: deferrable_desk.DeferrableManager | None = None
+        self._deferrable: deferrable_manager.DeferrableManager | None = None
         self._queries: queries.QueryDesk | None = None
 
     def connect(
         self,
         config: store.ConfigStore,
         claims: claim_manager.ClaimManager,
-        deferrable: deferrable_desk.DeferrableManager,
+        deferrable: deferrable_manager.DeferrableManager,
         query_desk: queries.QueryDesk,
     ) -> None:
         """Name the parts; before that every question is put off."""
--- a/packages/daemon/src/martenquay_daemon/callers/chats.py
+++ b/packages/daemon/src/martenquay_daemon/callers/chats.py
@@ -16,7 +16,7 @@
 
 if TYPE_CHECKING:
     from martenquay_daemon.callers import teams
-    from martenquay_daemon.deferrable import desk
+    from martenquay_daemon.deferrable import manager
     from martenquay_daemon.limits import admission
     from martenquay_daemon.util import metrics
 
@@ -37,7 +37,7 @@
         routes: gate.Gate,
         entrance: admission.Admission,
         model_calls: model.ModelDispatcher,
-        deferrable: desk.DeferrableManager,
+        deferrable: manager.DeferrableManager,
         requests: book.RequestRegistry,
         counters: metrics.DaemonMetrics,
     ) -> None:
--- a/packages/daemon/src/martenquay_daemon/deferrable/worker.py
+++ b/packages/daemon/src/martenquay_daemon/deferrable/worker.py
@@ -23,7 +23,7 @@
 
     from martenquay_core import results
     from martenquay_core.util import progress
-    from martenquay_daemon.deferrable import desk, shard, table
+    from martenquay_daemon.deferrable import manager, shard, table
     from martenquay_daemon.journal import shards
     from martenquay_daemon.membership import table as member_table
 
@@ -46,7 +46,7 @@
 
     def __init__(
         self,
-        deferrable: desk.DeferrableManager,
+        deferrable: manager.DeferrableManager,
         shard_map: shards.ShardMap,
         members: member_table.MemberTable,
         config_applied: progress.Progress,
--- a/packages/daemon/src/martenquay_daemon/operators/queries.py
+++ b/packages/daemon/src/martenquay_daemon/operators/queries.py
@@ -18,7 +18,7 @@
 
 if TYPE_CHECKING:
     from martenquay_daemon.configuration import store
-    from martenquay_daemon.deferrable import desk
+    from martenquay_daemon.deferrable import manager
     from martenquay_daemon.dispatch import book
     from martenquay_daemon.journal import health
     from martenquay_daemon.limits import ejection
@@ -66,7 +66,7 @@
         load_book: loads.LoadBook,
         ejector: ejection.Ejector,
         requests: book.RequestRegistry,
-        deferrable: desk.DeferrableManager,
+        deferrable: manager.DeferrableManager,
         log_health: health.LogHealth,
         peers: links.PeerLinks,
     ) -> None:
--- a/packages/daemon/src/martenquay_daemon/parts.py
+++ b/packages/daemon/src/martenquay_daemon/parts.py
@@ -14,7 +14,7 @@
 from martenquay_daemon.callers import chats, gate, services, teams
 from martenquay_daemon.claims import manager as claim_manager
 from martenquay_daemon.configuration import changes, follower, publisher, store
-from martenquay_daemon.deferrable import desk as deferrable_desk
+from martenquay_daemon.deferrable import manager as deferrable_manager
 from martenquay_daemon.deferrable import worker
 from martenquay_daemon.dispatch import book, model, service
 from martenquay_daemon.journal import health, shards
@@ -237,7 +237,7 @@
         self._gate = gate.Gate(
             settings.partner, self.config, self.runners, self.members
         )
-        self.deferrable = deferrable_desk.DeferrableManager(
+        self.deferrable = deferrable_manager.DeferrableManager(
             self._log_client,
             self.health,
             work_map,
