--- a/bench/rollouts.py
+++ b/bench/rollouts.py
@@ -16,7 +16,7 @@
 from tests import rollout_days
 
 from bench import figures
-from martenquay_daemon.rollouts import book
+from martenquay_daemon.rollouts import registry
 
 _SEEDS = flags.DEFINE_integer("seeds", 20, "Orders of each.", lower_bound=1)
 _DAEMONS = (6, 25, 70, 195)
@@ -72,7 +72,11 @@
 
 def _describe(name: str, rate: float, crash_at_s: float | None) -> list[str]:
     version = _VERSIONS[name]
-    wanted = book.Phase.ROLLED_BACK if version.is_bad else book.Phase.COMPLETED
+    wanted = (
+        registry.Phase.ROLLED_BACK
+        if version.is_bad
+        else registry.Phase.COMPLETED
+    )
     played = [
         rollout_days.play_day(
             rollout_days.RolloutDay(
--- a/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
@@ -24,7 +24,7 @@
         runner_report_gossip,
         view,
     )
-    from martenquay_daemon.rollouts import book, tallies
+    from martenquay_daemon.rollouts import registry, tallies
 
 __all__ = ["Identity", "StateGossip", "StateSources"]
 
@@ -84,7 +84,7 @@
     usage: usage_counts.UsageCounts
     meter: demand.DemandMeter
     estimates: model.RunnerModel
-    orders: book.RolloutRegistry
+    orders: registry.RolloutRegistry
     trials: tallies.TallyTable
     lease: lease.Lease
     links: links.FleetLinks
@@ -215,7 +215,7 @@
     }
 
 
-def _write_order(rollout: book.Rollout) -> messages.RolloutOrderEntry:
+def _write_order(rollout: registry.Rollout) -> messages.RolloutOrderEntry:
     order = rollout.order
     return messages.RolloutOrderEntry(
         order.service, order.version, order.duration_s, rollout.offset
--- a/packages/daemon/src/martenquay_daemon/forwarding/trial_notes.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/trial_notes.py
@@ -10,7 +10,7 @@
 
 if TYPE_CHECKING:
     from martenquay_core.serving import runners
-    from martenquay_daemon.rollouts import book, tallies, versions
+    from martenquay_daemon.rollouts import registry, tallies, versions
 
 __all__ = ["TrialNotes"]
 
@@ -22,7 +22,7 @@
 
     def __init__(
         self,
-        orders: book.RolloutRegistry,
+        orders: registry.RolloutRegistry,
         trials: tallies.TallyTable,
         chooser: versions.VersionChooser,
     ) -> None:
--- a/packages/daemon/src/martenquay_daemon/rollouts/keeper.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/keeper.py
@@ -11,7 +11,7 @@
 
 from martenquay_core import logs
 from martenquay_core.serving import rollouts
-from martenquay_daemon.rollouts import book, plan, records, verdict
+from martenquay_daemon.rollouts import plan, records, registry, verdict
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -54,7 +54,7 @@
     codec: ports.PlatformCodec
     follower: keyed_follower.KeyedFollower
     lease: lease.Lease
-    orders: book.RolloutRegistry
+    orders: registry.RolloutRegistry
     trials: tallies.TallyTable
     directory: runner_directory.RunnerDirectory
     ledger: loads.LoadLedger
@@ -95,12 +95,12 @@
         for rollout in parts.orders.list_all():
             await self._keep_one(rollout)
 
-    async def _keep_one(self, rollout: book.Rollout) -> None:
+    async def _keep_one(self, rollout: registry.Rollout) -> None:
         step = rollout.step
         if step is None:
             started_ms = int(self._find_wall_s() * _MS)
             await self._write(
-                rollout, book.Phase.CANARY, started_ms, "the order is read"
+                rollout, registry.Phase.CANARY, started_ms, "the order is read"
             )
             return
         if not step.phase.is_final:
@@ -111,7 +111,7 @@
         await self._tell(rollout, step)
 
     def _describe(
-        self, rollout: book.Rollout, step: book.Step
+        self, rollout: registry.Rollout, step: registry.Step
     ) -> plan.Situation:
         parts = self._parts
         name = rollout.order.service
@@ -134,7 +134,9 @@
             sum(parts.ledger.find(one.id).requests for one in old),
         )
 
-    def _find_elapsed(self, rollout: book.Rollout, step: book.Step) -> float:
+    def _find_elapsed(
+        self, rollout: registry.Rollout, step: registry.Step
+    ) -> float:
         """Return the time since the order.
 
         Who has followed it all along goes by the steady clock; the time of
@@ -148,14 +150,14 @@
 
     async def _write(
         self,
-        rollout: book.Rollout,
-        phase: book.Phase,
+        rollout: registry.Rollout,
+        phase: registry.Phase,
         started_ms: int,
         why: str,
     ) -> None:
         parts = self._parts
         service = rollout.order.service
-        step = book.Step(
+        step = registry.Step(
             service,
             rollout.offset,
             rollout.order.version,
@@ -172,7 +174,7 @@
         )
         match written:
             case Result(tag="ok", ok=done) if done.offset is not None:
-                if phase is book.Phase.CANARY:
+                if phase is registry.Phase.CANARY:
                     self._led.add((service, rollout.offset))
                 parts.follower.skip_to(done.offset + 1)
                 parts.orders.apply_step(step)
@@ -189,7 +191,7 @@
                 await parts.follower.read_now()
 
     def _list_refused(
-        self, rollout: book.Rollout, phase: book.Phase
+        self, rollout: registry.Rollout, phase: registry.Phase
     ) -> tuple[str, ...]:
         service = rollout.order.service
         refused = self._parts.orders.find_refused(service)
@@ -198,11 +200,13 @@
         if is_replaced and not last.phase.is_final:
             refused.add(last.version)
         refused.discard(rollout.order.version)
-        if phase is book.Phase.ROLLED_BACK:
+        if phase is registry.Phase.ROLLED_BACK:
             refused.add(rollout.order.version)
         return tuple(sorted(refused))
 
-    async def _tell(self, rollout: book.Rollout, step: book.Step) -> None:
+    async def _tell(
+        self, rollout: registry.Rollout, step: registry.Step
+    ) -> None:
         """Tell operators, once in this daemon's term for each state."""
         parts = self._parts
         service = rollout.order.service
--- a/packages/daemon/src/martenquay_daemon/rollouts/parts.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/parts.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from martenquay_daemon.discovery import keyed_follower, paces
-from martenquay_daemon.rollouts import book, records, tallies, versions
+from martenquay_daemon.rollouts import records, registry, tallies, versions
 
 if TYPE_CHECKING:
     import random
@@ -33,7 +33,7 @@
         versions: Chooses runners by version.
     """
 
-    orders: book.RolloutRegistry
+    orders: registry.RolloutRegistry
     order_sink: records.OrderSink
     follower: keyed_follower.KeyedFollower
     trials: tallies.TallyTable
@@ -49,7 +49,7 @@
     count_daemons: Callable[[], int],
 ) -> RolloutState:
     """Return the parts, connected to each other."""
-    orders = book.RolloutRegistry()
+    orders = registry.RolloutRegistry()
     return RolloutState(
         orders,
         records.OrderSink(codec, orders),
--- a/packages/daemon/src/martenquay_daemon/rollouts/plan.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/plan.py
@@ -5,7 +5,7 @@
 import dataclasses
 from typing import TYPE_CHECKING
 
-from martenquay_daemon.rollouts import book
+from martenquay_daemon.rollouts import registry
 
 if TYPE_CHECKING:
     from martenquay_daemon.rollouts import verdict
@@ -37,7 +37,7 @@
         old_requests: Requests that runners of other versions have not ended.
     """
 
-    phase: book.Phase
+    phase: registry.Phase
     elapsed_s: float
     duration_s: float
     verdict: verdict.Verdict
@@ -46,40 +46,43 @@
     old_requests: int
 
 
-def decide_step(now: Situation) -> tuple[book.Phase, str]:
+def decide_step(now: Situation) -> tuple[registry.Phase, str]:
     """Return the phase that is to hold, and why."""
     if now.phase.is_final:
         return now.phase, ""
     if now.verdict.is_bad:
-        return book.Phase.ROLLED_BACK, now.verdict.why
+        return registry.Phase.ROLLED_BACK, now.verdict.why
     part = now.elapsed_s / now.duration_s if now.duration_s > 0 else 1.0
-    if now.phase is book.Phase.SWITCHING:
+    if now.phase is registry.Phase.SWITCHING:
         return _decide_switch(now, part)
     return _decide_trial(now, part)
 
 
-def _decide_trial(now: Situation, part: float) -> tuple[book.Phase, str]:
+def _decide_trial(now: Situation, part: float) -> tuple[registry.Phase, str]:
     if part < _TRIAL_PART:
-        return book.Phase.CANARY, ""
+        return registry.Phase.CANARY, ""
     if now.verdict.is_doubtful:
-        return book.Phase.ROLLED_BACK, f"in doubt: {now.verdict.why}"
+        return registry.Phase.ROLLED_BACK, f"in doubt: {now.verdict.why}"
     if not now.has_new:
-        return book.Phase.ROLLED_BACK, "no runner of it serves"
+        return registry.Phase.ROLLED_BACK, "no runner of it serves"
     if not now.has_old:
-        return book.Phase.COMPLETED, "no runner of another version serves"
+        return registry.Phase.COMPLETED, "no runner of another version serves"
     if not now.verdict.has_enough and part < _END_PART:
-        return book.Phase.CANARY, ""
+        return registry.Phase.CANARY, ""
     if not now.verdict.has_enough:
-        return book.Phase.ROLLED_BACK, f"too few answers: {now.verdict.why}"
-    return book.Phase.SWITCHING, now.verdict.why
+        return registry.Phase.ROLLED_BACK, f"too few answers: {now.verdict.why}"
+    return registry.Phase.SWITCHING, now.verdict.why
 
 
-def _decide_switch(now: Situation, part: float) -> tuple[book.Phase, str]:
+def _decide_switch(now: Situation, part: float) -> tuple[registry.Phase, str]:
     if now.old_requests == 0 and now.has_new:
-        return book.Phase.COMPLETED, "the old runners have ended all they had"
+        return (
+            registry.Phase.COMPLETED,
+            "the old runners have ended all they had",
+        )
     if part < _END_PART:
-        return book.Phase.SWITCHING, ""
+        return registry.Phase.SWITCHING, ""
     return (
-        book.Phase.COMPLETED,
+        registry.Phase.COMPLETED,
         f"{now.old_requests} requests at old runners when time was over",
     )
--- a/packages/daemon/src/martenquay_daemon/rollouts/records.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/records.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from martenquay_core import logs
-from martenquay_daemon.rollouts import book
+from martenquay_daemon.rollouts import registry
 
 if TYPE_CHECKING:
     from martenquay_core.serving import ports
@@ -26,7 +26,7 @@
     why: str = ""
 
 
-def encode_step(log: ports.LogPort, step: book.Step) -> bytes:
+def encode_step(log: ports.LogPort, step: registry.Step) -> bytes:
     """Return the payload of a step's record."""
     record = _StepRecord(
         step.order,
@@ -42,7 +42,7 @@
 class StepSink:
     """Implement `keyed_follower.RecordSink` for steps."""
 
-    def __init__(self, rollouts: book.RolloutRegistry) -> None:
+    def __init__(self, rollouts: registry.RolloutRegistry) -> None:
         self._book = rollouts
 
     def replace_all(self, snapshot: ports.Snapshot) -> None:
@@ -56,12 +56,12 @@
             return
         try:
             found = msgspec.json.decode(record.value, type=_StepRecord)
-            phase = book.Phase(found.phase)
+            phase = registry.Phase(found.phase)
         except ValueError as error:
             _LOG.write(f"A record of {record.key} is no step: {error}.")
             return
         self._book.apply_step(
-            book.Step(
+            registry.Step(
                 record.key,
                 found.order,
                 found.version,
@@ -77,7 +77,7 @@
     """Implement `keyed_follower.RecordSink` for operators' orders."""
 
     def __init__(
-        self, codec: ports.PlatformCodec, rollouts: book.RolloutRegistry
+        self, codec: ports.PlatformCodec, rollouts: registry.RolloutRegistry
     ) -> None:
         self._codec = codec
         self._book = rollouts
--- a/packages/daemon/src/martenquay_daemon/rollouts/versions.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/versions.py
@@ -7,7 +7,7 @@
 import trio
 
 from martenquay_core import logs
-from martenquay_daemon.rollouts import book, share
+from martenquay_daemon.rollouts import registry, share
 
 if TYPE_CHECKING:
     import random
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        rollouts: book.RolloutRegistry,
+        rollouts: registry.RolloutRegistry,
         rng: random.Random,
         count_daemons: Callable[[], int],
         is_log_heard: Callable[[], bool] = lambda: True,
@@ -55,7 +55,7 @@
             usable: Its runners that may get work at all.
         """
         rollout = self._book.find(service)
-        if rollout is None or rollout.phase is not book.Phase.CANARY:
+        if rollout is None or rollout.phase is not registry.Phase.CANARY:
             return self.list_serving(service, usable)
         old, new = self._split(service, usable, rollout.order.version)
         if new:
@@ -82,9 +82,9 @@
             return self._list_used(service, usable)
         old, new = self._split(service, usable, rollout.order.version)
         match rollout.phase:
-            case book.Phase.CANARY:
+            case registry.Phase.CANARY:
                 return old or new
-            case book.Phase.ROLLED_BACK:
+            case registry.Phase.ROLLED_BACK:
                 # What is bad gets nothing, also where nothing else is left.
                 return old
             case _:
--- a/tests/rollout_days.py
+++ b/tests/rollout_days.py
@@ -7,8 +7,8 @@
 
 from martenquay_core.serving import rollouts, runners
 from martenquay_daemon.rollouts import (
-    book,
     plan,
+    registry,
     tallies,
     verdict,
     versions,
@@ -90,7 +90,7 @@
         why: What the keeper said.
     """
 
-    phase: book.Phase = book.Phase.CANARY
+    phase: registry.Phase = registry.Phase.CANARY
     decided_s: float = 0.0
     exposed: int = 0
     requests: int = 0
@@ -114,10 +114,10 @@
         self._played = Played()
         self._old = _build_runners("v1")
         self._new = _build_runners("v2")
-        self._book = book.RolloutRegistry()
+        self._book = registry.RolloutRegistry()
         order = rollouts.RolloutOrder(_SERVICE, "v2", day.duration_s)
         self._book.apply_order(7, order)
-        self._take_step(book.Phase.CANARY, "")
+        self._take_step(registry.Phase.CANARY, "")
         self._start_daemons()
         self._told: list[tuple[float, tallies.Trial]] = []
         self._first_new_s: float | None = None
@@ -210,10 +210,10 @@
             self._played.decided_s = now
             self._played.why = why
 
-    def _take_step(self, phase: book.Phase, why: str) -> None:
-        refused = ("v2",) if phase is book.Phase.ROLLED_BACK else ()
+    def _take_step(self, phase: registry.Phase, why: str) -> None:
+        refused = ("v2",) if phase is registry.Phase.ROLLED_BACK else ()
         self._book.apply_step(
-            book.Step(_SERVICE, 7, "v2", phase, 0, refused, why)
+            registry.Step(_SERVICE, 7, "v2", phase, 0, refused, why)
         )
 
 
--- a/tests/serving_scene.py
+++ b/tests/serving_scene.py
@@ -33,7 +33,7 @@
 )
 from martenquay_daemon.limits import ejection
 from martenquay_daemon.quarantine import manager
-from martenquay_daemon.rollouts import book, tallies, versions
+from martenquay_daemon.rollouts import registry, tallies, versions
 from martenquay_platform import codec
 from martenquay_standins.ports import log
 from martenquay_standins.ports import runner as scripted
@@ -137,7 +137,7 @@
         rng = random.Random(1)
         header_codec = codec.create_codec()
         bounds = retry_window.RetryBounds(0.2, 10.0, 100.0)
-        orders = book.RolloutRegistry()
+        orders = registry.RolloutRegistry()
         tolerance = terms.ToleranceBounds(8.0, 0.0, 0.0)
         self.parts = forwarder.ForwarderParts(
             store=self.store,
--- a/tests/test_rollouts/test_judging.py
+++ b/tests/test_rollouts/test_judging.py
@@ -8,7 +8,7 @@
 import testtools
 
 from martenquay_daemon.fleet import trial_lines
-from martenquay_daemon.rollouts import book, plan, tallies, verdict
+from martenquay_daemon.rollouts import plan, registry, tallies, verdict
 from tests import clocked, rollout_days
 
 _SEEDS = range(12)
@@ -31,7 +31,7 @@
         return played
 
     def _expect(
-        self, phase: book.Phase, version: rollout_days.Version, **changes
+        self, phase: registry.Phase, version: rollout_days.Version, **changes
     ) -> None:
         for one in self._play(version, **changes):
             self.assertIs(phase, one.phase, one.why)
@@ -41,42 +41,42 @@
     def test_good_versions_go_through(self) -> None:
         good = rollout_days.Version()
         for rate in (20.0, 65.0, 200.0):
-            self._expect(book.Phase.COMPLETED, good, requests_per_s=rate)
+            self._expect(registry.Phase.COMPLETED, good, requests_per_s=rate)
 
     def test_good_versions_go_through_beside_trouble_of_both(self) -> None:
         good = rollout_days.Version()
-        self._expect(book.Phase.COMPLETED, good, crash_at_s=6.0)
+        self._expect(registry.Phase.COMPLETED, good, crash_at_s=6.0)
 
     def test_good_versions_go_through_a_restart_of_all(self) -> None:
         good = rollout_days.Version()
-        self._expect(book.Phase.COMPLETED, good, restart_at_s=6.0)
+        self._expect(registry.Phase.COMPLETED, good, restart_at_s=6.0)
 
     def test_versions_that_fail_are_rolled_back(self) -> None:
         for failures in (0.2, 0.5, 0.99):
             bad = rollout_days.Version(failures=failures)
-            self._expect(book.Phase.ROLLED_BACK, bad)
+            self._expect(registry.Phase.ROLLED_BACK, bad)
 
     def test_versions_that_fail_on_one_route_are_rolled_back(self) -> None:
         bad = rollout_days.Version(failures=0.5, routes=("r-chat",))
-        self._expect(book.Phase.ROLLED_BACK, bad)
+        self._expect(registry.Phase.ROLLED_BACK, bad)
 
     def test_slow_versions_are_rolled_back(self) -> None:
         for slowness in (3.0, 8.0):
             bad = rollout_days.Version(slowness=slowness)
-            self._expect(book.Phase.ROLLED_BACK, bad)
+            self._expect(registry.Phase.ROLLED_BACK, bad)
 
     def test_versions_that_turn_bad_later_are_rolled_back(self) -> None:
         bad = rollout_days.Version(failures=0.5, from_s=3.0)
-        self._expect(book.Phase.ROLLED_BACK, bad)
+        self._expect(registry.Phase.ROLLED_BACK, bad)
 
 
 class PlanTest(testtools.TestCase):
-    def _decide(self, **changes) -> book.Phase:
+    def _decide(self, **changes) -> registry.Phase:
         good = verdict.Verdict(
             is_bad=False, is_doubtful=False, has_enough=True, why=""
         )
         fields = {
-            "phase": book.Phase.CANARY,
+            "phase": registry.Phase.CANARY,
             "elapsed_s": 6.0,
             "duration_s": 12.0,
             "verdict": good,
@@ -87,28 +87,28 @@
         return plan.decide_step(plan.Situation(**(fields | changes)))[0]
 
     def test_nothing_is_decided_before_the_trial_is_over(self) -> None:
-        self.assertIs(book.Phase.CANARY, self._decide())
+        self.assertIs(registry.Phase.CANARY, self._decide())
         late = self._decide(elapsed_s=10.5)
-        self.assertIs(book.Phase.SWITCHING, late)
+        self.assertIs(registry.Phase.SWITCHING, late)
 
     def test_what_nobody_has_seen_serve_is_rolled_back(self) -> None:
         phase = self._decide(elapsed_s=11.5, has_new=False)
-        self.assertIs(book.Phase.ROLLED_BACK, phase)
+        self.assertIs(registry.Phase.ROLLED_BACK, phase)
 
     def test_completed_is_said_once_the_old_runners_have_nothing_left(
         self,
     ) -> None:
-        phase = book.Phase.SWITCHING
+        phase = registry.Phase.SWITCHING
         self.assertIs(phase, self._decide(phase=phase, elapsed_s=10.5))
         done = self._decide(phase=phase, elapsed_s=10.5, old_requests=0)
-        self.assertIs(book.Phase.COMPLETED, done)
+        self.assertIs(registry.Phase.COMPLETED, done)
         late = self._decide(phase=phase, elapsed_s=11.5)
-        self.assertIs(book.Phase.COMPLETED, late)
+        self.assertIs(registry.Phase.COMPLETED, late)
 
     def test_no_time_at_all_is_no_time_to_judge(self) -> None:
         few = verdict.judge_trial(tallies.Trial(1))
         phase = self._decide(elapsed_s=0.0, duration_s=0.0, verdict=few)
-        self.assertIs(book.Phase.ROLLED_BACK, phase)
+        self.assertIs(registry.Phase.ROLLED_BACK, phase)
 
 
 class TallyTest(testtools.TestCase):
--- a/tests/test_rollouts/test_keeper.py
+++ b/tests/test_rollouts/test_keeper.py
@@ -13,7 +13,7 @@
 from martenquay_daemon.duties import lease
 from martenquay_daemon.engines import loads
 from martenquay_daemon.fleet import view
-from martenquay_daemon.rollouts import book, keeper, records, tallies
+from martenquay_daemon.rollouts import keeper, records, registry, tallies
 from martenquay_standins.ports import log
 from tests import clocked
 from tests import serving_builders as builders
@@ -26,7 +26,7 @@
 
     def __init__(self, name: str, platform: log.MemoryLog) -> None:
         self.log = platform
-        self.book = book.RolloutRegistry()
+        self.book = registry.RolloutRegistry()
         self.trials = tallies.TallyTable()
         self.ledger = loads.LoadLedger()
         codec = builders.FakeRecords()
@@ -147,10 +147,12 @@
             with one.ledger.count("r-0", 100):
                 await trio.sleep(5.8)
                 self.assertIs(
-                    book.Phase.SWITCHING, one.book.find("model").phase
+                    registry.Phase.SWITCHING, one.book.find("model").phase
                 )
             await trio.sleep(0.5)
-            self.assertIs(book.Phase.COMPLETED, one.book.find("model").phase)
+            self.assertIs(
+                registry.Phase.COMPLETED, one.book.find("model").phase
+            )
 
         self._run(scenario)
 
--- a/tests/test_rollouts/test_book.py
+++ b/tests/test_rollouts/test_registry.py
@@ -6,24 +6,24 @@
 import random
 
 from martenquay_core.serving import ports, rollouts
-from martenquay_daemon.rollouts import book, records
+from martenquay_daemon.rollouts import records, registry
 from martenquay_standins.ports import log
 from tests import clocked
 from tests import serving_builders as builders
 
-_CANARY = book.Phase.CANARY
-_SWITCHING = book.Phase.SWITCHING
-_COMPLETED = book.Phase.COMPLETED
-_ROLLED_BACK = book.Phase.ROLLED_BACK
+_CANARY = registry.Phase.CANARY
+_SWITCHING = registry.Phase.SWITCHING
+_COMPLETED = registry.Phase.COMPLETED
+_ROLLED_BACK = registry.Phase.ROLLED_BACK
 
 
 def _order(version: str) -> rollouts.RolloutOrder:
     return rollouts.RolloutOrder("model", version, 12.0)
 
 
-def _step(order: int, phase: book.Phase, **changes) -> book.Step:
+def _step(order: int, phase: registry.Phase, **changes) -> registry.Step:
     fields = {"service": "model", "version": f"v{order}", "started_ms": 5}
-    return book.Step(order=order, phase=phase, **(fields | changes))
+    return registry.Step(order=order, phase=phase, **(fields | changes))
 
 
 class RolloutBookTest(clocked.ClockedTestCase):
@@ -39,9 +39,9 @@
 
         async def scenario() -> None:
             for order in itertools.permutations(news):
-                found = book.RolloutRegistry()
+                found = registry.RolloutRegistry()
                 for one in order:
-                    if isinstance(one, book.Step):
+                    if isinstance(one, registry.Step):
                         found.apply_step(one)
                     else:
                         found.apply_order(*one)
@@ -55,12 +55,12 @@
 
     def test_no_step_leads_back_and_the_first_end_counts(self) -> None:
         async def scenario() -> None:
-            found = book.RolloutRegistry()
+            found = registry.RolloutRegistry()
             found.apply_order(3, _order("v3"))
             self.assertTrue(found.apply_step(_step(3, _SWITCHING)))
             self.assertFalse(found.apply_step(_step(3, _CANARY)))
             self.assertTrue(found.apply_step(_step(3, _COMPLETED)))
-            for phase in book.Phase:
+            for phase in registry.Phase:
                 self.assertFalse(found.apply_step(_step(3, phase)), phase)
             self.assertIs(_COMPLETED, found.find("model").phase)
 
@@ -68,7 +68,7 @@
 
     def test_the_same_order_again_begins_anew(self) -> None:
         async def scenario() -> None:
-            found = book.RolloutRegistry()
+            found = registry.RolloutRegistry()
             found.apply_order(3, _order("v2"))
             found.apply_step(_step(3, _ROLLED_BACK, version="v2"))
             found.apply_order(9, _order("v2"))
@@ -84,7 +84,7 @@
             platform = log.MemoryLog()
             step = _step(3, _SWITCHING, refused=("v1",), why="it is good")
             payload = records.encode_step(platform, step)
-            found = book.RolloutRegistry()
+            found = registry.RolloutRegistry()
             found.apply_order(3, _order("v3"))
             records.StepSink(found).apply_change(
                 platform.split_keyed(payload, 0)
@@ -96,7 +96,7 @@
     def test_what_cannot_be_read_harms_nothing_else(self) -> None:
         async def scenario() -> None:
             rng = random.Random(1)
-            found = book.RolloutRegistry()
+            found = registry.RolloutRegistry()
             steps = records.StepSink(found)
             orders = records.OrderSink(builders.FakeRecords(), found)
             for number in range(200):
--- a/tests/test_rollouts/test_versions.py
+++ b/tests/test_rollouts/test_versions.py
@@ -7,7 +7,7 @@
 import trio
 
 from martenquay_core.serving import rollouts, runners
-from martenquay_daemon.rollouts import book, share, versions
+from martenquay_daemon.rollouts import registry, share, versions
 from tests import clocked
 from tests import serving_builders as builders
 
@@ -25,15 +25,15 @@
 
 
 class VersionChooserTest(clocked.ClockedTestCase):
-    def _open(self, phase: book.Phase | None = None, **changes) -> None:
-        self.book = book.RolloutRegistry()
+    def _open(self, phase: registry.Phase | None = None, **changes) -> None:
+        self.book = registry.RolloutRegistry()
         self.chooser = versions.VersionChooser(
             self.book, random.Random(1), lambda: 1
         )
         if phase is not None:
             self._order("v2", 3)
             fields = {"version": "v2", "started_ms": 0} | changes
-            step = book.Step("model", 3, phase=phase, **fields)
+            step = registry.Step("model", 3, phase=phase, **fields)
             self.book.apply_step(step)
 
     def _order(self, version: str, offset: int) -> None:
@@ -88,7 +88,7 @@
 
     def test_after_the_switch_only_the_new_one_gets_requests(self) -> None:
         async def scenario() -> None:
-            for phase in (book.Phase.SWITCHING, book.Phase.COMPLETED):
+            for phase in (registry.Phase.SWITCHING, registry.Phase.COMPLETED):
                 self._open(phase)
                 self.assertEqual({"v2"}, self._choose("v1", "v2"))
                 # Its runners may be listed late.
@@ -100,7 +100,7 @@
         self,
     ) -> None:
         async def scenario() -> None:
-            self._open(book.Phase.ROLLED_BACK, refused=("v2",))
+            self._open(registry.Phase.ROLLED_BACK, refused=("v2",))
             self.assertEqual({"v1"}, self._choose("v1", "v2"))
             self.assertEqual(set(), self._choose("v2"))
 
@@ -111,7 +111,9 @@
             self._open()
             self._order("v3", 9)
             self.book.apply_step(
-                book.Step("model", 9, "v3", book.Phase.CANARY, 0, ("v2",))
+                registry.Step(
+                    "model", 9, "v3", registry.Phase.CANARY, 0, ("v2",)
+                )
             )
             chosen = set.union(
                 *[self._choose("v1", "v2", "v3") for _ in range(200)]
