--- a/packages/daemon/src/martenquay_daemon/duties/parts.py
+++ b/packages/daemon/src/martenquay_daemon/duties/parts.py
@@ -7,7 +7,7 @@
 
 from martenquay_daemon.duties import capacity_keeper, usage_reporter
 from martenquay_daemon.fleet import announcements
-from martenquay_daemon.rollouts import keeper as rollout_keeper
+from martenquay_daemon.rollouts import controller as rollout_controller
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -118,9 +118,9 @@
 
 def _create_rollout_keeper(
     sources: DutySources,
-) -> rollout_keeper.RolloutController:
-    return rollout_keeper.RolloutController(
-        rollout_keeper.RolloutParts(
+) -> rollout_controller.RolloutController:
+    return rollout_controller.RolloutController(
+        rollout_controller.RolloutParts(
             log=sources.ports.log,
             topics=sources.ports.topics,
             codec=sources.ports.records,
--- a/tests/test_rollouts/test_keeper.py
+++ b/tests/test_rollouts/test_controller.py
@@ -13,7 +13,7 @@
 from martenquay_daemon.duties import lease
 from martenquay_daemon.engines import loads
 from martenquay_daemon.fleet import view
-from martenquay_daemon.rollouts import keeper, records, registry, tallies
+from martenquay_daemon.rollouts import controller, records, registry, tallies
 from martenquay_standins.ports import log
 from tests import clocked
 from tests import serving_builders as builders
@@ -60,8 +60,8 @@
         self.lease = lease.create_lease(
             platform, "lease", f"{name}.aa", name, 3.0, view.FleetView(name)
         )
-        self.keeper = keeper.RolloutController(
-            keeper.RolloutParts(
+        self.keeper = controller.RolloutController(
+            controller.RolloutParts(
                 log=platform,
                 topics=_TOPICS,
                 codec=codec,
