--- a/bench/routing/sites.py
+++ b/bench/routing/sites.py
@@ -16,7 +16,7 @@
 from martenquay_core.util import blocks
 from martenquay_daemon.callers import gate, teams
 from martenquay_daemon.configuration import store
-from martenquay_daemon.dispatch import book, journeys, model
+from martenquay_daemon.dispatch import journeys, model, registry
 from martenquay_daemon.limits import admission, ejection, retries
 from martenquay_daemon.membership import directory, table
 from martenquay_daemon.routing import feeds, loads, placement, prefixes
@@ -108,7 +108,7 @@
             self.index,
             ejector,
             retries.RetryBudget(0.1),
-            book.RequestRegistry(),
+            registry.RequestRegistry(),
             metrics.create_metrics(),
         )
         self.runners.listen_for_leaving(self.dispatcher.move_streams)
--- a/packages/daemon/src/martenquay_daemon/callers/chats.py
+++ b/packages/daemon/src/martenquay_daemon/callers/chats.py
@@ -12,7 +12,7 @@
 from martenquay_core.util import blocks, serving
 from martenquay_daemon.callers import chat, exchange, gate, replies
 from martenquay_daemon.deferrable import table
-from martenquay_daemon.dispatch import book, journeys, model
+from martenquay_daemon.dispatch import journeys, model, registry
 
 if TYPE_CHECKING:
     from martenquay_daemon.callers import teams
@@ -38,7 +38,7 @@
         entrance: admission.Admission,
         model_calls: model.ModelDispatcher,
         deferrable: manager.DeferrableManager,
-        requests: book.RequestRegistry,
+        requests: registry.RequestRegistry,
         counters: metrics.DaemonMetrics,
     ) -> None:
         self._partner = partner
@@ -148,7 +148,7 @@
         cost = blocks.count_tokens(prompt) + asked.max_tokens
         ask = self._gate.build_ask(team, known, cost)
         self._requests.open(
-            book.RunningRequest(
+            registry.RunningRequest(
                 request_id, team.name, known.name, known.urgency.value
             )
         )
--- a/packages/daemon/src/martenquay_daemon/callers/services.py
+++ b/packages/daemon/src/martenquay_daemon/callers/services.py
@@ -10,7 +10,7 @@
 from martenquay_core.config import objects
 from martenquay_core.util import serving
 from martenquay_daemon.callers import gate, replies
-from martenquay_daemon.dispatch import book, service
+from martenquay_daemon.dispatch import registry, service
 
 if TYPE_CHECKING:
     from expression import Result
@@ -34,7 +34,7 @@
         routes: gate.Gate,
         entrance: admission.Admission,
         service_calls: service.ServiceDispatcher,
-        requests: book.RequestRegistry,
+        requests: registry.RequestRegistry,
         background: trio.Nursery,
     ) -> None:
         self._partner = partner
@@ -124,7 +124,7 @@
                 self._requests.close(call.request_id)
 
         self._requests.open(
-            book.RunningRequest(
+            registry.RunningRequest(
                 call.request_id, call.team, call.route, known.urgency.value
             )
         )
--- a/packages/daemon/src/martenquay_daemon/dispatch/model.py
+++ b/packages/daemon/src/martenquay_daemon/dispatch/model.py
@@ -25,7 +25,7 @@
     from collections.abc import Iterator
 
     from martenquay_core.platform import instances
-    from martenquay_daemon.dispatch import book
+    from martenquay_daemon.dispatch import registry
     from martenquay_daemon.limits import ejection, retries
     from martenquay_daemon.routing import loads, prefixes
     from martenquay_daemon.util import metrics
@@ -51,7 +51,7 @@
         index: prefixes.PrefixIndex,
         ejector: ejection.Ejector,
         budget: retries.RetryBudget,
-        requests: book.RequestRegistry,
+        requests: registry.RequestRegistry,
         counters: metrics.DaemonMetrics,
     ) -> None:
         self._client = client
--- a/packages/daemon/src/martenquay_daemon/dispatch/service.py
+++ b/packages/daemon/src/martenquay_daemon/dispatch/service.py
@@ -18,7 +18,7 @@
     from martenquay_core.platform import instances
     from martenquay_core.util import http
     from martenquay_daemon.claims import manager
-    from martenquay_daemon.dispatch import book
+    from martenquay_daemon.dispatch import registry
     from martenquay_daemon.limits import ejection, retries
     from martenquay_daemon.membership import directory, table
     from martenquay_daemon.routing import loads
@@ -115,7 +115,7 @@
         load_book: loads.LoadBook,
         ejector: ejection.Ejector,
         budget: retries.RetryBudget,
-        requests: book.RequestRegistry,
+        requests: registry.RequestRegistry,
         counters: metrics.DaemonMetrics,
     ) -> None:
         self._reusing = reusing
--- a/packages/daemon/src/martenquay_daemon/operators/queries.py
+++ b/packages/daemon/src/martenquay_daemon/operators/queries.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from martenquay_daemon.configuration import store
     from martenquay_daemon.deferrable import manager
-    from martenquay_daemon.dispatch import book
+    from martenquay_daemon.dispatch import registry
     from martenquay_daemon.journal import health
     from martenquay_daemon.limits import ejection
     from martenquay_daemon.membership import directory, links, table
@@ -65,7 +65,7 @@
         runners: directory.RunnerDirectory,
         load_book: loads.LoadBook,
         ejector: ejection.Ejector,
-        requests: book.RequestRegistry,
+        requests: registry.RequestRegistry,
         deferrable: manager.DeferrableManager,
         log_health: health.LogHealth,
         peers: links.PeerLinks,
--- a/packages/daemon/src/martenquay_daemon/parts.py
+++ b/packages/daemon/src/martenquay_daemon/parts.py
@@ -16,7 +16,7 @@
 from martenquay_daemon.configuration import changes, follower, publisher, store
 from martenquay_daemon.deferrable import manager as deferrable_manager
 from martenquay_daemon.deferrable import worker
-from martenquay_daemon.dispatch import book, model, service
+from martenquay_daemon.dispatch import model, registry, service
 from martenquay_daemon.journal import health, shards
 from martenquay_daemon.limits import admission, ejection, retries
 from martenquay_daemon.membership import directory, links, table
@@ -73,7 +73,7 @@
         self._engines = engine.EngineClient(reusing)
         self.metrics = metrics.create_metrics()
         self.health = health.LogHealth()
-        self.requests = book.RequestRegistry()
+        self.requests = registry.RequestRegistry()
         self._build_membership(member)
         self._build_configuration()
         self._build_routing()
