--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -189,10 +189,10 @@
     ),
     Mutation(
         "refused orders are not repeated in a loop",
-        f"{DAEMON}/duties/capacity_keeper.py",
+        f"{DAEMON}/duties/capacity_controller.py",
         "_REFUSED_S = 1.5",
         "_REFUSED_S = 0.0",
-        "tests.test_duties.test_capacity_keeper",
+        "tests.test_duties.test_capacity_controller",
     ),
     Mutation(
         "repeats are bounded",
--- a/packages/daemon/src/martenquay_daemon/duties/parts.py
+++ b/packages/daemon/src/martenquay_daemon/duties/parts.py
@@ -5,7 +5,7 @@
 import dataclasses
 from typing import TYPE_CHECKING
 
-from martenquay_daemon.duties import capacity_keeper, usage_reporter
+from martenquay_daemon.duties import capacity_controller, usage_reporter
 from martenquay_daemon.fleet import announcements
 from martenquay_daemon.rollouts import controller as rollout_controller
 
@@ -98,9 +98,9 @@
 
 def _create_capacity_keeper(
     sources: DutySources, cloud: port_types.CloudPort
-) -> capacity_keeper.CapacityController:
-    return capacity_keeper.CapacityController(
-        capacity_keeper.CapacityParts(
+) -> capacity_controller.CapacityController:
+    return capacity_controller.CapacityController(
+        capacity_controller.CapacityParts(
             cloud=cloud,
             holder=sources.settings.instance,
             lease=sources.lease,
--- a/tests/test_duties/test_capacity_keeper.py
+++ b/tests/test_duties/test_capacity_controller.py
@@ -10,7 +10,7 @@
     contact,
     runner_directory,
 )
-from martenquay_daemon.duties import capacity_keeper, lease
+from martenquay_daemon.duties import capacity_controller, lease
 from martenquay_daemon.engines import demand, loads, model
 from martenquay_daemon.fleet import view
 from martenquay_standins.ports import cloud, log
@@ -21,7 +21,7 @@
 
 
 class CapacityKeeperTest(clocked.ClockedTestCase):
-    def _build(self) -> capacity_keeper.CapacityController:
+    def _build(self) -> capacity_controller.CapacityController:
         self.cloud = cloud.MemoryCloud()
         self.records = builders.FakeRecords()
         service = builders.build_service(
@@ -44,8 +44,8 @@
         self.lease = lease.create_lease(
             log.MemoryLog(), "lease", "entry-1.aa", "entry-1", 3.0, fleet
         )
-        return capacity_keeper.CapacityController(
-            capacity_keeper.CapacityParts(
+        return capacity_controller.CapacityController(
+            capacity_controller.CapacityParts(
                 cloud=self.cloud,
                 holder="entry-1",
                 lease=self.lease,
