--- a/packages/daemon/src/martenquay_daemon/duties/capacity_controller.py
+++ b/packages/daemon/src/martenquay_daemon/duties/capacity_controller.py
@@ -14,8 +14,8 @@
 from martenquay_daemon.duties import (
     capacity_order,
     capacity_plan,
+    delayed_decrease,
     demand_trend,
-    slow_fall,
 )
 from martenquay_daemon.engines import demand
 
@@ -91,9 +91,9 @@
         self._lines: dict[
             tuple[str, str, bool], capacity_order.CapacityOrder
         ] = {}
-        self._needs: dict[str, slow_fall.DelayedDecrease] = {}
-        self._comforts: dict[str, slow_fall.DelayedDecrease] = {}
-        self._rises: dict[str, slow_fall.DelayedDecrease] = {}
+        self._needs: dict[str, delayed_decrease.DelayedDecrease] = {}
+        self._comforts: dict[str, delayed_decrease.DelayedDecrease] = {}
+        self._rises: dict[str, delayed_decrease.DelayedDecrease] = {}
         self._targets: dict[str, capacity_plan.CapacityTarget] = {}
         self._trends: dict[str, demand_trend.DemandTrend] = {}
         self._first_counts: dict[str, int] = {}
@@ -210,14 +210,14 @@
             comfortable = max(comfortable, first)
         # What was foreseen and is not there a boot later was no wave.
         rises = self._rises.setdefault(
-            service.name, slow_fall.DelayedDecrease(state.limits.boot_s)
+            service.name, delayed_decrease.DelayedDecrease(state.limits.boot_s)
         )
         rise = rises.follow(now, rise)
         needed = self._needs.setdefault(
-            service.name, slow_fall.DelayedDecrease(_LOWER_AFTER_S)
+            service.name, delayed_decrease.DelayedDecrease(_LOWER_AFTER_S)
         )
         spare = self._comforts.setdefault(
-            service.name, slow_fall.DelayedDecrease(_LOWER_AFTER_S)
+            service.name, delayed_decrease.DelayedDecrease(_LOWER_AFTER_S)
         )
         target = capacity_plan.CapacityTarget(
             max(rise, needed.follow(now, count)),
