--- a/bench/routing/sites.py
+++ b/bench/routing/sites.py
@@ -16,7 +16,7 @@
 from martenquay_core.util import blocks
 from martenquay_daemon.callers import gate, teams
 from martenquay_daemon.configuration import store
-from martenquay_daemon.dispatch import journeys, model, registry
+from martenquay_daemon.dispatch import model, registry, request_progress
 from martenquay_daemon.limits import admission, ejection, retries
 from martenquay_daemon.membership import directory, table
 from martenquay_daemon.routing import feeds, loads, placement, prefixes
@@ -138,7 +138,7 @@
                 self.partner, arrival.urgency, at, None, [], True, None
             )
         sink = _TimingSink()
-        request = journeys.ModelRequest(
+        request = request_progress.ModelRequest(
             name,
             self.partner,
             POOL,
--- a/packages/daemon/src/martenquay_daemon/callers/chat.py
+++ b/packages/daemon/src/martenquay_daemon/callers/chat.py
@@ -14,7 +14,7 @@
 
 if TYPE_CHECKING:
     from martenquay_core.util import serving
-    from martenquay_daemon.dispatch import journeys
+    from martenquay_daemon.dispatch import request_progress
 
 __all__ = [
     "ChatRequest",
@@ -70,7 +70,9 @@
         return Error(results.Failure(code, f"{place}: {first['msg']}"))
 
 
-def render_answer(request_id: str, route: str, usage: journeys.Usage) -> bytes:
+def render_answer(
+    request_id: str, route: str, usage: request_progress.Usage
+) -> bytes:
     """Return a whole answer."""
     text = "".join(usage.generated)
     message = {"role": "assistant", "content": text}
@@ -172,7 +174,7 @@
         )
 
 
-def _describe_usage(usage: journeys.Usage) -> dict[str, int]:
+def _describe_usage(usage: request_progress.Usage) -> dict[str, int]:
     generated = len(usage.generated)
     return {
         "prompt_tokens": usage.prompt_tokens,
--- a/packages/daemon/src/martenquay_daemon/callers/chats.py
+++ b/packages/daemon/src/martenquay_daemon/callers/chats.py
@@ -12,7 +12,7 @@
 from martenquay_core.util import blocks, serving
 from martenquay_daemon.callers import chat, exchange, gate, replies
 from martenquay_daemon.deferrable import table
-from martenquay_daemon.dispatch import journeys, model, registry
+from martenquay_daemon.dispatch import model, registry, request_progress
 
 if TYPE_CHECKING:
     from martenquay_daemon.callers import teams
@@ -141,8 +141,8 @@
         team: teams.KnownTeam,
         known: gate.KnownRoute,
         asked: chat.ChatRequest,
-        sink: journeys.TokenSink,
-    ) -> Result[journeys.Usage, results.Failure]:
+        sink: request_progress.TokenSink,
+    ) -> Result[request_progress.Usage, results.Failure]:
         """Wait for room, then generate the answer into a sink."""
         prompt = asked.build_prompt()
         cost = blocks.count_tokens(prompt) + asked.max_tokens
@@ -156,7 +156,7 @@
             permit = await self._admission.enter(ask)
             if permit.is_error():
                 return Error(permit.error)
-            request = journeys.ModelRequest(
+            request = request_progress.ModelRequest(
                 request_id,
                 self._partner,
                 known.route.pool,
@@ -178,7 +178,7 @@
         known: gate.KnownRoute,
         asked: chat.ChatRequest,
         sink: chat.StreamingSink,
-        usage: journeys.Usage,
+        usage: request_progress.Usage,
     ) -> None:
         caller.count(results.ResultCode.OK, known)
         labels = {"pool": known.route.pool}
--- a/packages/daemon/src/martenquay_daemon/dispatch/model.py
+++ b/packages/daemon/src/martenquay_daemon/dispatch/model.py
@@ -18,7 +18,7 @@
 from martenquay_core.config import objects
 from martenquay_core.runners import engine, orders
 from martenquay_core.util import blocks
-from martenquay_daemon.dispatch import journeys, relay
+from martenquay_daemon.dispatch import relay, request_progress
 from martenquay_daemon.routing import placement
 
 if TYPE_CHECKING:
@@ -62,7 +62,7 @@
         self._budget = budget
         self._requests = requests
         self._metrics = counters
-        self._live: dict[str, set[journeys.LiveStream]] = (
+        self._live: dict[str, set[request_progress.LiveStream]] = (
             collections.defaultdict(set)
         )
 
@@ -72,22 +72,26 @@
             stream.move()
 
     async def answer(
-        self, request: journeys.ModelRequest, sink: journeys.TokenSink
-    ) -> Result[journeys.Usage, results.Failure]:
+        self,
+        request: request_progress.ModelRequest,
+        sink: request_progress.TokenSink,
+    ) -> Result[request_progress.Usage, results.Failure]:
         """Generate the whole answer into a sink."""
-        usage = journeys.Usage(blocks.count_tokens(request.prompt))
+        usage = request_progress.Usage(blocks.count_tokens(request.prompt))
         self._budget.note_call()
         failure: results.Failure | None = None
         with trio.move_on_at(request.deadline) as limit:
             chain = blocks.chain_blocks(request.prompt)
-            journey = journeys.RequestProgress(request, sink, usage, chain)
+            journey = request_progress.RequestProgress(
+                request, sink, usage, chain
+            )
             failure = await self._try_runners(journey)
         if limit.cancelled_caught:
             failure = _explain_deadline(usage)
         return Error(failure) if failure else Ok(usage)
 
     async def _try_runners(
-        self, journey: journeys.RequestProgress
+        self, journey: request_progress.RequestProgress
     ) -> results.Failure | None:
         while True:
             chosen = self._place(journey)
@@ -103,19 +107,19 @@
             journey.left = None
             journey.excluded.add(chosen.runner.name)
             match end:
-                case journeys.Finished():
+                case request_progress.Finished():
                     return None
-                case journeys.Reclaimed():
+                case request_progress.Reclaimed():
                     journey.left = chosen.runner
                     journey.cause = "reclaimed"
-                case journeys.Lost(reason=reason):
+                case request_progress.Lost(reason=reason):
                     journey.cause = "lost"
                     await self._note_loss(
                         journey.request, chosen.runner, reason
                     )
 
     def _place(
-        self, journey: journeys.RequestProgress
+        self, journey: request_progress.RequestProgress
     ) -> placement.Placement | None:
         request, usage = journey.request, journey.usage
         return self._placer.place(
@@ -130,7 +134,9 @@
         )
 
     def _note_placement(
-        self, journey: journeys.RequestProgress, chosen: placement.Placement
+        self,
+        journey: request_progress.RequestProgress,
+        chosen: placement.Placement,
     ) -> None:
         request, cause = journey.request, journey.cause
         reason = chosen.explain()
@@ -154,7 +160,7 @@
 
     async def _note_loss(
         self,
-        request: journeys.ModelRequest,
+        request: request_progress.ModelRequest,
         runner: instances.Instance,
         reason: str,
     ) -> None:
@@ -166,11 +172,13 @@
         )
         self._ejector.note_failure(runner.name)
         if not self._budget.take_retry():
-            await trio.sleep(journeys.FIRST_BACK_OFF_S)
+            await trio.sleep(request_progress.FIRST_BACK_OFF_S)
 
     async def _attempt(
-        self, journey: journeys.RequestProgress, chosen: placement.Placement
-    ) -> journeys.AttemptEnd:
+        self,
+        journey: request_progress.RequestProgress,
+        chosen: placement.Placement,
+    ) -> request_progress.AttemptEnd:
         request, usage = journey.request, journey.usage
         runner = chosen.runner
         usage.attempts += 1
@@ -185,13 +193,13 @@
         )
         self._loads.note_placed(runner.name)
         service_s: float | None = None
-        end: journeys.AttemptEnd = journeys.Lost("given up")
+        end: request_progress.AttemptEnd = request_progress.Lost("given up")
         try:
             end = await self._stream(journey, chosen, order)
         except engine.StreamLostError as error:
-            end = journeys.Lost(str(error))
+            end = request_progress.Lost(str(error))
         finally:
-            if isinstance(end, journeys.Finished):
+            if isinstance(end, request_progress.Finished):
                 service_s = trio.current_time() - usage.started_at
                 self._ejector.note_success(runner.name)
             else:
@@ -201,10 +209,10 @@
 
     async def _stream(
         self,
-        journey: journeys.RequestProgress,
+        journey: request_progress.RequestProgress,
         chosen: placement.Placement,
         order: orders.GenerateOrder,
-    ) -> journeys.AttemptEnd:
+    ) -> request_progress.AttemptEnd:
         runner = chosen.runner
         sequence = relay.TokenOrder(
             order.request_id, order.attempt, len(order.generated)
@@ -216,13 +224,13 @@
             ) as stream,
             contextlib.aclosing(stream.iterate()) as events,
         ):
-            live = journeys.LiveStream(events)
+            live = request_progress.LiveStream(events)
             with self._register(runner.name, live):
                 while True:
                     event = await live.read()
                     match event:
                         case None:
-                            return journeys.Reclaimed()
+                            return request_progress.Reclaimed()
                         case _ if not sequence.is_own(event):
                             continue
                         case orders.StreamStarted():
@@ -232,11 +240,14 @@
                                 await self._pass_on(journey, text, opened)
                         case orders.StreamFinished(count=count):
                             if sequence.is_whole(count):
-                                return journeys.Finished()
-                            return journeys.Lost("tokens are missing")
+                                return request_progress.Finished()
+                            return request_progress.Lost("tokens are missing")
 
     async def _pass_on(
-        self, journey: journeys.RequestProgress, text: str, opened: float
+        self,
+        journey: request_progress.RequestProgress,
+        text: str,
+        opened: float,
     ) -> None:
         request, usage = journey.request, journey.usage
         if not usage.generated:
@@ -250,7 +261,7 @@
 
     def _note_started(
         self,
-        journey: journeys.RequestProgress,
+        journey: request_progress.RequestProgress,
         chosen: placement.Placement,
         event: orders.StreamStarted,
         opened: float,
@@ -275,7 +286,7 @@
 
     @contextlib.contextmanager
     def _register(
-        self, runner: str, live: journeys.LiveStream
+        self, runner: str, live: request_progress.LiveStream
     ) -> Iterator[None]:
         self._live[runner].add(live)
         try:
@@ -287,7 +298,7 @@
 
     async def _bring_cache(
         self,
-        journey: journeys.RequestProgress,
+        journey: request_progress.RequestProgress,
         source: instances.Instance,
         target: instances.Instance,
     ) -> None:
@@ -314,21 +325,21 @@
 
 
 def _choose_priority(
-    request: journeys.ModelRequest, chosen: placement.Placement
+    request: request_progress.ModelRequest, chosen: placement.Placement
 ) -> int:
     """Return the engine's priority; a lender's own requests come first."""
     borrowed = len(objects.Urgency) if chosen.is_borrowed else 0
     return request.urgency.rank + borrowed
 
 
-async def _wait_for_runner(journey: journeys.RequestProgress) -> None:
+async def _wait_for_runner(journey: request_progress.RequestProgress) -> None:
     """Wait, then try all runners again: the stream has begun."""
     journey.excluded.clear()
     await trio.sleep(journey.back_off_s)
     journey.back_off_s = min(journey.back_off_s * 2, _LONGEST_BACK_OFF_S)
 
 
-def _explain_deadline(usage: journeys.Usage) -> results.Failure:
+def _explain_deadline(usage: request_progress.Usage) -> results.Failure:
     if usage.attempts == 0:
         return results.Failure(
             results.ResultCode.NOT_RUN_DEADLINE,
@@ -341,7 +352,9 @@
     )
 
 
-def _explain_no_runner(request: journeys.ModelRequest) -> results.Failure:
+def _explain_no_runner(
+    request: request_progress.ModelRequest,
+) -> results.Failure:
     return results.Failure(
         results.ResultCode.NOT_RUN_NO_RUNNER,
         f"pool {request.pool} has no runner that may get work",
