--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -42,7 +42,7 @@
 __all__ = ["Announced", "FleetRecord", "ZoneDaemon"]
 
 _PACE = pace.ZONE_PACE
-# As in `unit_desk`, by which a real daemon asks.
+# As in `quota_client`, by which a real daemon asks.
 _HEDGE_S = 0.04
 _LONGEST_S = 0.2
 # As in `links`.
