--- a/bench/fleet_cost.py
+++ b/bench/fleet_cost.py
@@ -125,14 +125,14 @@
     cost = _measure_zone(size)
     if size <= topology.FULL_MESH + 1:
         pace = paces.MESH_PACE
-        told = cost.digest_bytes * (size - 1) / pace.own_s
+        told = cost.digest_bytes * (size - 1) / pace.digest_s
         sent = f"{told / 1000:.1f}"
         return [str(size), str(cost.digest_bytes), "-", sent, sent, *"----"]
     pace = paces.ZONE_PACE
     report_s = pace.find_report_s(cost.report_bytes)
     members = size // _ZONES
     hubs = 2
-    told = cost.digest_bytes * hubs / pace.own_s
+    told = cost.digest_bytes * hubs / pace.digest_s
     heard = cost.report_bytes * hubs / report_s
     hub_out = cost.report_bytes * members / report_s
     hub_out += cost.exchange_bytes * hubs * (_ZONES - 1) / report_s
--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -350,7 +350,7 @@
     async def _tell_units(self) -> None:
         """Tell others that keep units of those that are here."""
         while True:
-            with trio.move_on_after(self._find_pace().units_s):
+            with trio.move_on_after(self._find_pace().quota_update_s):
                 await self._units_wake.wait()
             self._units_wake = trio.Event()
             receivers = list(self._list_unit_keepers())
@@ -385,9 +385,9 @@
             if not is_mesh and self._zone.is_report_due(is_hurried=is_hurried):
                 self._report()
             self._ask_for_state()
-            await trio.sleep(pace.step_s)
+            await trio.sleep(pace.check_s)
             if is_mesh:
-                with trio.move_on_at(self._told_at + pace.own_s):
+                with trio.move_on_at(self._told_at + pace.digest_s):
                     await self._wake.wait()
 
     def _change_mode(self) -> None:
@@ -410,7 +410,7 @@
         return max(pace.silent_s, paces.LOST_REPORTS * self._zone.report_s)
 
     def _is_own_due(self, pace: paces.GossipIntervals) -> bool:
-        due_s = pace.min_interval_s if self._wake.is_set() else pace.own_s
+        due_s = pace.min_interval_s if self._wake.is_set() else pace.digest_s
         return trio.current_time() >= self._told_at + due_s
 
     def _tell_own(self) -> None:
--- a/tests/test_fleet/test_links.py
+++ b/tests/test_fleet/test_links.py
@@ -32,14 +32,14 @@
 
 _HANG_S = 30.0
 _PACE = pace.GossipIntervals(
-    own_s=0.02,
+    digest_s=0.02,
     min_interval_s=0.005,
-    step_s=0.005,
+    check_s=0.005,
     report_s=0.02,
-    longest_report_s=0.1,
+    max_report_s=0.1,
     report_bytes_per_s=1e6,
     silent_s=5.0,
-    units_s=0.02,
+    quota_update_s=0.02,
 )
 # The first ones have the best links.
 _MBPS = 100.0
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -237,7 +237,7 @@
         """Do what is due, several times a second."""
         now = trio.current_time()
         self._zone.select_peers(self._known.values())
-        if now >= self._told_at + _PACE.own_s:
+        if now >= self._told_at + _PACE.digest_s:
             self._tell_own(now)
         if self._zone.is_report_due(is_hurried=False):
             self._report()
@@ -357,7 +357,7 @@
                 self._reply(address, want.number, 0.5)
 
     def _tell_units(self, now: float) -> None:
-        due_s = _HURRY_S if self._is_hurried else _PACE.units_s
+        due_s = _HURRY_S if self._is_hurried else _PACE.quota_update_s
         if now < self._noted_at + due_s or not self._zone.is_quota_hub():
             return
         self._noted_at = now
