--- a/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
@@ -60,10 +60,10 @@
         store: The catalog in force.
         directory: The runners.
         contact: How fresh that is.
-        units: What teams may spend, told and heard.
+        quota_exchange: What teams may spend, told and heard.
         listed: Who announced themselves, and how far others know that.
         loads: What runs at runners.
-        runner_news: What runners say of themselves.
+        runner_report_gossip: What runners say of themselves.
         usage: Requests begun.
         meter: Tokens that engines have to read.
         estimates: How fast they are.
@@ -77,10 +77,10 @@
     store: catalog_store.CatalogStore
     directory: runner_directory.RunnerDirectory
     contact: contact.LogContact
-    units: quota_exchange.QuotaExchange
+    quota_exchange: quota_exchange.QuotaExchange
     listed: roster.Roster
     loads: loads.LoadLedger
-    runner_news: runner_report_gossip.RunnerReportGossip
+    runner_report_gossip: runner_report_gossip.RunnerReportGossip
     usage: usage_counts.UsageCounts
     meter: demand.DemandMeter
     estimates: model.RunnerModel
@@ -111,7 +111,7 @@
         log_age_s = min(sources.contact.age_s, _LONGEST_AGE_S)
         # Told as it is before this digest's own loan: that is for others that
         # go by fewer daemons to end first.
-        members_end = sources.units.find_members_end()
+        members_end = sources.quota_exchange.find_members_end()
         return messages.Digest(
             member=self._identity.member,
             instance=self._identity.instance,
@@ -125,7 +125,7 @@
             is_leaving=self.is_leaving,
             lease=sources.lease.create_status(),
             window=sources.usage.find_window(),
-            loan=sources.units.create_delegation(),
+            loan=sources.quota_exchange.create_delegation(),
             members_end=members_end,
             loads={
                 runner_id: messages.LoadEntry(load.requests, load.unread_tokens)
@@ -142,7 +142,7 @@
                 _write_order(rollout)
                 for rollout in sources.orders.list_recent()
             ],
-            runner_reports=sources.runner_news.create(is_hub=False),
+            runner_reports=sources.runner_report_gossip.create(is_hub=False),
         )
 
     def apply_digest(self, digest: messages.Digest) -> None:
@@ -172,13 +172,13 @@
         zones = [trial_lines.read_trials(one.trials) for one in report.zones]
         sources.trials.replace_source(_FLEET, trial_lines.add_trials(zones))
         self._take_orders(report.orders)
-        if sources.units.has_share_to_delegate():
+        if sources.quota_exchange.has_share_to_delegate():
             # Until it is lent, this daemon's part is of no use to anybody.
             sources.links.notify_soon()
 
     def change_mode(self) -> None:
         """Drop what was told in the other way."""
-        self._sources.units.forget_all()
+        self._sources.quota_exchange.forget_all()
         self._sources.listed.forget_times()
         self._sources.loads.forget_sources()
         self._sources.estimates.forget_sources()
@@ -186,7 +186,7 @@
 
     def end_member(self, member: str) -> None:
         """Drop what a daemon told that is gone for good."""
-        self._sources.units.forget(member)
+        self._sources.quota_exchange.forget(member)
         self._sources.loads.replace_source(member, {})
         self._sources.estimates.replace_source(member, {})
         self._sources.trials.replace_source(member, {})
