--- a/packages/daemon/src/martenquay_daemon/fleet/messages.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/messages.py
@@ -1,4 +1,4 @@
-"""Define what daemons of a fleet tell each other; msgpack with a tag each."""
+"""Define the msgpack messages that the daemons of a fleet exchange."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import msgspec
 
-# msgspec reads the annotations when the module is loaded.
+# msgspec evaluates the annotations when the module is loaded.
 from martenquay_daemon.discovery import runner_entries  # noqa: TC001
 
 __all__ = [
@@ -42,16 +42,16 @@
 ]
 
 
-# Before all usage windows: of those no counts have been told.
+# Earlier than any usage window: marks a summary without request counts.
 NO_WINDOW = 0
 
 
 class LoadEntry(msgspec.Struct, frozen=True, array_like=True):
-    """What a daemon has at a runner.
+    """Load that one daemon has at one runner.
 
     Attributes:
-        requests: Requests not answered to their end.
-        unread_tokens: Prompt tokens that the runner has still to read.
+        requests: Requests in progress.
+        unread_tokens: Prompt tokens that the runner has not prefilled yet.
     """
 
     requests: int
@@ -59,13 +59,14 @@
 
 
 class LimitEntry(msgspec.Struct, frozen=True, array_like=True):
-    """What a runner said of its limit.
+    """Rate limit that a runner reported in an answer.
 
     Attributes:
-        limit: Requests a second from all daemons; None if there is none now.
-        born_ms: Of the process that said so, as in the runner's entry.
-        sent_ms: Since the request was sent that it answered.
-        heard_ms: Since the answer came.
+        limit: Requests a second from all daemons; None if there is no limit.
+        born_ms: Start time of the reporting process, as in the runner's
+            entry.
+        sent_ms: Age of the answered request, from when it was sent.
+        heard_ms: Age of the answer, from when it was received.
     """
 
     limit: float | None
@@ -75,28 +76,28 @@
 
 
 class RunnerReports(msgspec.Struct, frozen=True, array_like=True):
-    """What runners have said of themselves in answers.
+    """Limits and drains that runners reported in answers.
 
     Attributes:
-        limits: What they said of their limits, by runner id.
-        leaving: Those that leave, with the start of the process that said so.
+        limits: Reported rate limits, by runner id.
+        leaving: Start time in ms of each process that reported that it is
+            draining, by runner id; None if unknown.
     """
 
     limits: dict[str, LimitEntry]
     leaving: dict[str, int | None]
 
 
-# What runners that are well say.
 NO_RUNNER_REPORTS = RunnerReports({}, {})
 
 
 class PrefillEntry(msgspec.Struct, frozen=True, array_like=True):
-    """What results say of how fast a service's engines read prompts.
+    """Regression sums of a service's prefill speed.
 
     Attributes:
-        results: How many first events count.
+        results: Number of times to first token in the sums.
         spread: As in `engines.model.PrefillSums`.
-        slowing_ms: The same, with times in milliseconds.
+        slowing_ms: As `slowing` there, with times in milliseconds.
     """
 
     results: int
@@ -105,13 +106,13 @@
 
 
 class RolloutOrderEntry(msgspec.Struct, frozen=True, array_like=True):
-    """An operator's order to move a service to a version.
+    """An operator's order to roll a service out to a version.
 
     Attributes:
-        service: The service.
-        version: The version.
-        duration_s: Within this it is to be decided.
-        offset: Of the order in the operators' topic.
+        service: Name of the service.
+        version: Version to roll out.
+        duration_s: Time limit for the decision.
+        offset: Offset of the order in the operators' topic.
     """
 
     service: str
@@ -121,14 +122,14 @@
 
 
 class TallyEntry(msgspec.Struct, frozen=True, array_like=True):
-    """What runners of one version, or of all others, answered on a route.
+    """Outcomes on one route of one side of a canary trial.
 
     Attributes:
         answers: Requests that were answered or broke off.
-        failures: Of these, those that failed.
-        timed: Good answers whose time was taken.
-        log_sum: Sum of the logarithms of their times in seconds.
-        log_squares: Sum of the squares of these.
+        failures: Failed requests among these.
+        timed: Successful answers with a measured latency.
+        log_sum: Sum of the logarithms of their latencies in seconds.
+        log_squares: Sum of the squares of these logarithms.
     """
 
     answers: int
@@ -139,11 +140,11 @@
 
 
 class TrialEntry(msgspec.Struct, frozen=True, array_like=True):
-    """What is known of a version on trial.
+    """Canary results of a service.
 
     Attributes:
-        order: The offset of the operator's order.
-        routes: What the old versions and this one answered, by route.
+        order: Offset of the operator's rollout order.
+        routes: Outcomes of the old versions and of the new one, by route.
     """
 
     order: int
@@ -151,12 +152,12 @@
 
 
 class LeaseStatus(msgspec.Struct, frozen=True, array_like=True):
-    """What the holder of the duties' lease tells candidates.
+    """State of the duties' lease, gossiped by its holder.
 
     Attributes:
-        fence: Its fence.
-        end: Where the lease's topic ends after its last record.
-        left_ms: How much longer it may act because of that record.
+        fence: Fencing token of the holder.
+        end: Offset after the last record of the lease's topic.
+        left_ms: Remaining validity of the lease.
     """
 
     fence: int
@@ -165,13 +166,13 @@
 
 
 class BalanceEntry(msgspec.Struct, frozen=True, array_like=True):
-    """What a daemon has of one team's units.
+    """Quota balance of one team at one daemon.
 
     Attributes:
-        level: Units that it may spend; less than 0 if it owes some.
-        asked: Units a second that callers ask it for.
-        needed: Units that it lacks for requests that wait there.
-        overdraft: How far below 0 its level may come.
+        level: Units that may be spent; negative if overdrawn.
+        asked: Demand in units a second.
+        needed: Units missing for requests that wait there.
+        overdraft: How far below 0 the level may go.
     """
 
     level: int
@@ -181,11 +182,11 @@
 
 
 class LotEntry(msgspec.Struct, frozen=True, array_like=True):
-    """Units that one daemon hands to another.
+    """Quota units with one expiry, in a transfer.
 
     Attributes:
-        units: How many.
-        life_ms: How much longer they may be spent.
+        units: Number of units.
+        life_ms: Time until they expire.
     """
 
     units: float
@@ -193,28 +194,28 @@
 
 
 class TransferEntry(msgspec.Struct, frozen=True, array_like=True):
-    """What one daemon hands to another.
+    """Quota transferred from one daemon to another.
 
     Attributes:
-        heard: The number of the receiver's last digest that the giver had;
-            lifetimes count from when that one was sent.
-        parcels: Units by team.
+        heard: Number of the receiver's last quota update that the sender had
+            received; the lots' lifetimes count from when it was sent.
+        lots: Transferred units, by team.
     """
 
     heard: int
-    parcels: dict[str, list[LotEntry]]
+    lots: dict[str, list[LotEntry]]
 
 
 class DelegationEntry(msgspec.Struct, frozen=True, array_like=True):
-    """Lend a part of all teams' rates.
+    """Time-limited delegation of a share of all teams' refill rates.
 
     Attributes:
-        receiver: The daemon that may use it.
-        heard: The number of the receiver's last report that the lender had;
-            times end counted from when that one was sent.
-        part: Of each rate.
-        starts_ms: From when on it may be used.
-        ends_ms: Until when it may be used.
+        receiver: Member id of the hub that may use the share.
+        heard: Number of the hub's last report that the sender had received;
+            `ends_ms` counts from when it was sent.
+        part: The delegated share, from 0 to 1.
+        starts_ms: Time until the delegation begins.
+        ends_ms: Time until the delegation ends.
     """
 
     receiver: str
@@ -225,32 +226,33 @@
 
 
 class Digest(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """What one daemon says of itself; a later one replaces it.
+    """State of one daemon; replaces its earlier digests.
 
     Attributes:
-        member: The daemon's id; a restarted process has a new one.
-        instance: Its instance.
+        member: Member id; each process of an instance has its own.
+        instance: Name of its instance.
         zone: Its availability zone.
-        address: Where its fleet link listens.
-        number: Counts its digests.
-        catalog_version: The version in force there.
-        runners_changed: Up to where the runners' entries are known to it;
-            entries that say nothing new do not count.
-        log_age_ms: Since the log last answered it.
-        capacity: Of its instance's link, in Mbit/s; the best ones are hubs.
-        is_leaving: It is stopping.
-        lease: What it tells if it holds the duties' lease.
-        window: The usage window that is now, by its clock.
-        loan: Its part of all teams' rates, if it lends that.
-        members_end: Up to where it has read who announced themselves, as far
-            as it goes by that.
-        loads: What it has at runners, by runner id.
-        begun: Requests begun, by window and team.
-        demand: Prompt tokens a second for engines to read, by service.
-        reading: What its results say of engines, by service.
-        trials: What versions on trial answered, by service.
-        orders: Orders that it has learnt of lately.
-        runner_reports: What runners have told it of themselves lately.
+        address: Address of its fleet link.
+        number: Sequence number of the digest.
+        catalog_version: Version of the catalog in force there.
+        runners_changed: Offset up to which it has applied changed runner
+            entries; mere heartbeats do not advance it.
+        log_age_ms: Time since the log last answered it.
+        capacity: Bandwidth of its instance's link in Mbit/s; the daemons
+            with the most are elected hubs.
+        is_leaving: It is shutting down.
+        lease: State of the duties' lease, if it holds the lease.
+        window: Number of the current usage window, by its clock.
+        loan: Delegation of its share of the teams' refill rates, if any.
+        members_end: Offset up to which its own share accounts for the
+            members' announcements.
+        loads: Its load at runners, by runner id.
+        begun: Requests started, by usage window and team.
+        demand: Prompt tokens a second sent for prefill, by service.
+        reading: Prefill sums of its results, by service.
+        trials: Canary results, by service.
+        orders: Rollout orders that it has learnt of recently.
+        runner_reports: Limits and drains that runners reported to it.
     """
 
     member: str
@@ -277,34 +279,35 @@
 
 
 class ZoneSummary(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """What the daemons of a zone say together; a later one replaces it.
+    """Aggregated digests of a zone; replaces the hub's earlier summaries.
 
     Attributes:
         zone: The availability zone.
-        hub: The daemon that added it up.
-        instance: That daemon's instance.
-        address: Where that daemon's fleet link listens.
-        number: Counts the hub's summaries.
-        daemons: How many it heard and added up.
-        catalog_version: The version in force at the hub.
+        hub: Member id of the hub that aggregated it.
+        instance: Name of the hub's instance.
+        address: Address of the hub's fleet link.
+        number: Sequence number of the summary.
+        daemons: Number of daemons in the sums.
+        catalog_version: Version of the catalog in force at the hub.
         runners_changed: As in the hub's digest.
-        runners_age_ms: Since the hub had all of the runners' entries.
-        log_age_ms: Since the log last answered the hub.
-        lease: What the lease's holder tells, if it is one of them.
-        lease_member: That holder.
-        leaving: Members that are stopping.
-        window: The earliest usage window that is now for one of them;
+        runners_age_ms: Time since the hub's runner entries were known to be
+            complete.
+        log_age_ms: Time since the log last answered the hub.
+        lease: State of the duties' lease, if a daemon of the zone holds it.
+        lease_member: Member id of the lease's holder.
+        leaving: Member ids of the daemons that are shutting down.
+        window: Earliest current usage window of the zone's daemons;
             `NO_WINDOW` where `begun` is left out.
-        members_end: Up to where all of the zone's listed daemons have read
-            who announced themselves, as far as the hub has heard.
-        begun: Requests begun, by window and team; empty for daemons that
-            cannot need it.
-        demand: Prompt tokens a second for engines to read, by service; empty
-            for daemons that cannot need it.
-        reading: What the zone's results say of engines, by service; empty in
+        members_end: Least offset up to which the zone's listed daemons
+            account for announcements, as far as the hub knows.
+        begun: Requests started, by usage window and team; empty for
+            receivers that do not need it.
+        demand: Prompt tokens a second sent for prefill, by service; empty
+            for receivers that do not need it.
+        reading: Prefill sums of the zone's results, by service; empty in
             reports, which hold the sum over all zones.
-        trials: What versions on trial answered, by service; empty for daemons
-            that cannot need it.
+        trials: Canary results, by service; empty for receivers that do not
+            need them.
     """
 
     zone: str
@@ -329,22 +332,22 @@
 
 
 class DigestMessage(msgspec.Struct, frozen=True, array_like=True, tag="d"):
-    """What a daemon tells of itself.
+    """A daemon's digest, sent to its hubs or, in a mesh, to all daemons.
 
     Attributes:
-        digest: Its newest digest.
+        digest: The sender's newest digest.
     """
 
     digest: Digest
 
 
 class ZoneExchange(msgspec.Struct, frozen=True, array_like=True, tag="x"):
-    """What a hub tells the hubs of other zones.
+    """State of a zone, sent by its hub to the hubs of other zones.
 
     Attributes:
-        summary: Of its own zone.
-        loads: What its zone's daemons have at runners, by runner id.
-        runner_reports: What it knows of what runners say of themselves.
+        summary: Summary of the sender's zone.
+        loads: Load of the zone's daemons at runners, by runner id.
+        runner_reports: Limits and drains of runners known to the hub.
     """
 
     summary: ZoneSummary
@@ -353,19 +356,19 @@
 
 
 class FleetReport(msgspec.Struct, frozen=True, array_like=True, tag="r"):
-    """What a hub tells a daemon of its zone.
+    """State of the fleet, sent by a hub to a daemon of its zone.
 
     Attributes:
-        hub: The daemon that tells it.
-        zones: Summaries of all zones; that of their own does not count the
-            receiver in.
-        loads: What all other daemons have at runners, by runner id.
-        heard: The number of the receiver's last digest that the hub had; 0
-            if it had none.
-        number: Counts the hub's rounds of reports.
-        reading: What all other daemons' results say of engines, by service.
-        orders: Orders that the hub has learnt of lately.
-        runner_reports: What it knows of what runners say of themselves.
+        hub: Member id of the hub.
+        zones: Summaries of all zones, that of the own zone first and without
+            the receiver.
+        loads: Load of all other daemons at runners, by runner id.
+        heard: Number of the receiver's last digest that the hub had; 0 if it
+            had none.
+        number: Sequence number of the hub's round of reports.
+        reading: Prefill sums of all other daemons, by service.
+        orders: Rollout orders that the hub has learnt of recently.
+        runner_reports: Limits and drains of runners known to the hub.
     """
 
     hub: str
@@ -379,12 +382,12 @@
 
 
 class PeerEntry(msgspec.Struct, frozen=True, array_like=True):
-    """Where a daemon is.
+    """Address of a daemon.
 
     Attributes:
-        address: Its fleet link.
-        zone: Its availability zone; empty if not known.
-        capacity: As in its digest.
+        address: Address of its fleet link.
+        zone: Its availability zone; empty if unknown.
+        capacity: Link bandwidth in Mbit/s, as in its digest.
     """
 
     address: str
@@ -393,12 +396,12 @@
 
 
 class StateRequest(msgspec.Struct, frozen=True, array_like=True, tag="w"):
-    """Ask for what the sender cannot read from the log now.
+    """Request for the catalog and runner entries that the sender lacks.
 
     Attributes:
-        catalog_version: The version that the sender has.
-        runners_end: How far it knows the runners' entries.
-        number: Counts the sender's questions.
+        catalog_version: Version of the catalog in force at the sender.
+        runners_end: Offset up to which the sender has the runner entries.
+        number: Number of the request, unique for the sender.
     """
 
     catalog_version: int
@@ -407,18 +410,20 @@
 
 
 class StateReply(msgspec.Struct, frozen=True, array_like=True, tag="s"):
-    """Answer `StateRequest` with what the asker lacks.
+    """Answer to a `StateRequest`, with what the requester lacks.
 
     Attributes:
-        catalog: The record of the version in force, compressed; empty if the
-            asker's is as new.
-        runners_end: How far the sender knows the runners' entries.
-        runners: The entries that have changed since.
-        runner_ids: The ids of all runners that there are.
-        peers: Other daemons.
-        runners_age_ms: Since the sender had all of the runners' entries.
-        regained_ms: Since the sender had the log again after an outage.
-        number: Of the question.
+        catalog: Compressed record of the catalog in force; empty if the
+            requester's is as new.
+        runners_end: Offset up to which the sender has the runner entries.
+        runners: Entries that changed since the requester's offset.
+        runner_ids: Ids of all runners that have an entry.
+        peers: Addresses of other daemons.
+        runners_age_ms: Time since the sender's runner entries were known to
+            be complete.
+        regained_ms: Time since the log answered the sender again after an
+            outage.
+        number: Number of the request.
     """
 
     catalog: bytes
@@ -432,33 +437,33 @@
 
 
 class QuotaUpdate(msgspec.Struct, frozen=True, array_like=True, tag="u"):
-    """Tell another daemon that keeps units of one's own.
+    """Quota balances and transfers, sent to other daemons that hold quota.
 
     Attributes:
-        member: Who tells it.
-        address: Its fleet link.
-        number: Counts its notes.
-        pools: Units that it may spend, by team.
-        gifts: Units that it hands to others, by member.
+        member: Member id of the sender.
+        address: Address of the sender's fleet link.
+        number: Sequence number of the update.
+        balances: The sender's balances, by team.
+        transfers: Quota handed to other daemons, by their member id.
     """
 
     member: str
     address: str
     number: int
-    pools: dict[str, BalanceEntry]
-    gifts: dict[str, TransferEntry]
+    balances: dict[str, BalanceEntry]
+    transfers: dict[str, TransferEntry]
 
 
 class QuotaRequest(msgspec.Struct, frozen=True, array_like=True, tag="q"):
-    """Ask a daemon that keeps units to spend some for a request.
+    """Request to a daemon that holds quota to spend some.
 
     Attributes:
-        number: Counts the sender's questions.
-        team: Whose units.
-        units: How many.
-        reserve: Steps of urgency to leave room for.
-        is_late: The answer cannot be on time any more.
-        is_redirected: Another daemon has named the receiver.
+        number: Number of the request, unique for the sender.
+        team: Name of the team whose quota is to be spent.
+        units: Units to spend.
+        reserve: Priority levels to leave room for; 0 for the most urgent.
+        is_late: The caller's deadline cannot be met any more.
+        is_redirected: Another daemon has named the receiver as holder.
     """
 
     number: int
@@ -470,31 +475,31 @@
 
 
 class QuotaVerdict(enum.IntEnum):
-    """What a daemon answers that was asked for units."""
+    """Outcome of a quota request."""
 
     GRANTED = 0
     REFUSED = 1
-    # There will be another answer within a moment.
+    # The receiver waits for transfers; a second reply follows.
     WAITING = 2
-    # It has no part of the rates now, so another one is to be asked.
+    # The receiver holds no share of the rates; the sender asks another hub.
     PASSED = 3
-    # Another daemon has the units that are missing here.
+    # The reply names another daemon that holds the missing units.
     REDIRECTED = 4
 
 
 class QuotaReply(msgspec.Struct, frozen=True, array_like=True, tag="a"):
-    """Answer `QuotaRequest`.
+    """Answer to a `QuotaRequest`.
 
     Attributes:
-        number: Of the question.
-        verdict: The answer.
-        retry_s: When the caller should come back, if it is refused.
-        holder: The address to ask, if it is redirected.
-        member: Who decided.
-        there: Units that may be spent there.
-        owed: Units that were spent there before they came.
-        part: Of the team's rate that comes there.
-        asked: Units a second that are asked for there.
+        number: Number of the request.
+        verdict: Outcome of the request.
+        retry_s: When the caller should retry, if the request is refused.
+        holder: Address of the daemon to ask, if redirected.
+        member: Member id of the daemon that decided.
+        there: Units that may be spent at that daemon.
+        owed: Overdrawn units at that daemon.
+        part: Share of the team's refill rate that it uses.
+        asked: Demand there, in units a second.
     """
 
     number: int
@@ -524,14 +529,14 @@
 
 
 def encode_message(message: FleetMessage) -> bytes:
-    """Return the message's bytes."""
+    """Return the msgpack bytes of a message."""
     return _ENCODER.encode(message)
 
 
 def decode_message(raw: bytes) -> FleetMessage:
-    """Return the message.
+    """Return the message that msgpack bytes hold.
 
     Raises:
-        msgspec.MsgspecError: The bytes hold none.
+        msgspec.MsgspecError: The bytes are no message of a known type.
     """
     return _DECODER.decode(raw)
--- a/packages/daemon/src/martenquay_daemon/fleet/pace.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/pace.py
@@ -1,4 +1,4 @@
-"""Say how often daemons tell each other of themselves."""
+"""Define the intervals at which daemons gossip."""
 
 from __future__ import annotations
 
@@ -9,17 +9,19 @@
 
 @dataclasses.dataclass(frozen=True)
 class GossipIntervals:
-    """How often a daemon tells of itself and, as a hub, of the others.
+    """Intervals of a daemon's digests and, as a hub, of its reports.
 
     Attributes:
-        digest_s: Between two digests of its own.
-        min_interval_s: The least time between two, for news that cannot wait.
-        check_s: Between two looks at what there is to do.
-        report_s: Between two reports of a hub, at the least.
-        max_report_s: The same, however large reports are.
-        report_bytes_per_s: What a daemon may be sent by a hub.
-        silent_s: Without news for so long, a daemon or zone is silent.
-        quota_update_s: Between two notes on the units that it keeps.
+        digest_s: Interval between digests.
+        min_interval_s: Least interval between digests, if one is sent early.
+        check_s: Interval between checks for messages that are due.
+        report_s: Least interval between a hub's reports.
+        max_report_s: Greatest interval between a hub's reports.
+        report_bytes_per_s: Rate limit of a hub's reports to one daemon, as
+            far as `max_report_s` allows.
+        silent_s: Time without messages after which a daemon or zone counts
+            as silent.
+        quota_update_s: Interval between quota updates.
     """
 
     digest_s: float
@@ -32,13 +34,13 @@
     quota_update_s: float
 
     def find_report_s(self, size: int) -> float:
-        """Return the time between reports of a size in bytes."""
+        """Return the interval between reports of a size in bytes."""
         wanted_s = max(self.report_s, size / self.report_bytes_per_s)
         return min(self.max_report_s, wanted_s)
 
 
-# In a full mesh a digest takes one step, and four may be lost. There are no
-# reports.
+# A mesh has no reports; the report fields are unused there. Four digests may be
+# lost in a row before a daemon counts as silent.
 MESH_PACE = GossipIntervals(
     digest_s=0.25,
     min_interval_s=0.04,
@@ -49,8 +51,8 @@
     silent_s=1.2,
     quota_update_s=0.25,
 )
-# Over hubs it takes three. The users allow 5 KB/s for control; a daemon's own
-# digests take the rest. A large fleet is reported on less often.
+# Reports and the daemon's own digests together stay below the 5 KB/s per daemon
+# that control traffic may use.
 ZONE_PACE = GossipIntervals(
     digest_s=0.5,
     min_interval_s=0.15,
@@ -61,5 +63,6 @@
     silent_s=2.0,
     quota_update_s=0.4,
 )
-# Of a hub's reports so many may be lost before its zone counts as silent.
+# Consecutive reports of a hub that may be lost before its zone counts as
+# silent.
 LOST_REPORTS = 4
--- a/packages/daemon/src/martenquay_daemon/fleet/quota_client.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/quota_client.py
@@ -1,7 +1,8 @@
-"""Ask the daemons that keep units whether a request may spend some.
+"""Ask the hubs that hold a team's quota to spend some for a request.
 
-An answer that is lost or late loses the units that it grants; nobody has them
-twice. So others can be asked as well when one does not answer at once.
+Hubs are asked with hedging. A reply that is lost or late loses the units that
+it grants, but never grants them twice, so a second hub may be asked while the
+first one is silent.
 """
 
 from __future__ import annotations
@@ -19,59 +20,57 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-__all__ = ["QuotaTransport", "QuotaClient"]
+__all__ = ["QuotaClient", "QuotaTransport"]
 
 _LOG = logs.create_log("allowances")
-# A keeper in the zone answers in 1 to 5 ms; one that has not by now is busy or
-# gone, and the next one is asked beside it.
+# The next hub is asked after this time without a reply.
 _HEDGE_S = 0.04
-# A grant that comes later is not used: its units would reach a runner later
-# than the bound's reckoning allows for.
-_LONGEST_S = 0.2
-# Of that, a keeper may wait for units of other keepers.
+# A later grant is not used: its units would reach a runner later than the
+# tolerance bounds allow for.
+_TIMEOUT_S = 0.2
+# Part of the timeout for which a hub may wait for transfers.
 HUB_WAIT_S = 0.12
-# By so much a timer may be late on a busy instance.
-_LATE_S = 0.03
-# A new link comes up within 5 to 20 ms.
-_LINK_S = 0.01
-# What a caller is told whose request has waited for units in vain.
-_NO_UNITS_S = 0.5
-# So many are asked at the most, both hubs of the zone and two others; more
-# cost units, for each may grant some.
-_MOST_ASKED = 4
-# A keeper that did not answer is asked after the others for so long.
-_DOUBTED_S = 1.0
-# A daemon that has just started hears of its zone's keepers within this time.
-_FIRST_KEEPER_S = 0.3
-# Between two looks for the first one.
-_LOOK_S = 0.03
+# Allows for timers that fire late on a busy instance.
+_TIMER_DELAY_S = 0.03
+# Pause before a message is sent again over a link that is being set up.
+_LINK_RETRY_S = 0.01
+# Retry time for a caller whose request got no units within the timeout.
+_NO_UNITS_RETRY_S = 0.5
+# Each further hub may grant the units once more, which wastes them.
+_MAX_HUBS = 4
+# How long a hub that did not reply is asked last.
+_SUSPECT_S = 1.0
+# How long to wait for the first hub after a start.
+_FIRST_HUB_WAIT_S = 0.3
+_FIRST_HUB_CHECK_S = 0.03
 
 
 class QuotaTransport(Protocol):
-    """How keepers are reached."""
+    """Access to the daemons that hold quota."""
 
     def holds_own_quota(self) -> bool:
-        """Tell whether this daemon keeps the units that it needs itself."""
+        """Return whether this daemon holds the quota that it needs."""
 
     def list_quota_hubs(self) -> list[str]:
-        """Return the addresses of those to ask, the first choice first."""
+        """Return the addresses to ask, by preference."""
 
     def send_to(self, address: str, raw: bytes) -> bool:
-        """Send a message; tell whether it is on its way."""
+        """Send a message; return whether it was sent."""
 
 
 @dataclasses.dataclass
-class _Ask:
-    """One question until it is answered.
+class _PendingRequest:
+    """State of a quota request until it is decided.
 
     Attributes:
-        first: The keeper whose refusal is final: it has this zone's units.
-        reply: The answer, once it is known.
-        refusal: What another one has said.
-        is_waiting: A keeper has said that it will answer.
-        holder: Who has the units, if a keeper has said so.
-        passed: How many have said that they keep none.
-        news: Set with each answer; then another one is made.
+        first: Address of the hub whose refusal is final, because it holds
+            this zone's quota.
+        reply: The deciding reply.
+        refusal: A refusal by another hub, used if no reply decides.
+        is_waiting: A hub has replied that it waits for transfers.
+        holder: Address of the daemon to ask that a hub has named, if any.
+        passed: Number of hubs that hold no quota or are not linked yet.
+        news: Set at each reply and then replaced.
     """
 
     first: str = ""
@@ -82,12 +81,12 @@
     passed: int = 0
     news: trio.Event = dataclasses.field(default_factory=trio.Event)
 
-    def is_known(self) -> bool:
-        """Tell whether nobody else is to be asked."""
+    def needs_no_hedging(self) -> bool:
+        """Return whether no further hub is to be asked."""
         return self.reply is not None or self.is_waiting or bool(self.holder)
 
-    def take(self, source: str, reply: messages.QuotaReply) -> None:
-        """Take one keeper's answer."""
+    def apply_reply(self, source: str, reply: messages.QuotaReply) -> None:
+        """Process one hub's reply."""
         match reply.verdict:
             case messages.QuotaVerdict.GRANTED:
                 self.reply = reply
@@ -105,155 +104,165 @@
         self.news = trio.Event()
 
 
-def _ignore(outcome: str, took_s: float) -> None:
+def _ignore_outcome(outcome: str, took_s: float) -> None:
     del outcome, took_s
 
 
 class QuotaClient:
-    """Implement `gate.QuotaHolders` by asking over the links.
+    """Implement `gate.QuotaHolders` by requests to quota hubs.
 
     Attributes:
-        observe: Told the outcome of each question and the seconds that it
-            took.
+        observe: Called with the outcome and the duration in seconds of each
+            request.
     """
 
-    def __init__(self, ways: QuotaTransport) -> None:
-        self.observe: Callable[[str, float], None] = _ignore
-        self._ways = ways
-        self._asks: dict[int, _Ask] = {}
+    def __init__(self, transport: QuotaTransport) -> None:
+        self.observe: Callable[[str, float], None] = _ignore_outcome
+        self._transport = transport
+        self._pending: dict[int, _PendingRequest] = {}
         self._number = 0
-        self._doubted: dict[str, float] = {}
+        self._suspect_until: dict[str, float] = {}
 
     def holds_quota_here(self) -> bool:
-        """Tell whether this daemon keeps the units that it needs itself."""
-        return self._ways.holds_own_quota()
+        """Return whether this daemon holds the quota that it needs."""
+        return self._transport.holds_own_quota()
 
     async def ask(
-        self, team: str, wish: terms.AdmissionRequest
+        self, team: str, admission: terms.AdmissionRequest
     ) -> terms.AdmissionDecision | None:
-        """Return a keeper's answer, or None if none comes in time.
+        """Return a hub's decision, or None if no hub replies in time.
 
-        While all daemons take in a large configuration, or start, keepers
-        answer late or have no parts yet; then the question is put again.
+        The request is repeated until `max_wait_s` is over: hubs reply late
+        while they apply a large catalog, and after a start they may not hold
+        shares of the refill rates yet.
         """
-        end = trio.current_time() + wish.max_wait_s
+        end = trio.current_time() + admission.max_wait_s
         while True:
-            keepers = await self._find_keepers()
-            answer = await self._ask_once(team, wish, keepers)
-            if answer is not None or trio.current_time() >= end:
-                return answer
+            hubs = await self._find_hubs()
+            decision = await self._ask_once(team, admission, hubs)
+            if decision is not None or trio.current_time() >= end:
+                return decision
 
     async def ask_address(
-        self, address: str, team: str, wish: terms.AdmissionRequest
+        self, address: str, team: str, admission: terms.AdmissionRequest
     ) -> terms.AdmissionDecision | None:
-        """Return one daemon's answer, or None if it says nothing."""
-        return await self._ask_once(team, wish, [address], is_redirected=True)
+        """Return one daemon's decision, or None if it does not reply."""
+        return await self._ask_once(
+            team, admission, [address], is_redirected=True
+        )
 
     def apply_reply(self, source: str, reply: messages.QuotaReply) -> None:
-        """Take a keeper's answer; one that nobody waits for is dropped."""
-        one = self._asks.get(reply.number)
-        if one is not None and one.reply is None:
-            one.take(source, reply)
+        """Process a hub's reply; drop it if its request is decided."""
+        pending = self._pending.get(reply.number)
+        if pending is not None and pending.reply is None:
+            pending.apply_reply(source, reply)
 
     async def _ask_once(
         self,
         team: str,
-        wish: terms.AdmissionRequest,
-        keepers: list[str],
+        admission: terms.AdmissionRequest,
+        hubs: list[str],
         *,
         is_redirected: bool = False,
     ) -> terms.AdmissionDecision | None:
         self._number += 1
         number = self._number
-        asked_at = trio.current_time()
-        want = messages.QuotaRequest(
+        started_at = trio.current_time()
+        request = messages.QuotaRequest(
             number,
             team,
-            wish.units,
-            wish.reserve,
-            wish.is_late,
+            admission.units,
+            admission.reserve,
+            admission.is_late,
             is_redirected,
         )
-        one = self._asks[number] = _Ask(keepers[0] if keepers else "")
+        pending = self._pending[number] = _PendingRequest(
+            hubs[0] if hubs else ""
+        )
         try:
-            with trio.move_on_at(asked_at + _LONGEST_S):
-                await self._ask_each(keepers, one, want)
+            with trio.move_on_at(started_at + _TIMEOUT_S):
+                await self._ask_hubs(hubs, pending, request)
         finally:
-            del self._asks[number]
-        took_s = trio.current_time() - asked_at
-        reply = one.reply or one.refusal
-        if reply is None and one.is_waiting:
-            # It has not got the units; to wait again would only hold it up.
-            return terms.AdmissionDecision(_NO_UNITS_S)
-        # A process that was stopped meanwhile finds an old answer.
-        if reply is None or took_s > _LONGEST_S + _LATE_S:
-            self._note_silence(team, keepers, took_s)
+            del self._pending[number]
+        took_s = trio.current_time() - started_at
+        reply = pending.reply or pending.refusal
+        if reply is None and pending.is_waiting:
+            # The hub lacks the units; asking again would only add a delay.
+            return terms.AdmissionDecision(_NO_UNITS_RETRY_S)
+        # A process that was suspended meanwhile receives an outdated reply.
+        if reply is None or took_s > _TIMEOUT_S + _TIMER_DELAY_S:
+            self._note_timeout(team, hubs, took_s)
             return None
         self.observe(reply.verdict.name.lower(), took_s)
         return _read_reply(reply)
 
-    async def _find_keepers(self) -> list[str]:
-        """Return whom to ask; wait a moment for the first one."""
-        with trio.move_on_after(_FIRST_KEEPER_S):
-            while not self._ways.list_quota_hubs():
-                await trio.sleep(_LOOK_S)
+    async def _find_hubs(self) -> list[str]:
+        """Return the hubs to ask, after a short wait for the first one."""
+        with trio.move_on_after(_FIRST_HUB_WAIT_S):
+            while not self._transport.list_quota_hubs():
+                await trio.sleep(_FIRST_HUB_CHECK_S)
         now = trio.current_time()
-        keepers = self._ways.list_quota_hubs()[:_MOST_ASKED]
-        # Those in doubt last, the others as they are.
-        keepers.sort(key=lambda one: self._doubted.get(one, 0.0) > now)
-        return keepers
+        hubs = self._transport.list_quota_hubs()[:_MAX_HUBS]
+        # Suspect hubs last; the sort is stable for the others.
+        hubs.sort(key=lambda hub: self._suspect_until.get(hub, 0.0) > now)
+        return hubs
 
-    async def _ask_each(
-        self, keepers: list[str], one: _Ask, want: messages.QuotaRequest
+    async def _ask_hubs(
+        self,
+        hubs: list[str],
+        pending: _PendingRequest,
+        request: messages.QuotaRequest,
     ) -> None:
-        """Ask one keeper after the other until one answers."""
-        raw = messages.encode_message(want)
+        """Ask hubs one after the other until a reply decides."""
+        raw = messages.encode_message(request)
         unlinked = []
-        for asked, address in enumerate(keepers, 1):
-            if not self._ways.send_to(address, raw):
-                # The first question there has the link made.
+        for asked, address in enumerate(hubs, 1):
+            if not self._transport.send_to(address, raw):
+                # The attempt has created the link; it is up a moment later.
                 unlinked.append(address)
-                one.passed += 1
+                pending.passed += 1
                 continue
             with trio.move_on_after(_HEDGE_S):
-                while one.passed < asked and not one.is_known():
-                    await one.news.wait()
-            if one.is_known():
+                while pending.passed < asked and not pending.needs_no_hedging():
+                    await pending.news.wait()
+            if pending.needs_no_hedging():
                 break
-            if one.passed < asked:
-                self._doubted[address] = trio.current_time() + _DOUBTED_S
-        while one.reply is None:
-            if one.holder:
-                await self._follow(one, want)
-            if not one.is_known():
+            if pending.passed < asked:
+                self._suspect_until[address] = trio.current_time() + _SUSPECT_S
+        while pending.reply is None:
+            if pending.holder:
+                await self._ask_holder(pending, request)
+            if not pending.needs_no_hedging():
                 unlinked = [
-                    a for a in unlinked if not self._ways.send_to(a, raw)
+                    address
+                    for address in unlinked
+                    if not self._transport.send_to(address, raw)
                 ]
-            with trio.move_on_after(_LINK_S if unlinked else _LONGEST_S):
-                await one.news.wait()
-
-    async def _follow(self, one: _Ask, want: messages.QuotaRequest) -> None:
-        """Ask the daemon that a keeper has named."""
-        holder, one.holder = one.holder, ""
-        again = msgspec.structs.replace(want, is_redirected=True)
-        raw = messages.encode_message(again)
-        while not self._ways.send_to(holder, raw):
-            await trio.sleep(_LINK_S)
-
-    def _note_silence(
-        self, team: str, keepers: list[str], took_s: float
+            with trio.move_on_after(_LINK_RETRY_S if unlinked else _TIMEOUT_S):
+                await pending.news.wait()
+
+    async def _ask_holder(
+        self, pending: _PendingRequest, request: messages.QuotaRequest
     ) -> None:
+        """Ask the daemon that a hub has named as holder."""
+        holder, pending.holder = pending.holder, ""
+        redirected = msgspec.structs.replace(request, is_redirected=True)
+        raw = messages.encode_message(redirected)
+        while not self._transport.send_to(holder, raw):
+            await trio.sleep(_LINK_RETRY_S)
+
+    def _note_timeout(self, team: str, hubs: list[str], took_s: float) -> None:
         self.observe("unanswered", took_s)
         _LOG.write(
             f"No keeper of units answers for team {team}.",
             team=team,
-            keepers=keepers,
+            keepers=hubs,
             took_ms=round(took_s * 1000),
         )
 
 
 def _read_reply(reply: messages.QuotaReply) -> terms.AdmissionDecision:
-    units = terms.QuotaStatus(reply.there, reply.owed, reply.part, reply.asked)
+    status = terms.QuotaStatus(reply.there, reply.owed, reply.part, reply.asked)
     is_granted = reply.verdict is messages.QuotaVerdict.GRANTED
     retry_s = 0.0 if is_granted else reply.retry_s
-    return terms.AdmissionDecision(retry_s, units, reply.member)
+    return terms.AdmissionDecision(retry_s, status, reply.member)
--- a/packages/daemon/src/martenquay_daemon/fleet/quota_exchange.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/quota_exchange.py
@@ -1,4 +1,4 @@
-"""Tell other daemons of the units kept here, and take in theirs."""
+"""Exchange quota balances, transfers and rate delegations between daemons."""
 
 from __future__ import annotations
 
@@ -26,243 +26,274 @@
 
 _Verdict = messages.QuotaVerdict
 _MS = 1000
-# Some of a zone's daemons may be gone, or lend to another hub.
-_MOST_PARTS = 0.8
-# The others lend within this time of a common start, or of a keeper's loss.
-_LENT_WITHIN_S = 2.5
+# Below 1, as some daemons of a zone may be down or delegate to another hub.
+_MIN_ZONE_FRACTION = 0.8
+# Within this time of a common start or of the loss of a hub, live daemons have
+# delegated their shares.
+_DELEGATED_WITHIN_S = 2.5
 
 
 class QuotaExchange:
-    """What this daemon tells and hears of teams' units."""
+    """Sends and receives quota balances, transfers and delegations."""
 
     def __init__(
         self,
         member: str,
         zone: str,
         store: catalog_store.CatalogStore,
-        units: quota_ledger.QuotaLedger,
+        ledger: quota_ledger.QuotaLedger,
         decider: gate.AllowanceGate,
         listed: roster.Roster,
         members: keyed_follower.KeyedFollower,
         fleet_links: links.FleetLinks,
     ) -> None:
+        """Create the exchange.
+
+        Args:
+            member: Member id of this daemon.
+            zone: Its availability zone.
+            store: The catalog, which lists the teams.
+            ledger: The teams' quota here.
+            decider: Waits for transfers on behalf of requests.
+            listed: The instances that have announced themselves.
+            members: Follows the topic of announcements.
+            fleet_links: Links to other daemons.
+        """
         self._member = member
         self._zone = zone
         self._store = store
-        self._units = units
+        self._ledger = ledger
         self._gate = decider
         self._roster = listed
         self._members = members
         self._links = fleet_links
         self._number = 0
-        self._told = send_times.SendTimes()
-        self._told_end = 0
+        self._update_times = send_times.SendTimes()
+        self._members_end = 0
         self._lacking_since = math.inf
 
     def create_note(self) -> messages.QuotaUpdate:
-        """Return what to tell others that keep units."""
+        """Return the next update for other daemons that hold quota."""
         self._number += 1
-        self._told.note(self._number)
+        self._update_times.note(self._number)
         teams = self._store.table.catalog.teams
-        self._units.refill(teams)
-        gifts = self._units.create_transfers(teams)
+        self._ledger.refill(teams)
+        transfers = self._ledger.create_transfers(teams)
         return messages.QuotaUpdate(
             self._member,
             self._links.address,
             self._number,
-            self._list_pools(),
-            {member: _tell_gift(gift) for member, gift in gifts.items()},
+            self._list_balances(),
+            {
+                member: _encode_transfer(transfer)
+                for member, transfer in transfers.items()
+            },
         )
 
-    def apply_update(self, note: messages.QuotaUpdate) -> None:
-        """Take what another daemon says of its units and hands over."""
-        holdings = {
+    def apply_update(self, update: messages.QuotaUpdate) -> None:
+        """Process another daemon's balances and accept its transfers."""
+        balances = {
             team: sharing.QuotaBalance(
-                line.level, line.asked, line.needed, line.overdraft
+                entry.level, entry.asked, entry.needed, entry.overdraft
             )
-            for team, line in note.pools.items()
+            for team, entry in update.balances.items()
         }
-        self._units.apply_balances(
-            note.member, note.number, holdings, note.address
+        self._ledger.apply_balances(
+            update.member, update.number, balances, update.address
         )
-        line = note.gifts.get(self._member)
-        if line is None:
+        entry = update.transfers.get(self._member)
+        if entry is None:
             return
-        told_at = self._told.find(line.heard)
-        if told_at is not None:
-            self._units.accept_transfer(_read_gift(line), told_at)
+        sent_at = self._update_times.find(entry.heard)
+        if sent_at is not None:
+            self._ledger.accept_transfer(_decode_transfer(entry), sent_at)
 
     def has_share_to_delegate(self) -> bool:
-        """Tell whether there is a part that no hub has yet."""
+        """Return whether a rate share is not delegated to a hub yet."""
         return (
             self._links.find_quota_hub() is not None
-            and self._units.rights.find_usable_share() > 0
+            and self._ledger.rights.find_usable_share() > 0
         )
 
     def create_delegation(self) -> messages.DelegationEntry | None:
-        """Return the loan of this daemon's part, if a hub is to use it."""
-        keeper = self._links.find_quota_hub()
-        if keeper is None:
+        """Return the delegation of this daemon's share to its hub, if any."""
+        hub = self._links.find_quota_hub()
+        if hub is None:
             return None
-        loan = self._units.rights.delegate(keeper.member, keeper.number)
-        if loan is None:
+        delegation = self._ledger.rights.delegate(hub.member, hub.number)
+        if delegation is None:
             return None
         return messages.DelegationEntry(
-            loan.receiver,
-            loan.heard,
-            loan.part,
-            # Rounded so that no time is lent twice.
-            math.ceil(loan.starts_s * _MS),
-            math.floor(loan.ends_s * _MS),
+            delegation.receiver,
+            delegation.heard,
+            delegation.part,
+            # Rounded inwards: two daemons must not use a share at once.
+            math.ceil(delegation.starts_s * _MS),
+            math.floor(delegation.ends_s * _MS),
         )
 
     def apply_subscriber_digest(
         self, digest: messages.Digest, reported_at: float | None
     ) -> None:
-        """Take what a daemon of this zone lends, and how far it has read.
+        """Process a delegation by a daemon of this zone, and its read offset.
 
         Args:
-            digest: What it tells.
-            reported_at: When the report was sent that its loan names, in
-                trio's time; None if it names none of the last ones.
+            digest: The daemon's digest.
+            reported_at: When the report was sent that the delegation names,
+                in trio's time; None if it names none of the last ones.
         """
         self._roster.note_read_end(digest.instance, digest.members_end)
-        mint_rights = self._units.rights
-        mint_rights.end_former_delegations(digest.instance, digest.member)
-        line = digest.loan
-        if line is None or reported_at is None or line.receiver != self._member:
+        shares = self._ledger.rights
+        shares.end_former_delegations(digest.instance, digest.member)
+        entry = digest.loan
+        if (
+            entry is None
+            or reported_at is None
+            or entry.receiver != self._member
+        ):
             return
-        loan = refill_shares.ShareDelegation(
-            line.receiver,
-            line.heard,
-            line.part,
-            line.starts_ms / _MS,
-            line.ends_ms / _MS,
+        delegation = refill_shares.ShareDelegation(
+            entry.receiver,
+            entry.heard,
+            entry.part,
+            entry.starts_ms / _MS,
+            entry.ends_ms / _MS,
         )
-        mint_rights.accept_delegation(
-            digest.instance, digest.member, loan, reported_at
+        shares.accept_delegation(
+            digest.instance, digest.member, delegation, reported_at
         )
 
     def lacks_shares(self) -> bool:
-        """Tell whether this daemon has yet to be lent most of its zone's parts.
+        """Return whether most of the zone's rate shares have not arrived yet.
 
-        So it is for a second after all have started, and after the keeper
-        before this one was lost.
+        That is so briefly after a common start or the loss of the last hub.
         """
         expected = self._roster.find_zone_share(self._zone)
         has_most = (
-            self._units.rights.find_usable_share() >= _MOST_PARTS * expected
+            self._ledger.rights.find_usable_share()
+            >= _MIN_ZONE_FRACTION * expected
         )
         now = trio.current_time()
         if self._links.is_mesh() or has_most:
             self._lacking_since = math.inf
             return False
         self._lacking_since = min(self._lacking_since, now)
-        # Those that have not lent by then are gone for longer.
-        return now - self._lacking_since < _LENT_WITHIN_S
+        # The shares still missing by then belong to daemons that are down.
+        return now - self._lacking_since < _DELEGATED_WITHIN_S
 
     def find_members_end(self) -> int:
-        """Return how far this daemon goes by who announced themselves.
+        """Return the offset up to which this daemon's share is up to date.
 
-        What it lent while fewer were listed was more than its part is now; a
-        new daemon has to wait until that is over.
+        A new announcement reduces the share. While an earlier, larger
+        delegation is valid, the announcement does not count as applied, so
+        that the new daemon does not use its share too early.
         """
-        if not self._units.rights.has_larger_delegation():
-            self._told_end = max(0, self._members.end)
-        return self._told_end
+        if not self._ledger.rights.has_larger_delegation():
+            self._members_end = max(0, self._members.end)
+        return self._members_end
 
     def find_zone_end(self, zone: str) -> int:
-        """Return how far all daemons of a zone go by announcements."""
+        """Return the least such offset of all daemons of a zone."""
         return self._roster.find_zone_end(zone, self.find_members_end())
 
     async def answer(
         self,
-        want: messages.QuotaRequest,
+        request: messages.QuotaRequest,
         reply: Callable[[messages.QuotaReply], None],
     ) -> None:
-        """Decide on a request of another daemon and reply.
+        """Decide on another daemon's request and reply.
 
-        A team that operators have added may not be known here yet.
+        A team that this daemon's catalog does not list yet is passed on.
         """
         teams = self._store.table.catalog.teams
-        team = next((one for one in teams if one.name == want.team), None)
-        passed = messages.QuotaReply(want.number, _Verdict.PASSED)
-        if team is None or self._units.rights.find_usable_share() <= 0:
+        team = next((one for one in teams if one.name == request.team), None)
+        passed = messages.QuotaReply(request.number, _Verdict.PASSED)
+        if team is None or self._ledger.rights.find_usable_share() <= 0:
             reply(passed)
             return
-        wish = terms.AdmissionRequest(want.units, want.reserve, want.is_late)
-        # Demand is counted where callers come from, not where units are.
-        verdict = self._units.try_spend(team, wish, is_again=want.is_redirected)
+        admission = terms.AdmissionRequest(
+            request.units, request.reserve, request.is_late
+        )
+        # The hub that redirected a request has already counted its demand.
+        verdict = self._ledger.try_spend(
+            team, admission, is_again=request.is_redirected
+        )
         match verdict:
             case terms.Refused() if self.lacks_shares():
                 reply(passed)
                 return
-            case terms.HeldElsewhere() if want.is_redirected:
+            case terms.HeldElsewhere() if request.is_redirected:
                 verdict = terms.Refused()
             case terms.HeldElsewhere(holder=holder) if holder:
                 redirected = _Verdict.REDIRECTED
                 reply(
-                    messages.QuotaReply(want.number, redirected, holder=holder)
+                    messages.QuotaReply(
+                        request.number, redirected, holder=holder
+                    )
                 )
                 return
             case terms.HeldElsewhere():
-                reply(messages.QuotaReply(want.number, _Verdict.WAITING))
-        answer = await self._gate.settle(
-            team, wish, verdict, quota_client.HUB_WAIT_S
+                reply(messages.QuotaReply(request.number, _Verdict.WAITING))
+        decision = await self._gate.settle(
+            team, admission, verdict, quota_client.HUB_WAIT_S
         )
-        reply(self._describe(want.number, answer))
+        reply(self._create_reply(request.number, decision))
 
-    def _describe(
-        self, number: int, answer: terms.AdmissionDecision
+    def _create_reply(
+        self, number: int, decision: terms.AdmissionDecision
     ) -> messages.QuotaReply:
-        is_granted = answer.is_admitted
-        units = answer.units
+        is_granted = decision.is_admitted
+        status = decision.units
         return messages.QuotaReply(
             number,
             _Verdict.GRANTED if is_granted else _Verdict.REFUSED,
-            answer.retry_s,
+            decision.retry_s,
             member=self._member,
-            there=round(units.there),
-            owed=round(units.owed),
-            part=round(units.part, 3),
-            asked=round(units.asked),
+            there=round(status.there),
+            owed=round(status.owed),
+            part=round(status.part, 3),
+            asked=round(status.asked),
         )
 
     def forget(self, member: str) -> None:
-        """Drop a daemon that is gone for good."""
-        self._units.forget(member)
+        """Drop the balances of a daemon that has ended."""
+        self._ledger.forget(member)
 
     def forget_all(self) -> None:
-        """Drop what others told: it came in another way."""
-        self._units.forget_all()
+        """Drop all balances, as the fleet has become large or small."""
+        self._ledger.forget_all()
 
-    def _list_pools(self) -> dict[str, messages.BalanceEntry]:
+    def _list_balances(self) -> dict[str, messages.BalanceEntry]:
         return {
             team: messages.BalanceEntry(
-                math.floor(one.level),
-                round(one.asked),
-                round(one.needed),
-                math.floor(one.overdraft),
+                math.floor(balance.level),
+                round(balance.asked),
+                round(balance.needed),
+                math.floor(balance.overdraft),
             )
-            for team, one in self._units.list_holdings().items()
+            for team, balance in self._ledger.list_holdings().items()
         }
 
 
-def _tell_gift(gift: quota_ledger.QuotaTransfer) -> messages.TransferEntry:
-    parcels = {
+def _encode_transfer(
+    transfer: quota_ledger.QuotaTransfer,
+) -> messages.TransferEntry:
+    lots = {
         team: [
-            # Rounded down: no unit may live longer by its way.
+            # Rounded down: a transfer must not extend a unit's lifetime.
             messages.LotEntry(units, math.floor(life_s * _MS))
             for units, life_s in found
         ]
-        for team, found in gift.parcels.items()
+        for team, found in transfer.parcels.items()
     }
-    return messages.TransferEntry(gift.heard, parcels)
+    return messages.TransferEntry(transfer.heard, lots)
 
 
-def _read_gift(line: messages.TransferEntry) -> quota_ledger.QuotaTransfer:
-    parcels = {
-        team: [(one.units, one.life_ms / _MS) for one in found]
-        for team, found in line.parcels.items()
+def _decode_transfer(
+    entry: messages.TransferEntry,
+) -> quota_ledger.QuotaTransfer:
+    lots = {
+        team: [(lot.units, lot.life_ms / _MS) for lot in found]
+        for team, found in entry.lots.items()
     }
-    return quota_ledger.QuotaTransfer(line.heard, parcels)
+    return quota_ledger.QuotaTransfer(entry.heard, lots)
--- a/packages/daemon/src/martenquay_daemon/fleet/runner_report_gossip.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/runner_report_gossip.py
@@ -1,4 +1,4 @@
-"""Tell other daemons what runners say of themselves, and hear of it."""
+"""Convert runners' limit and drain reports to and from gossip messages."""
 
 from __future__ import annotations
 
@@ -18,65 +18,65 @@
 
 
 class RunnerReportGossip:
-    """What runners say, as daemons tell it to each other.
+    """Gossips the limits and drains that runners reported.
 
-    Of limits a daemon tells what runners told it; a hub tells all that it
-    knows, for its zone and the other zones hear of each other through hubs
-    alone. A limit has an age; what was told of it in a circle would have none.
+    A daemon gossips only limits that runners reported to itself; a hub also
+    those that it learnt of from other daemons, as zones exchange reports
+    through hubs alone. If all daemons relayed them, a limit would circulate
+    forever.
     """
 
     def __init__(
         self,
         limits: runner_limits.RunnerLimits,
-        leaving: drain_reports.DrainReports,
+        drains: drain_reports.DrainReports,
     ) -> None:
         self._limits = limits
-        self._leaving = leaving
+        self._drains = drains
 
-    def take(self, words: messages.RunnerReports) -> None:
-        """Take what another daemon tells."""
-        self._limits.apply_gossip(_read_words(words.limits))
-        self._leaving.apply_gossip(words.leaving)
+    def merge_reports(self, reports: messages.RunnerReports) -> None:
+        """Merge the reports that another daemon gossiped."""
+        self._limits.apply_gossip(_decode_limits(reports.limits))
+        self._drains.apply_gossip(reports.leaving)
 
-    def create(self, *, is_hub: bool) -> messages.RunnerReports:
-        """Return what to tell, as old as it is now."""
+    def create_reports(self, *, is_hub: bool) -> messages.RunnerReports:
+        """Return the reports to gossip, with their ages now."""
         limits = self._limits.list_recent_reports(is_relayed=is_hub)
-        leaving = self._leaving.list_recent_reports()
-        if not limits and not leaving:
+        drains = self._drains.list_recent_reports()
+        if not limits and not drains:
             return messages.NO_RUNNER_REPORTS
-        return messages.RunnerReports(_write_words(limits), leaving)
+        return messages.RunnerReports(_encode_limits(limits), drains)
 
 
-def _write_words(
-    words: list[tuple[str, limit_reports.LimitReport]],
+def _encode_limits(
+    reports: list[tuple[str, limit_reports.LimitReport]],
 ) -> dict[str, messages.LimitEntry]:
-    """Return lines for words, by runner id."""
     now = trio.current_time()
     return {
         runner_id: messages.LimitEntry(
-            word.limit_per_s,
-            word.born_ms,
-            round((now - word.sent_at) * _MS),
-            round((now - word.heard_at) * _MS),
+            report.limit_per_s,
+            report.born_ms,
+            round((now - report.sent_at) * _MS),
+            round((now - report.heard_at) * _MS),
         )
-        for runner_id, word in words
+        for runner_id, report in reports
     }
 
 
-def _read_words(
-    lines: dict[str, messages.LimitEntry],
+def _decode_limits(
+    entries: dict[str, messages.LimitEntry],
 ) -> list[tuple[str, limit_reports.LimitReport]]:
     now = trio.current_time()
     return [
         (
             runner_id,
             limit_reports.LimitReport(
-                line.limit,
-                line.born_ms,
-                # Nobody hears of what is still to come.
-                now - max(0, line.sent_ms) / _MS,
-                now - max(0, line.heard_ms) / _MS,
+                entry.limit,
+                entry.born_ms,
+                # A negative age would make the report newer than any other.
+                now - max(0, entry.sent_ms) / _MS,
+                now - max(0, entry.heard_ms) / _MS,
             ),
         )
-        for runner_id, line in lines.items()
+        for runner_id, entry in entries.items()
     ]
--- a/packages/daemon/src/martenquay_daemon/fleet/send_times.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/send_times.py
@@ -1,4 +1,4 @@
-"""Remember when numbered messages were sent."""
+"""Record when numbered messages were sent."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 __all__ = ["SendTimes"]
 
-# At 25 messages a second, the most that news in a hurry make, this is 2.5 s.
-_KEPT = 64
+# Covers 2.5 s at the highest rate, 25 messages a second.
+_MAX_MESSAGES = 64
 
 
 class SendTimes:
-    """The times of the last messages by number.
+    """Send times of the last messages, by number.
 
-    Clocks of two instances cannot be compared. An answer that names the last
-    message its sender had heard was made after that one was sent, which this
-    daemon's own clock tells: so what the answer says of ages and lifetimes
-    can be counted from there, and no delay on the way makes it look newer.
+    The clocks of two instances cannot be compared. A reply names the last
+    message that its sender had received, so the ages and lifetimes in the reply
+    count from that message's send time on this daemon's clock. A delay on the
+    way then makes the reply look older, never newer.
     """
 
     def __init__(self) -> None:
@@ -27,11 +27,11 @@
         )
 
     def note(self, number: int) -> None:
-        """Note that a message is sent now."""
+        """Record that a message is sent now."""
         self._times[number] = trio.current_time()
-        while len(self._times) > _KEPT:
+        while len(self._times) > _MAX_MESSAGES:
             self._times.popitem(last=False)
 
     def find(self, number: int) -> float | None:
-        """Return when a message was sent; None if that is long ago."""
+        """Return a message's send time in trio's time, or None if unknown."""
         return self._times.get(number)
--- a/tests/test_fleet/test_links.py
+++ b/tests/test_fleet/test_links.py
@@ -125,7 +125,7 @@
             log_age_ms=int(age_s * 1000),
             capacity=self.place.capacity,
             loads={self.name: messages.LoadEntry(1, 10)},
-            runner_reports=self.runner_news.create(is_hub=False),
+            runner_reports=self.runner_news.create_reports(is_hub=False),
         )
 
 
@@ -310,7 +310,7 @@
     def test_in_a_large_fleet_a_hub_answers_for_units(self) -> None:
         # All daemons run in this one process, which may be busy for longer.
         self.patch(quota_client, "_HEDGE_S", _HANG_S)
-        self.patch(quota_client, "_LONGEST_S", _HANG_S)
+        self.patch(quota_client, "_TIMEOUT_S", _HANG_S)
 
         async def scenario(daemons: list[_Daemon]) -> None:
             _introduce(daemons)
@@ -343,7 +343,7 @@
 
             for one in daemons[1:4:2]:
                 one.links.listeners = dataclasses.replace(
-                    one.links.listeners, answer_units=say_nothing
+                    one.links.listeners, answer_quota_request=say_nothing
                 )
             found = set()
             with trio.move_on_after(5.0):
