--- a/packages/daemon/src/martenquay_daemon/fleet/announcements.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/announcements.py
@@ -1,4 +1,4 @@
-"""Announce this daemon in the log and learn of the others there."""
+"""Announce this daemon in the log and follow other daemons' announcements."""
 
 from __future__ import annotations
 
@@ -20,26 +20,26 @@
 
 _LOG = logs.create_log("fleet")
 _FIRST_RETRY_S = 0.3
-_LONGEST_RETRY_S = 5.0
-# How long the first reading of the announcements may take: some tens of ms,
-# more if the log is slow or away, when nothing can be written either.
-_READ_S = 2.0
-# Long after any restart or cut that operators call short; until then a part of
-# each team's rate is nobody's.
-_GONE_S = 600.0
-_LOOK_S = 60.0
+_MAX_RETRY_S = 5.0
+# Bounds the wait for the first read: a log that cannot be read must not keep
+# this daemon from trying to announce itself.
+_FIRST_READ_TIMEOUT_S = 2.0
+# Longer than a restart or a network partition that operators repair; until an
+# instance is removed, its share of each team's rate is unused.
+_REMOVE_AFTER_S = 600.0
+_CHECK_INTERVAL_S = 60.0
 
 
 class _Announcement(msgspec.Struct, frozen=True):
     address: str
     zone: str
     capacity: float = 0.0
-    # All other daemons reckon with it.
+    # All other daemons have reduced their shares for this instance.
     is_counted: bool = False
 
 
 class MemberSink:
-    """Take the records in which daemons announce themselves."""
+    """Applies the announcements in the log to the roster, view and links."""
 
     def __init__(
         self,
@@ -52,17 +52,17 @@
         self._roster = known
 
     def replace_all(self, snapshot: ports.Snapshot) -> None:
-        """Take all announcements."""
+        """Apply all announcements of a snapshot."""
         for record in snapshot.records:
             self.apply_change(record)
 
     def apply_change(self, record: ports.KeyedRecord) -> None:
-        """Take one announcement."""
+        """Apply one announcement or removal."""
         if record.value is None:
             self._roster.note_removed(record.key)
             return
         try:
-            found = msgspec.json.decode(record.value, type=_Announcement)
+            announcement = msgspec.json.decode(record.value, type=_Announcement)
         except msgspec.MsgspecError as error:
             _LOG.write(f"Announcement of {record.key} is malformed: {error}.")
             return
@@ -70,20 +70,21 @@
         self._roster.note_listed(
             record.key,
             record.offset,
-            is_counted=found.is_counted,
-            zone=found.zone,
+            is_counted=announcement.is_counted,
+            zone=announcement.zone,
         )
         self._links.add_peer(
-            topology.PeerAddress(found.address, found.zone, found.capacity)
+            topology.PeerAddress(
+                announcement.address, announcement.zone, announcement.capacity
+            )
         )
 
 
 class Remover:
-    """Take instances off the list that are gone for good.
+    """Removes instances from the roster that have been silent for long.
 
-    Each keeps its part of what is shared for as long as it is listed. One that
-    was only cut off for so long finds itself taken off, announces itself anew,
-    and waits for the others like a new one.
+    An instance keeps its share of the rates while it is listed. One that was
+    only partitioned announces itself again when it finds itself removed.
     """
 
     def __init__(
@@ -93,54 +94,71 @@
         known: roster.Roster,
         may_remove: Callable[[], bool],
     ) -> None:
+        """Create the remover.
+
+        Args:
+            log: The log with the announcements.
+            topic: Topic of the announcements.
+            known: The listed instances.
+            may_remove: Returns whether this daemon may remove instances now.
+        """
         self._log = log
         self._topic = topic
         self._roster = known
         self._may_remove = may_remove
 
     async def run(self) -> None:
-        """Look from time to time until cancelled."""
+        """Remove silent instances periodically until cancelled."""
         while True:
-            await trio.sleep(_LOOK_S)
+            await trio.sleep(_CHECK_INTERVAL_S)
             if self._may_remove():
                 await self.remove_silent()
 
     async def remove_silent(self) -> None:
-        """Take off who has been silent for long."""
-        for instance in self._roster.list_silent(_GONE_S):
+        """Remove the instances that have been silent for too long."""
+        for instance in self._roster.list_silent(_REMOVE_AFTER_S):
             payload = self._log.join_keyed(instance, b"")
             written = await self._log.append(self._topic, [payload])
             _LOG.write(
                 f"Instance {instance} is taken off the list.",
-                silent_s=_GONE_S,
+                silent_s=_REMOVE_AFTER_S,
                 written=written.is_ok(),
             )
 
 
 class Announcer:
-    """Write this daemon's announcement, and again once others know of it."""
+    """Writes this daemon's announcement and updates it once it is counted."""
 
     def __init__(
         self,
         log: ports.LogPort,
         topic: str,
         instance: str,
-        place: topology.PeerAddress,
+        own: topology.PeerAddress,
         known: roster.Roster,
         first_read: trio.Event,
     ) -> None:
+        """Create the announcer.
+
+        Args:
+            log: The log to write to.
+            topic: Topic of the announcements.
+            instance: Name of this daemon's instance.
+            own: Zone and capacity to announce.
+            known: The listed instances.
+            first_read: Set once the topic was read to its end.
+        """
         self._log = log
         self._topic = topic
         self._instance = instance
-        self._place = place
+        self._own = own
         self._roster = known
         self._first_read = first_read
 
     async def announce(self, address: str) -> None:
-        """Write it, however long that takes."""
-        # Else a process that starts anew would take back that the others
-        # reckon with its instance.
-        with trio.move_on_after(_READ_S):
+        """Keep an announcement of an address in the log until cancelled."""
+        # A restarted process must not overwrite `is_counted` with false.
+        with trio.move_on_after(_FIRST_READ_TIMEOUT_S):
             await self._first_read.wait()
         while True:
             counted = self._roster.counted
@@ -151,9 +169,9 @@
             await self._roster.removed.wait()
 
     async def _write(self, address: str, *, is_counted: bool) -> None:
-        place = self._place
+        own = self._own
         value = msgspec.json.encode(
-            _Announcement(address, place.zone, place.capacity, is_counted)
+            _Announcement(address, own.zone, own.capacity, is_counted)
         )
         payload = self._log.join_keyed(self._instance, value)
         retry_s = _FIRST_RETRY_S
@@ -163,4 +181,4 @@
                 return
             _LOG.write(f"Not announced yet: {written.error.message}.")
             await trio.sleep(retry_s)
-            retry_s = min(2 * retry_s, _LONGEST_RETRY_S)
+            retry_s = min(2 * retry_s, _MAX_RETRY_S)
--- a/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
@@ -1,4 +1,4 @@
-"""Tell other daemons this one's state and take in theirs."""
+"""Create this daemon's digests and apply other daemons' state."""
 
 from __future__ import annotations
 
@@ -28,22 +28,23 @@
 
 __all__ = ["Identity", "StateGossip", "StateSources"]
 
-# The source of loads that a hub has added up over all daemons.
+# Source of the sums over all other daemons that a hub reports.
 _FLEET = "fleet"
 _MS = 1000
-# What a log that has never answered counts as.
-_LONGEST_AGE_S = 3600.0
+# Upper bound for ages in messages; the age of a log that never answered is
+# infinite.
+_MAX_AGE_S = 3600.0
 
 
 @dataclasses.dataclass(frozen=True)
 class Identity:
-    """Who a daemon is.
+    """Identity of a daemon.
 
     Attributes:
-        member: Its id; a restarted process has a new one.
-        instance: Its instance.
+        member: Member id; each process of an instance has its own.
+        instance: Name of its instance.
         zone: Its availability zone.
-        capacity: Of its instance's link, in Mbit/s.
+        capacity: Bandwidth of its instance's link in Mbit/s.
     """
 
     member: str
@@ -54,24 +55,24 @@
 
 @dataclasses.dataclass(frozen=True)
 class StateSources:
-    """Where a digest's fields come from, and others' digests go to.
+    """Parts of the daemon that digests are made from and applied to.
 
     Attributes:
         store: The catalog in force.
-        directory: The runners.
-        contact: How fresh that is.
-        quota_exchange: What teams may spend, told and heard.
-        listed: Who announced themselves, and how far others know that.
-        loads: What runs at runners.
-        runner_report_gossip: What runners say of themselves.
-        usage: Requests begun.
-        meter: Tokens that engines have to read.
-        estimates: How fast they are.
-        orders: Operators' orders of versions.
-        trials: What versions on trial answered.
-        lease: The right to the duties.
-        links: Where daemons are linked to.
-        fleet: What others tell.
+        directory: The runner entries.
+        contact: Whether and when the log answered.
+        quota_exchange: The teams' quota.
+        listed: The instances that have announced themselves.
+        loads: Load at the runners.
+        runner_report_gossip: Limits and drains that runners reported.
+        usage: Counts of started requests.
+        meter: Demand for prefill.
+        estimates: Prefill speed of the engines.
+        orders: Operators' rollout orders.
+        trials: Canary results.
+        lease: The duties' lease.
+        links: Links to other daemons.
+        fleet: View of the fleet.
     """
 
     store: catalog_store.CatalogStore
@@ -92,10 +93,10 @@
 
 
 class StateGossip:
-    """Make this daemon's digests and spread what others' say.
+    """Creates this daemon's digests and applies other daemons' digests.
 
     Attributes:
-        is_leaving: Set when this daemon begins to stop.
+        is_leaving: Set when this daemon begins to shut down.
     """
 
     def __init__(self, identity: Identity, sources: StateSources) -> None:
@@ -105,12 +106,12 @@
         self._number = 0
 
     def create_digest(self) -> messages.Digest:
-        """Return what there is to tell now."""
+        """Return a new digest of this daemon's state."""
         sources = self._sources
         self._number += 1
-        log_age_s = min(sources.contact.age_s, _LONGEST_AGE_S)
-        # Told as it is before this digest's own loan: that is for others that
-        # go by fewer daemons to end first.
+        log_age_s = min(sources.contact.age_s, _MAX_AGE_S)
+        # Read first: `create_delegation` holds this offset back when it
+        # delegates a smaller share than before.
         members_end = sources.quota_exchange.find_members_end()
         return messages.Digest(
             member=self._identity.member,
@@ -134,50 +135,54 @@
             begun=sources.usage.list_counts(),
             demand=sources.meter.list_rates(),
             reading={
-                service: _write_reading(sums)
+                service: _encode_prefill(sums)
                 for service, sums in sources.estimates.list_own().items()
             },
             trials=trial_lines.write_trials(sources.trials.list_own()),
             orders=[
-                _write_order(rollout)
+                _encode_order(rollout)
                 for rollout in sources.orders.list_recent()
             ],
-            runner_reports=sources.runner_report_gossip.create(is_hub=False),
+            runner_reports=sources.runner_report_gossip.create_reports(
+                is_hub=False
+            ),
         )
 
     def apply_digest(self, digest: messages.Digest) -> None:
-        """Spread what another daemon of a small fleet tells."""
+        """Apply another daemon's digest, in a small fleet."""
         sources = self._sources
         sources.lease.apply_status(
             digest.member, digest.lease, is_leaving=digest.is_leaving
         )
-        sources.loads.replace_source(digest.member, _list_loads(digest.loads))
+        sources.loads.replace_source(digest.member, _decode_loads(digest.loads))
         sources.estimates.replace_source(
-            digest.member, _list_reading(digest.reading)
+            digest.member, _decode_prefills(digest.reading)
         )
         sources.trials.replace_source(
             digest.member, trial_lines.read_trials(digest.trials)
         )
-        self._take_orders(digest.orders)
+        self._apply_orders(digest.orders)
         sources.listed.note_read_end(digest.instance, digest.members_end)
 
     def apply_report(self, report: messages.FleetReport) -> None:
-        """Spread what a hub of a large fleet tells."""
+        """Apply a hub's report, in a large fleet."""
         sources = self._sources
         for summary in report.zones:
-            self._hear_lease(summary)
+            self._apply_lease(summary)
             sources.listed.note_zone_read_end(summary.zone, summary.members_end)
-        sources.loads.replace_source(_FLEET, _list_loads(report.loads))
-        sources.estimates.replace_source(_FLEET, _list_reading(report.reading))
+        sources.loads.replace_source(_FLEET, _decode_loads(report.loads))
+        sources.estimates.replace_source(
+            _FLEET, _decode_prefills(report.reading)
+        )
         zones = [trial_lines.read_trials(one.trials) for one in report.zones]
         sources.trials.replace_source(_FLEET, trial_lines.add_trials(zones))
-        self._take_orders(report.orders)
+        self._apply_orders(report.orders)
         if sources.quota_exchange.has_share_to_delegate():
-            # Until it is lent, this daemon's part is of no use to anybody.
+            # Nobody uses this daemon's share until a digest delegates it.
             sources.links.notify_soon()
 
     def change_mode(self) -> None:
-        """Drop what was told in the other way."""
+        """Drop all other daemons' state, as the fleet became large or small."""
         self._sources.quota_exchange.forget_all()
         self._sources.listed.forget_times()
         self._sources.loads.forget_sources()
@@ -185,20 +190,20 @@
         self._sources.trials.forget_sources()
 
     def end_member(self, member: str) -> None:
-        """Drop what a daemon told that is gone for good."""
+        """Drop the state of a daemon that has ended."""
         self._sources.quota_exchange.forget(member)
         self._sources.loads.replace_source(member, {})
         self._sources.estimates.replace_source(member, {})
         self._sources.trials.replace_source(member, {})
 
-    def _take_orders(self, lines: list[messages.RolloutOrderEntry]) -> None:
-        for line in lines:
+    def _apply_orders(self, entries: list[messages.RolloutOrderEntry]) -> None:
+        for entry in entries:
             order = rollouts.RolloutOrder(
-                line.service, line.version, line.duration_s
+                entry.service, entry.version, entry.duration_s
             )
-            self._sources.orders.apply_order(line.offset, order)
+            self._sources.orders.apply_order(entry.offset, order)
 
-    def _hear_lease(self, summary: messages.ZoneSummary) -> None:
+    def _apply_lease(self, summary: messages.ZoneSummary) -> None:
         apply_status = self._sources.lease.apply_status
         if summary.lease is not None:
             apply_status(summary.lease_member, summary.lease, is_leaving=False)
@@ -206,34 +211,34 @@
             apply_status(member, None, is_leaving=True)
 
 
-def _list_loads(
-    lines: dict[str, messages.LoadEntry],
+def _decode_loads(
+    entries: dict[str, messages.LoadEntry],
 ) -> dict[str, loads.RunnerLoad]:
     return {
-        runner_id: loads.RunnerLoad(line.requests, line.unread_tokens)
-        for runner_id, line in lines.items()
+        runner_id: loads.RunnerLoad(entry.requests, entry.unread_tokens)
+        for runner_id, entry in entries.items()
     }
 
 
-def _write_order(rollout: registry.Rollout) -> messages.RolloutOrderEntry:
+def _encode_order(rollout: registry.Rollout) -> messages.RolloutOrderEntry:
     order = rollout.order
     return messages.RolloutOrderEntry(
         order.service, order.version, order.duration_s, rollout.offset
     )
 
 
-def _write_reading(sums: model.PrefillSums) -> messages.PrefillEntry:
+def _encode_prefill(sums: model.PrefillSums) -> messages.PrefillEntry:
     return messages.PrefillEntry(
         round(sums.results), round(sums.spread), round(sums.slowing * _MS)
     )
 
 
-def _list_reading(
-    lines: dict[str, messages.PrefillEntry],
+def _decode_prefills(
+    entries: dict[str, messages.PrefillEntry],
 ) -> dict[str, model.PrefillSums]:
     return {
         service: model.PrefillSums(
-            line.results, line.spread, line.slowing_ms / _MS
+            entry.results, entry.spread, entry.slowing_ms / _MS
         )
-        for service, line in lines.items()
+        for service, entry in entries.items()
     }
--- a/packages/daemon/src/martenquay_daemon/fleet/state_copies.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/state_copies.py
@@ -1,4 +1,8 @@
-"""Hand on what the log has told to daemons that do not read it themselves."""
+"""Transfer the catalog and runner entries between daemons.
+
+In a large fleet only the hubs follow the log; the other daemons, and those that
+the log does not answer, request its content from a peer.
+"""
 
 from __future__ import annotations
 
@@ -22,24 +26,25 @@
 __all__ = ["FleetState", "PeerState", "StateTransfer"]
 
 _LOG = logs.create_log("fleet")
-# A log that has been silent this long is asked of peers instead.
+# Runner entries are requested from peers after this time without an answer from
+# the log.
 _STALE_LOG_S = 0.9
 _MS = 1000
-# What a copy that was never complete, or an outage that never was, counts as.
-_LONGEST_AGE_S = 3600.0
-# So many ids stand in a line of the log.
-_MOST_NAMED = 8
+# Upper bound for ages in messages; the age of a copy that was never complete,
+# or of an outage that never was, is infinite.
+_MAX_AGE_S = 3600.0
+_MAX_LOGGED_IDS = 8
 
 
 @dataclasses.dataclass(frozen=True)
 class FleetState:
-    """What is handed on.
+    """State that daemons request from each other.
 
     Attributes:
         store: The catalog.
-        directory: The runners.
-        runner_follower: How far their entries have been read.
-        contact: How fresh that is.
+        directory: The runner entries.
+        runner_follower: Follows the topic of the runner entries.
+        contact: Whether and when the log answered.
     """
 
     store: catalog_store.CatalogStore
@@ -48,19 +53,20 @@
     contact: contact.LogContact
 
     def find_runners_age_ms(self) -> int:
-        """Return for how long the runners' entries may lack something."""
+        """Return the time since the runner entries were known complete."""
         return _find_ms(self.runner_follower.copy_age.age_s)
 
 
 @dataclasses.dataclass(frozen=True)
 class PeerState:
-    """What a peer says it has.
+    """Versions and offsets of a peer's state, from its digest or summary.
 
     Attributes:
-        address: Its fleet link.
-        catalog_version: The version in force there.
-        runners_changed: Up to where it knows the runners' entries.
-        log_age_ms: Since the log answered it.
+        address: Address of its fleet link.
+        catalog_version: Version of the catalog in force there.
+        runners_changed: Offset up to which it has applied changed runner
+            entries.
+        log_age_ms: Time since the log last answered it.
     """
 
     address: str
@@ -70,94 +76,95 @@
 
 
 class StateTransfer:
-    """Make copies, ask for them and take them."""
+    """Requests state from peers, creates replies and applies them."""
 
     def __init__(self, state: FleetState) -> None:
         self._state = state
-        self._asked = send_times.SendTimes()
-        self._questions = 0
-        # The last copy named entries that were not in it or here; only all
-        # of them make this daemon's complete.
-        self._lacks_some = False
+        self._request_times = send_times.SendTimes()
+        self._requests = 0
+        # The last reply lacked entries that this daemon does not have either.
+        # The next request asks for all entries, and until they are here the
+        # copy does not count as complete.
+        self._lacks_entries = False
 
     def create_copy(
-        self, want: messages.StateRequest, peers: list[messages.PeerEntry]
+        self, request: messages.StateRequest, peers: list[messages.PeerEntry]
     ) -> messages.StateReply:
-        """Return what the asker lacks."""
+        """Return a reply with the state that the requester lacks."""
         state = self._state
-        has_newer = state.store.version > want.catalog_version
+        has_newer = state.store.version > request.catalog_version
         return messages.StateReply(
             state.store.packed if has_newer else b"",
             state.runner_follower.end,
             [
                 copy
                 for copy in state.directory.entries.list_copies()
-                if copy.offset >= want.runners_end
+                if copy.offset >= request.runners_end
             ],
             sorted(state.directory.entries.list_ids()),
             peers,
             state.find_runners_age_ms(),
             _find_ms(state.contact.regained_age_s),
-            want.number,
+            request.number,
         )
 
     def create_request(self) -> messages.StateRequest:
-        """Return a question for all that is new."""
+        """Return a request for all state newer than this daemon's."""
         state = self._state
-        self._questions += 1
-        self._asked.note(self._questions)
-        runners_end = 0 if self._lacks_some else state.runner_follower.end
+        self._requests += 1
+        self._request_times.note(self._requests)
+        runners_end = 0 if self._lacks_entries else state.runner_follower.end
         return messages.StateRequest(
-            state.store.version, runners_end, self._questions
+            state.store.version, runners_end, self._requests
         )
 
-    def take(self, copy: messages.StateReply) -> None:
-        """Take what a peer has read further in the log."""
+    def take(self, reply: messages.StateReply) -> None:
+        """Apply a peer's reply."""
         state = self._state
-        if copy.catalog:
-            state.store.offer_packed(copy.catalog, "a peer")
-        asked_at = self._asked.find(copy.number)
-        if asked_at is not None:
-            # Counted from the question, so that a late copy makes nothing
-            # younger than it is.
+        if reply.catalog:
+            state.store.offer_packed(reply.catalog, "a peer")
+        requested_at = self._request_times.find(reply.number)
+        if requested_at is not None:
+            # Ages count from the request: counted from the reply's arrival, a
+            # delayed reply would make the state look newer than it is.
             state.contact.note_regained_elsewhere(
-                asked_at - copy.regained_ms / _MS
+                requested_at - reply.regained_ms / _MS
             )
-        if not self._take_runners(copy):
+        if not self._apply_runners(reply):
             return
-        if asked_at is not None:
+        if requested_at is not None:
             state.runner_follower.copy_age.confirm(
-                asked_at - copy.runners_age_ms / _MS, copy_age.Step.COPIED
+                requested_at - reply.runners_age_ms / _MS, copy_age.Step.COPIED
             )
 
-    def _take_runners(self, copy: messages.StateReply) -> bool:
-        """Take a peer's entries; tell whether all that it has are here."""
+    def _apply_runners(self, reply: messages.StateReply) -> bool:
+        """Apply a peer's runner entries; return whether all are here now."""
         state = self._state
-        if copy.runners_end <= state.runner_follower.end:
-            return not self._lacks_some
-        listed = set(copy.runner_ids)
-        state.directory.apply_copies(copy.runners, listed)
+        if reply.runners_end <= state.runner_follower.end:
+            return not self._lacks_entries
+        listed = set(reply.runner_ids)
+        state.directory.apply_copies(reply.runners, listed)
         lacking = listed - state.directory.entries.list_ids()
-        self._lacks_some = bool(lacking)
+        self._lacks_entries = bool(lacking)
         if lacking:
             _LOG.write(
                 f"A copy lacks {len(lacking)} of {len(listed)} entries.",
-                end=copy.runners_end,
-                runners=sorted(lacking)[:_MOST_NAMED],
+                end=reply.runners_end,
+                runners=sorted(lacking)[:_MAX_LOGGED_IDS],
             )
             return False
-        state.runner_follower.skip_to(copy.runners_end)
+        state.runner_follower.skip_to(reply.runners_end)
         return True
 
     def choose_source(
         self, peers: Iterable[PeerState], *, reads_log: bool
     ) -> PeerState | None:
-        """Return the peer to ask, if one is ahead.
+        """Return the peer with the newest state, if any is ahead.
 
         Args:
-            peers: Those that can be asked.
-            reads_log: This daemon follows the log itself; then runners'
-                entries are asked for only if it does not answer.
+            peers: Peers that can be asked.
+            reads_log: Whether this daemon follows the log itself; it then asks
+                for runner entries only while the log does not answer.
         """
         known = list(peers)
         version = self._state.store.version
@@ -179,5 +186,5 @@
 
 
 def _find_ms(age_s: float) -> int:
-    """Return an age in ms for a message; it may be without end."""
-    return int(min(age_s, _LONGEST_AGE_S) * _MS)
+    """Return an age, which may be infinite, in milliseconds for a message."""
+    return int(min(age_s, _MAX_AGE_S) * _MS)
--- a/packages/daemon/src/martenquay_daemon/fleet/trial_lines.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/trial_lines.py
@@ -1,4 +1,4 @@
-"""Tell other daemons what versions on trial answered, and read theirs."""
+"""Encode, decode and merge canary results for digests and zone summaries."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 def write_trials(
     trials: dict[str, tallies.Trial],
 ) -> dict[str, messages.TrialEntry]:
-    """Return what to tell."""
+    """Return the entries of trials, by service."""
     return {
         service: messages.TrialEntry(
             trial.order,
             {
-                route: (_write_side(tally.old), _write_side(tally.new))
+                route: (_encode_tally(tally.old), _encode_tally(tally.new))
                 for route, tally in trial.routes.items()
             },
         )
@@ -30,25 +30,27 @@
 
 
 def read_trials(
-    lines: dict[str, messages.TrialEntry],
+    entries: dict[str, messages.TrialEntry],
 ) -> dict[str, tallies.Trial]:
-    """Return what was told."""
+    """Return the trials of entries, by service."""
     return {
         service: tallies.Trial(
-            line.order,
+            entry.order,
             {
-                route: tallies.RouteTally(_read_side(old), _read_side(new))
-                for route, (old, new) in line.routes.items()
+                route: tallies.RouteTally(
+                    _decode_tally(old), _decode_tally(new)
+                )
+                for route, (old, new) in entry.routes.items()
             },
         )
-        for service, line in lines.items()
+        for service, entry in entries.items()
     }
 
 
 def add_trials(
     several: Iterable[dict[str, tallies.Trial]],
 ) -> dict[str, tallies.Trial]:
-    """Return all together; of a service the trial of its newest order."""
+    """Return the sums by service, of each service's newest order only."""
     total: dict[str, tallies.Trial] = {}
     for trials in several:
         for service, trial in trials.items():
@@ -60,21 +62,21 @@
     return total
 
 
-def _write_side(side: tallies.OutcomeTally) -> messages.TallyEntry:
+def _encode_tally(tally: tallies.OutcomeTally) -> messages.TallyEntry:
     return messages.TallyEntry(
-        side.answers,
-        side.failures,
-        side.timed,
-        round(side.log_sum, 3),
-        round(side.log_squares, 3),
+        tally.answers,
+        tally.failures,
+        tally.timed,
+        round(tally.log_sum, 3),
+        round(tally.log_squares, 3),
     )
 
 
-def _read_side(line: messages.TallyEntry) -> tallies.OutcomeTally:
+def _decode_tally(entry: messages.TallyEntry) -> tallies.OutcomeTally:
     return tallies.OutcomeTally(
-        line.answers,
-        line.failures,
-        line.timed,
-        line.log_sum,
-        line.log_squares,
+        entry.answers,
+        entry.failures,
+        entry.timed,
+        entry.log_sum,
+        entry.log_squares,
     )
