--- a/packages/daemon/src/martenquay_daemon/fleet/announcements.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/announcements.py
@@ -120,7 +120,7 @@
             payload = self._log.join_keyed(instance, b"")
             written = await self._log.append(self._topic, [payload])
             _LOG.write(
-                f"Instance {instance} is taken off the list.",
+                f"Removing instance {instance} from the roster.",
                 silent_s=_REMOVE_AFTER_S,
                 written=written.is_ok(),
             )
@@ -179,6 +179,8 @@
             written = await self._log.append(self._topic, [payload])
             if written.is_ok():
                 return
-            _LOG.write(f"Not announced yet: {written.error.message}.")
+            _LOG.write(
+                f"Cannot write the announcement yet: {written.error.message}."
+            )
             await trio.sleep(retry_s)
             retry_s = min(2 * retry_s, _MAX_RETRY_S)
--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -516,7 +516,7 @@
                 )
             except zmq.ZMQError as error:
                 # One peer's invalid address must not end the other links.
-                _LOG.write(f"No link to {address!r}: {error}.")
+                _LOG.write(f"Cannot create a link to {address!r}: {error}.")
                 if error.errno == zmq.EINVAL:
                     self._invalid.add(address)
                     self._known.pop(address, None)
@@ -550,5 +550,7 @@
 
 
 def _drop_reply(message: messages.FleetMessage) -> None:
-    """Drop the answer to a request that came over a link for replies."""
-    _LOG.write(f"Dropped a question that came as an answer: {type(message)}.")
+    """Drop the reply to a request that came over a link for replies."""
+    _LOG.write(
+        f"Dropped the reply to a request on a reply link: {type(message)}."
+    )
--- a/packages/daemon/src/martenquay_daemon/fleet/quota_client.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/quota_client.py
@@ -254,7 +254,7 @@
     def _note_timeout(self, team: str, hubs: list[str], took_s: float) -> None:
         self.observe("unanswered", took_s)
         _LOG.write(
-            f"No keeper of units answers for team {team}.",
+            f"No quota hub answered for team {team}.",
             team=team,
             keepers=hubs,
             took_ms=round(took_s * 1000),
--- a/packages/daemon/src/martenquay_daemon/fleet/state_copies.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/state_copies.py
@@ -148,7 +148,8 @@
         self._lacks_entries = bool(lacking)
         if lacking:
             _LOG.write(
-                f"A copy lacks {len(lacking)} of {len(listed)} entries.",
+                f"State reply lacks {len(lacking)} of {len(listed)} runner"
+                " entries.",
                 end=reply.runners_end,
                 runners=sorted(lacking)[:_MAX_LOGGED_IDS],
             )
