--- a/tests/telling_fleet.py
+++ b/tests/telling_fleet.py
@@ -1,4 +1,4 @@
-"""Run whole daemons before runners that tell of their own state."""
+"""Run whole daemons with runners that report their state in answers."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 
 __all__ = ["TellingFleet", "TellingTestCase", "open_fleet"]
 
-_HANG_S = 60.0
-_READY_S = 10.0
-_LOOK_S = 0.05
+_TIMEOUT_S = 60.0
+_READY_TIMEOUT_S = 10.0
+_CHECK_INTERVAL_S = 0.05
 
 
 @dataclasses.dataclass
 class TellingFleet:
-    """Daemons, runners and what callers got.
+    """A fleet of daemons and the runners of one service.
 
     Attributes:
-        platform: The fakes that all share.
+        platform: Fakes that the daemons share.
         daemons: The daemons.
         runners: The runners.
-        replies: All answers that callers got.
+        replies: Replies to all requests that were sent.
     """
 
     platform: gateway_fleet.Platform
@@ -41,16 +41,21 @@
     replies: list[serving_scene.Reply] = dataclasses.field(default_factory=list)
 
     async def press(self, per_daemon_s: float, duration_s: float) -> None:
-        """Send so many requests a second to each daemon for so long."""
+        """Send requests to each daemon at a rate, for a duration.
+
+        Args:
+            per_daemon_s: Requests a second to each daemon.
+            duration_s: How long to send, in seconds.
+        """
         end = trio.current_time() + duration_s
         async with trio.open_nursery() as nursery:
             while trio.current_time() < end:
                 for daemon in self.daemons:
-                    nursery.start_soon(self._ask, daemon)
+                    nursery.start_soon(self._send_request, daemon)
                 await trio.sleep(1 / per_daemon_s)
 
     def put_entry(self, number: int, **changes: object) -> None:
-        """Have a runner write its entry, with changes."""
+        """Write a runner's entry, with some fields changed."""
         fields: dict[str, object] = {
             "id": f"runner-{number}",
             "zone": "a",
@@ -59,43 +64,43 @@
         address = self.runners[number].address
         self.platform.put_runner(address, **(fields | changes))
 
-    async def _ask(self, daemon: gateway_fleet.Daemon) -> None:
+    async def _send_request(self, daemon: gateway_fleet.Daemon) -> None:
         self.replies.append(await daemon.ask())
 
 
 @contextlib.asynccontextmanager
 async def open_fleet(daemons: int, runners: int) -> AsyncIterator[TellingFleet]:
-    """Run so many daemons, which know so many runners of one service."""
+    """Run a fleet until each runner has served a request."""
     platform = gateway_fleet.Platform()
     platform.put_catalog(1)
-    found = [telling_runner.TellingRunner() for _ in range(runners)]
+    fleet_runners = [telling_runner.TellingRunner() for _ in range(runners)]
     async with trio.open_nursery() as nursery:
-        fleet = TellingFleet(platform, [], found)
-        for number, one in enumerate(found):
+        fleet = TellingFleet(platform, [], fleet_runners)
+        for number, one in enumerate(fleet_runners):
             await nursery.start(one.run)
             fleet.put_entry(number)
         async with gateway_fleet.open_daemons(platform, daemons) as started:
             fleet.daemons += started
-            with trio.fail_after(_READY_S):
-                while not await _is_each_runner_used(fleet):
-                    await trio.sleep(_LOOK_S)
+            with trio.fail_after(_READY_TIMEOUT_S):
+                while not await _has_each_runner_served(fleet):
+                    await trio.sleep(_CHECK_INTERVAL_S)
             yield fleet
         nursery.cancel_scope.cancel()
 
 
-async def _is_each_runner_used(fleet: TellingFleet) -> bool:
-    """Ask each daemon once; tell whether each runner has had a request."""
+async def _has_each_runner_served(fleet: TellingFleet) -> bool:
+    """Send each daemon a request; return whether each runner had one."""
     for daemon in fleet.daemons:
         await daemon.ask()
     return all(one.arrivals for one in fleet.runners)
 
 
 class TellingTestCase(testtools.TestCase):
-    """Tests over a fleet of their own.
+    """Base of tests that each run a fleet of their own.
 
     Attributes:
-        daemons: How many there are.
-        runners: How many runners of one service.
+        daemons: Number of daemons.
+        runners: Number of runners of the one service.
     """
 
     daemons = 1
@@ -104,10 +109,10 @@
     def run_fleet(
         self, scenario: Callable[[TellingFleet], Awaitable[None]]
     ) -> None:
-        """Run a scenario to its end."""
+        """Run a scenario with a new fleet."""
 
         async def run() -> None:
-            with trio.fail_after(_HANG_S):
+            with trio.fail_after(_TIMEOUT_S):
                 async with open_fleet(self.daemons, self.runners) as fleet:
                     await scenario(fleet)
 
--- a/tests/test_fleet/test_announcements.py
+++ b/tests/test_fleet/test_announcements.py
@@ -1,4 +1,4 @@
-"""Daemons announce themselves once others reckon with them, and lastingly."""
+"""Tests of announcements in the log and of the removal of silent instances."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from tests import clocked
 
 _TOPIC = "members"
-_PLACE = topology.PeerAddress("127.0.0.1:1", "a", 100.0)
+_OWN = topology.PeerAddress("127.0.0.1:1", "a", 100.0)
 
 
 class AnnouncementsTest(clocked.ClockedTestCase):
@@ -23,21 +23,21 @@
                 self.log,
                 _TOPIC,
                 "entry-1",
-                _PLACE,
+                _OWN,
                 self.roster,
                 self.first_read,
             )
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(announcer.announce, _PLACE.address)
+                nursery.start_soon(announcer.announce, _OWN.address)
                 await scenario()
                 nursery.cancel_scope.cancel()
 
         self.run_clocked(run)
 
-    def _count_written(self, words: bytes) -> int:
-        return sum(words in one for one in self.log.list_payloads(_TOPIC))
+    def _count_written(self, text: bytes) -> int:
+        return sum(text in one for one in self.log.list_payloads(_TOPIC))
 
-    def test_a_process_that_starts_anew_takes_nothing_back(self) -> None:
+    def test_a_restarted_process_keeps_its_announcement_counted(self) -> None:
         async def scenario() -> None:
             await trio.sleep(0.1)
             self.assertEqual([], self.log.list_payloads(_TOPIC))
@@ -49,7 +49,9 @@
 
         self._run(scenario)
 
-    def test_a_new_one_says_so_once_others_reckon_with_it(self) -> None:
+    def test_a_new_instance_is_announced_as_counted_once_it_has_a_share(
+        self,
+    ) -> None:
         async def scenario() -> None:
             self.first_read.set()
             await trio.sleep(0.1)
@@ -61,7 +63,7 @@
 
         self._run(scenario)
 
-    def test_who_was_taken_off_the_list_announces_itself_anew(self) -> None:
+    def test_a_removed_instance_announces_itself_again(self) -> None:
         async def scenario() -> None:
             self.roster.note_listed("entry-1", 0, is_counted=True)
             self.first_read.set()
@@ -73,7 +75,7 @@
 
         self._run(scenario)
 
-    def test_only_who_is_silent_for_long_is_taken_off(self) -> None:
+    def test_only_instances_silent_for_long_are_removed(self) -> None:
         async def scenario() -> None:
             remover = announcements.Remover(
                 self.log, _TOPIC, self.roster, lambda: True
--- a/tests/test_fleet/test_catalog_copies.py
+++ b/tests/test_fleet/test_catalog_copies.py
@@ -1,8 +1,7 @@
-"""A large configuration goes to a zone's daemons in a fraction of its bytes.
+"""A hub sends the catalog to its zone compressed.
 
-A hub hands the operators' configuration to all daemons of its zone. With 1,400
-routes more it had 300 kB for each of some 39: 9 s of a link of 10 Mbit/s, in
-which what callers' allowances were asked for at that hub was answered late.
+Sent uncompressed, a large catalog fills the hub's link for seconds, and quota
+requests to the hub are answered late.
 """
 
 from __future__ import annotations
@@ -25,10 +24,10 @@
 
 _ROUTES = 1400
 _DAEMONS = 39
-# Of the slowest links that daemons have, in bytes.
+# 10 Mbit/s, the slowest link of a daemon.
 _LINK_BYTES_PER_S = 10e6 / 8
-# Callers of plain calls and short prompts still get their answers in time.
-_MOST_S = 1.0
+# Longer, and short calls would miss their deadlines.
+_MAX_S = 1.0
 
 
 def _build_state() -> state_copies.FleetState:
@@ -47,40 +46,46 @@
     )
 
 
-def _build_record() -> bytes:
+def _build_catalog_record() -> bytes:
     return json.dumps(configuration.build_config(_ROUTES)).encode()
 
 
 class CatalogCopiesTest(testtools.TestCase):
-    def test_a_zone_has_it_before_its_hub_is_held_up_for_long(self) -> None:
+    def test_a_hub_sends_a_large_catalog_to_its_zone_within_a_second(
+        self,
+    ) -> None:
         async def scenario() -> int:
             hub = _build_state()
-            hub.store.offer(_build_record(), "the test")
-            asker = state_copies.StateTransfer(_build_state())
-            copies = state_copies.StateTransfer(hub)
-            copy = copies.create_copy(asker.create_request(), [])
-            return len(messages.encode_message(copy))
+            hub.store.offer(_build_catalog_record(), "the test")
+            requester = state_copies.StateTransfer(_build_state())
+            sender = state_copies.StateTransfer(hub)
+            reply = sender.create_copy(requester.create_request(), [])
+            return len(messages.encode_message(reply))
 
         size = trio.run(scenario)
-        self.assertLess(_DAEMONS * size / _LINK_BYTES_PER_S, _MOST_S)
+        self.assertLess(_DAEMONS * size / _LINK_BYTES_PER_S, _MAX_S)
 
-    def test_the_copy_is_the_same_configuration(self) -> None:
+    def test_the_reply_holds_the_same_catalog(self) -> None:
         async def scenario() -> None:
             hub, own = _build_state(), _build_state()
-            hub.store.offer(_build_record(), "the test")
-            asker = state_copies.StateTransfer(own)
-            want = asker.create_request()
-            asker.take(state_copies.StateTransfer(hub).create_copy(want, []))
+            hub.store.offer(_build_catalog_record(), "the test")
+            requester = state_copies.StateTransfer(own)
+            request = requester.create_request()
+            requester.take(
+                state_copies.StateTransfer(hub).create_copy(request, [])
+            )
             self.assertEqual(hub.store.table.catalog, own.store.table.catalog)
-            # It can be handed on from there.
+            # The receiver can pass it on.
             self.assertEqual(hub.store.packed, own.store.packed)
 
         trio.run(scenario)
 
-    def test_bytes_that_cannot_be_unpacked_change_nothing(self) -> None:
+    def test_bytes_that_cannot_be_unpacked_do_not_replace_the_catalog(
+        self,
+    ) -> None:
         async def scenario() -> None:
             own = _build_state()
-            own.store.offer(_build_record(), "the test")
+            own.store.offer(_build_catalog_record(), "the test")
             version = own.store.version
             for packed in (b"\xff", own.store.packed[:-9], b"{}"):
                 self.assertFalse(own.store.offer_packed(packed, "a peer"))
--- a/tests/test_fleet/test_links.py
+++ b/tests/test_fleet/test_links.py
@@ -1,4 +1,4 @@
-"""Daemons find each other and hand on what one of them cannot read."""
+"""Tests of the links of a fleet: discovery, state transfer, gossip, quota."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 from tests import serving_builders as builders
 
 _HANG_S = 30.0
-_PACE = pace.GossipIntervals(
+_INTERVALS = pace.GossipIntervals(
     digest_s=0.02,
     min_interval_s=0.005,
     check_s=0.005,
@@ -41,13 +41,12 @@
     silent_s=5.0,
     quota_update_s=0.02,
 )
-# The first ones have the best links.
-_MBPS = 100.0
-_NO_ADDRESSES = ("", "entry-1", "10.0.0.1:", "10.0.0.1:x")
+_MAX_MBPS = 100.0
+_INVALID_ADDRESSES = ("", "entry-1", "10.0.0.1:", "10.0.0.1:x")
 
 
 class _Daemon:
-    """One daemon's links and what they hand on."""
+    """Links of one daemon, with its state and the messages it received."""
 
     def __init__(
         self, number: int, records: builders.FakeRecords, zone: str = "a"
@@ -57,8 +56,8 @@
         self.number = 0
         self.digests: list[messages.Digest] = []
         self.subscribers: set[str] = set()
-        self.notes: list[messages.QuotaUpdate] = []
-        self.asked: list[messages.QuotaRequest] = []
+        self.updates: list[messages.QuotaUpdate] = []
+        self.quota_requests: list[messages.QuotaRequest] = []
         self.reports: list[messages.FleetReport] = []
         self.view = view.FleetView(self.name)
         self.contact = contact.LogContact()
@@ -74,13 +73,20 @@
         state = state_copies.FleetState(
             self.store, self.directory, self.follower, self.contact
         )
-        place = topology.PeerAddress("127.0.0.1:0", zone, _MBPS - number)
-        self.place = place
+        own_address = topology.PeerAddress(
+            "127.0.0.1:0", zone, _MAX_MBPS - number
+        )
+        self.own_address = own_address
         self.links = links.FleetLinks(
-            place, self.view, state, self._digest, _PACE, _PACE
+            own_address,
+            self.view,
+            state,
+            self._create_digest,
+            _INTERVALS,
+            _INTERVALS,
         )
         self.limits = builders.build_runner_limits()
-        self.runner_news = runner_report_gossip.RunnerReportGossip(
+        self.report_gossip = runner_report_gossip.RunnerReportGossip(
             self.limits, self.directory.leaving
         )
         self.links.listeners = links.Listeners(
@@ -88,30 +94,32 @@
             self.reports.append,
             lambda: None,
             lambda digest, _: self.subscribers.add(digest.instance),
-            self._create_units,
-            self.notes.append,
-            self._answer_units,
+            self._create_quota_update,
+            self.updates.append,
+            self._answer_quota_request,
             lambda _: 9,
-            self.runner_news,
+            self.report_gossip,
         )
 
-    def find_place(self) -> topology.PeerAddress:
-        """Return where others reach it."""
-        return dataclasses.replace(self.place, address=self.links.address)
+    def find_address(self) -> topology.PeerAddress:
+        """Return its own address with the port that it listens at."""
+        return dataclasses.replace(self.own_address, address=self.links.address)
 
-    def _create_units(self) -> messages.QuotaUpdate:
+    def _create_quota_update(self) -> messages.QuotaUpdate:
         return messages.QuotaUpdate(
             f"{self.name}.aa", self.links.address, self.number, {}, {}
         )
 
-    async def _answer_units(self, want, reply) -> None:
-        self.asked.append(want)
+    async def _answer_quota_request(self, request, reply) -> None:
+        self.quota_requests.append(request)
         verdict = messages.QuotaVerdict.GRANTED
         reply(
-            messages.QuotaReply(want.number, verdict, member=f"{self.name}.aa")
+            messages.QuotaReply(
+                request.number, verdict, member=f"{self.name}.aa"
+            )
         )
 
-    def _digest(self):
+    def _create_digest(self):
         self.number += 1
         age_s = min(self.contact.age_s, 1000.0)
         return builders.build_digest(
@@ -123,17 +131,17 @@
             catalog_version=self.store.version,
             runners_changed=self.directory.entries.changed_end,
             log_age_ms=int(age_s * 1000),
-            capacity=self.place.capacity,
+            capacity=self.own_address.capacity,
             loads={self.name: messages.LoadEntry(1, 10)},
-            runner_reports=self.runner_news.create_reports(is_hub=False),
+            runner_reports=self.report_gossip.create_reports(is_hub=False),
         )
 
 
 def _introduce(daemons: list[_Daemon]) -> None:
-    """Have all know all."""
+    """Add each daemon's address to all others."""
     for one in daemons:
         for other in daemons:
-            one.links.add_peer(other.find_place())
+            one.links.add_peer(other.find_address())
 
 
 class FleetLinksTest(testtools.TestCase):
@@ -153,55 +161,59 @@
 
         trio.run(run)
 
-    def test_a_daemon_that_knows_one_other_comes_to_know_it_both_ways(
+    def test_two_daemons_get_digests_when_one_knows_the_other(
         self,
     ) -> None:
         async def scenario(daemons: list[_Daemon]) -> None:
             first, second = daemons
-            second.links.add_peer(first.find_place())
+            second.links.add_peer(first.find_address())
             while not (first.view.list_fresh() and second.view.list_fresh()):
                 await trio.sleep(0.01)
 
         self._run(scenario, 2)
 
-    def test_an_announced_address_that_is_none_is_dropped(self) -> None:
+    def test_an_invalid_address_is_dropped_and_other_links_work(self) -> None:
         async def scenario(daemons: list[_Daemon]) -> None:
             first, second = daemons
-            with mock.patch.object(links, "_LOG") as told:
+            with mock.patch.object(links, "_LOG") as log_mock:
                 for _ in range(3):
-                    for address in _NO_ADDRESSES:
-                        peer = topology.PeerAddress(address, "a", _MBPS)
+                    for address in _INVALID_ADDRESSES:
+                        peer = topology.PeerAddress(address, "a", _MAX_MBPS)
                         first.links.add_peer(peer)
                     await trio.sleep(0.05)
-            lines = [call.args[0] for call in told.write.call_args_list]
-            self.assertEqual(len(_NO_ADDRESSES), len(lines), lines)
+            log_lines = [call.args[0] for call in log_mock.write.call_args_list]
+            self.assertEqual(len(_INVALID_ADDRESSES), len(log_lines), log_lines)
             self.assertEqual(0, first.links.count_links())
-            # The links are still kept.
-            second.links.add_peer(first.find_place())
+            # Other links still work.
+            second.links.add_peer(first.find_address())
             while not (first.view.list_fresh() and second.view.list_fresh()):
                 await trio.sleep(0.01)
             self.assertEqual(1, first.links.count_links())
 
         self._run(scenario, 2)
 
-    def test_the_catalog_spreads_to_a_daemon_without_the_log(self) -> None:
+    def test_a_daemon_without_the_log_gets_the_catalog_from_a_peer(
+        self,
+    ) -> None:
         async def scenario(daemons: list[_Daemon]) -> None:
             first, second = daemons
             sink = catalog_sink.CatalogSink(first.store, "config")
             sink.apply_change(ports.KeyedRecord(0, "config", b"3"))
-            second.links.add_peer(first.find_place())
+            second.links.add_peer(first.find_address())
             while second.store.version != 3:
                 await trio.sleep(0.01)
 
         self._run(scenario, 2)
 
-    def test_runners_spread_to_a_daemon_without_the_log(self) -> None:
+    def test_a_daemon_without_the_log_gets_runner_entries_from_a_peer(
+        self,
+    ) -> None:
         async def scenario(daemons: list[_Daemon]) -> None:
             first, second = daemons
             first.contact.note_answer()
             first.directory.apply_change(ports.KeyedRecord(4, "r-1", b"r"))
             first.follower.skip_to(5)
-            second.links.add_peer(first.find_place())
+            second.links.add_peer(first.find_address())
             while not second.directory.list_usable("desk"):
                 first.contact.note_answer()
                 await trio.sleep(0.01)
@@ -209,10 +221,12 @@
 
         self._run(scenario, 2)
 
-    def test_in_a_large_fleet_the_catalog_spreads_without_the_log(self) -> None:
+    def test_in_a_large_fleet_all_daemons_get_the_catalog_without_the_log(
+        self,
+    ) -> None:
         async def scenario(daemons: list[_Daemon]) -> None:
             _introduce(daemons)
-            # Also from a daemon that is no hub.
+            # The source is no hub.
             sink = catalog_sink.CatalogSink(daemons[-1].store, "config")
             sink.apply_change(ports.KeyedRecord(0, "config", b"3"))
             while any(one.store.version != 3 for one in daemons):
@@ -220,7 +234,7 @@
 
         self._run(scenario, 18, 2)
 
-    def test_in_a_large_fleet_what_hubs_read_of_runners_reaches_all(
+    def test_in_a_large_fleet_runner_entries_that_hubs_read_reach_all(
         self,
     ) -> None:
         async def scenario(daemons: list[_Daemon]) -> None:
@@ -259,33 +273,35 @@
 
         self._run(scenario, 18, 2)
 
-    def test_all_hear_of_a_limit_that_one_was_told_and_of_its_end(
+    def test_a_runners_limit_and_its_end_reach_all_daemons(
         self,
     ) -> None:
-        self._spread_limit(3)
+        self._check_limit_reaches_all(3)
 
-    def test_in_a_large_fleet_all_hear_of_a_limit_and_of_its_end(self) -> None:
-        self._spread_limit(18, 2)
+    def test_in_a_large_fleet_a_limit_and_its_end_reach_all_daemons(
+        self,
+    ) -> None:
+        self._check_limit_reaches_all(18, 2)
 
-    def _spread_limit(self, count: int, zones: int = 1) -> None:
-        """Have all hear of a limit, and of its end, that one was told."""
+    def _check_limit_reaches_all(self, count: int, zones: int = 1) -> None:
+        """Check that a limit reported to one daemon, and its end, reach all."""
         runner = builders.build_runner(born_ms=1)
 
         async def scenario(daemons: list[_Daemon]) -> None:
             _introduce(daemons)
-            # In a large fleet it is no hub.
-            told = daemons[-1]
+            # In a large fleet the receiver is no hub.
+            receiver = daemons[-1]
             for limit in (2.0, None):
                 signal = signals.RunnerSignals(limit_per_s=limit)
                 while any(
                     one.limits.is_limited(runner) != (limit is not None)
                     for one in daemons
                 ):
-                    # Each of its answers says so.
+                    # A runner reports the limit in each answer.
                     now = trio.current_time()
-                    told.limits.note_answer(runner, signal, now)
+                    receiver.limits.note_answer(runner, signal, now)
                     await trio.sleep(0.01)
-                # What is told in the same moment counts as older.
+                # A report of the same moment would count as older.
                 await trio.sleep(0.5)
 
         self._run(scenario, count, zones)
@@ -295,7 +311,7 @@
             _introduce(daemons)
             while any(one.view.count_daemons() != 18 for one in daemons):
                 await trio.sleep(0.01)
-            # One's own part is not in what it is told.
+            # A report leaves out the receiver's own load.
             wanted = {f"entry-{n}" for n in range(18)}
             for one in daemons:
                 while not one.reports or set(
@@ -307,73 +323,79 @@
 
         self._run(scenario, 18, 2)
 
-    def test_in_a_large_fleet_a_hub_answers_for_units(self) -> None:
-        # All daemons run in this one process, which may be busy for longer.
+    def test_in_a_large_fleet_a_hub_answers_quota_requests(self) -> None:
+        # All daemons share this process, which may delay replies.
         self.patch(quota_client, "_HEDGE_S", _HANG_S)
         self.patch(quota_client, "_TIMEOUT_S", _HANG_S)
 
         async def scenario(daemons: list[_Daemon]) -> None:
             _introduce(daemons)
-            asker = daemons[-1]
+            requester = daemons[-1]
             # The last one is in the zone of the second, its first hub.
             while (
-                keeper := asker.links.find_quota_hub()
-            ) is None or keeper.member != "entry-1.aa":
+                quota_hub := requester.links.find_quota_hub()
+            ) is None or quota_hub.member != "entry-1.aa":
                 await trio.sleep(0.01)
-            self.assertFalse(asker.links.quota_client.holds_quota_here())
-            wish = terms.AdmissionRequest(500.0, 1)
-            answer = await asker.links.quota_client.ask("florists", wish)
-            self.assertTrue(answer.is_admitted)
-            self.assertEqual("entry-1.aa", answer.kept_at)
-            self.assertEqual("florists", daemons[1].asked[0].team)
+            self.assertFalse(requester.links.quota_client.holds_quota_here())
+            admission = terms.AdmissionRequest(500.0, 1)
+            decision = await requester.links.quota_client.ask(
+                "florists", admission
+            )
+            self.assertTrue(decision.is_admitted)
+            self.assertEqual("entry-1.aa", decision.kept_at)
+            self.assertEqual("florists", daemons[1].quota_requests[0].team)
 
         self._run(scenario, 18, 2)
 
-    def test_another_zones_hub_is_asked_when_the_own_ones_are_silent(
+    def test_another_zones_hub_is_asked_when_the_zones_own_hubs_are_silent(
         self,
     ) -> None:
         async def scenario(daemons: list[_Daemon]) -> None:
             _introduce(daemons)
-            asker = daemons[-1]
-            while not (asker.links.find_quota_hub() and asker.reports):
+            requester = daemons[-1]
+            while not (requester.links.find_quota_hub() and requester.reports):
                 await trio.sleep(0.01)
 
-            async def say_nothing(want, reply) -> None:
-                del want, reply
+            async def send_no_reply(request, reply) -> None:
+                del request, reply
 
             for one in daemons[1:4:2]:
                 one.links.listeners = dataclasses.replace(
-                    one.links.listeners, answer_quota_request=say_nothing
+                    one.links.listeners, answer_quota_request=send_no_reply
                 )
             found = set()
             with trio.move_on_after(5.0):
                 while not found:
-                    answer = await asker.links.quota_client.ask(
+                    decision = await requester.links.quota_client.ask(
                         "florists", terms.AdmissionRequest(500.0)
                     )
-                    found = {answer.kept_at} if answer else set()
+                    found = {decision.kept_at} if decision else set()
             self.assertTrue(found <= {"entry-0.aa", "entry-2.aa"})
             self.assertTrue(found)
 
         self._run(scenario, 18, 2)
 
-    def test_in_a_large_fleet_each_zones_keeper_tells_the_others_of_units(
+    def test_in_a_large_fleet_quota_hubs_send_updates_to_other_zones_hubs(
         self,
     ) -> None:
         async def scenario(daemons: list[_Daemon]) -> None:
             _introduce(daemons)
-            # The second hub of a zone may become its keeper, so it hears too.
-            for number, keeper in ((0, 1), (1, 0), (2, 1), (3, 0)):
-                notes = daemons[number].notes
-                while not any(n.member == f"entry-{keeper}.aa" for n in notes):
+            # A zone's second hub gets updates, as it may become the quota hub.
+            for number, other_hub in ((0, 1), (1, 0), (2, 1), (3, 0)):
+                updates = daemons[number].updates
+                while not any(
+                    n.member == f"entry-{other_hub}.aa" for n in updates
+                ):
                     await trio.sleep(0.01)
             self.assertTrue(daemons[0].links.quota_client.holds_quota_here())
             self.assertFalse(daemons[2].links.quota_client.holds_quota_here())
-            self.assertEqual([], daemons[-1].notes)
+            self.assertEqual([], daemons[-1].updates)
 
         self._run(scenario, 18, 2)
 
-    def test_hubs_hear_what_daemons_of_their_zone_lend(self) -> None:
+    def test_hubs_get_their_zones_digests_and_report_its_members_end(
+        self,
+    ) -> None:
         async def scenario(daemons: list[_Daemon]) -> None:
             _introduce(daemons)
             wanted = {one.name for one in daemons if one.zone == "a"}
--- a/tests/test_fleet/test_order_copies.py
+++ b/tests/test_fleet/test_order_copies.py
@@ -1,4 +1,4 @@
-"""Daemons for which a hub reads the log hear of operators' orders from it."""
+"""Daemons that do not follow the log get rollout orders from a hub."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 
 
 class OrderCopyTest(clocked.ClockedTestCase):
-    def test_a_hub_tells_its_zone_of_the_orders_that_it_has_read(self) -> None:
+    def test_a_hub_reports_the_rollout_orders_that_it_has_read(self) -> None:
         async def scenario() -> None:
             now = trio.current_time()
-            reporter = hub.ZoneHub(zones.ZoneTable())
-            reporter.set_own_digest(builders.build_digest(orders=[_ORDER]), now)
-            listener = builders.build_digest(
+            zone_hub = hub.ZoneHub(zones.ZoneTable())
+            zone_hub.set_own_digest(builders.build_digest(orders=[_ORDER]), now)
+            subscriber = builders.build_digest(
                 member="entry-3.aa",
                 instance="entry-3",
                 address="127.0.0.1:7003",
             )
-            reporter.take(listener, now)
-            reports = reporter.create_reports(_FACTS, now, _SILENT_S)
+            zone_hub.take(subscriber, now)
+            reports = zone_hub.create_reports(_FACTS, now, _SILENT_S)
             raw = messages.encode_message(reports["127.0.0.1:7003"])
             self.assertEqual([_ORDER], messages.decode_message(raw).orders)
 
--- a/tests/test_fleet/test_quota_exchange.py
+++ b/tests/test_fleet/test_quota_exchange.py
@@ -1,4 +1,4 @@
-"""A daemon answers for the units that it keeps, and only for those."""
+"""Tests of answers to quota requests and of delegations of rate shares."""
 
 from __future__ import annotations
 
@@ -14,49 +14,49 @@
 _Verdict = messages.QuotaVerdict
 
 
-class _Links:
-    """What is asked of the links.
+class _FakeLinks:
+    """Fake of `links.FleetLinks`.
 
     Attributes:
-        address: Of this daemon.
-        keeper: Its keeper.
-        is_small: Daemons are linked to all.
+        address: Address of this daemon.
+        quota_hub: The hub that holds its quota.
+        is_small: The fleet is a mesh.
     """
 
     def __init__(self) -> None:
         self.address = "127.0.0.1:7001"
-        self.keeper: zone_mode.Keeper | None = None
+        self.quota_hub: zone_mode.Keeper | None = None
         self.is_small = False
 
     def find_quota_hub(self) -> zone_mode.Keeper | None:
-        """Return the keeper."""
-        return self.keeper
+        """Return the hub that holds this daemon's quota."""
+        return self.quota_hub
 
     def is_mesh(self) -> bool:
-        """Tell whether the fleet is small."""
+        """Return whether the fleet is a mesh."""
         return self.is_small
 
 
-class _Members:
-    """How far the announcements are read."""
+class _FakeFollower:
+    """Fake of the follower of announcements, with its end offset."""
 
     end = 4
 
 
-class UnitNewsTest(clocked.ClockedTestCase):
-    def _build(self, part: float) -> quota_exchange.QuotaExchange:
+class QuotaExchangeTest(clocked.ClockedTestCase):
+    def _build(self, share: float) -> quota_exchange.QuotaExchange:
         records = builders.FakeRecords()
         records.catalogs[b"catalog"] = builders.build_catalog(teams=(_TEAM,))
         store = catalog_store.create_store(records)
         store.offer(b"catalog", "the test")
-        self.part = part
+        self.share = share
         self.rights = refill_shares.RefillShares(
-            lambda: refill_shares.RateShare(self.part, 0.0), 8.0
+            lambda: refill_shares.RateShare(self.share, 0.0), 8.0
         )
-        self.units = quota_ledger.create_quota_ledger(
+        self.ledger = quota_ledger.create_quota_ledger(
             allowance_fleet.BOUNDS, self.rights, lambda: None
         )
-        self.units.refill([_TEAM])
+        self.ledger.refill([_TEAM])
         self.roster = roster.Roster("entry-1")
         for number in range(4):
             self.roster.note_listed(
@@ -65,94 +65,98 @@
                 is_counted=True,
                 zone="a" if number < 2 else "b",
             )
-        self.links = _Links()
+        self.links = _FakeLinks()
         return quota_exchange.QuotaExchange(
             "entry-1.aa",
             "a",
             store,
-            self.units,
-            gate.create_gate(self.units, allowance_fleet.OwnKeeper()),
+            self.ledger,
+            gate.create_gate(self.ledger, allowance_fleet.OwnKeeper()),
             self.roster,
-            _Members(),
+            _FakeFollower(),
             self.links,
         )
 
     async def _ask(
         self,
-        news: quota_exchange.QuotaExchange,
+        exchange: quota_exchange.QuotaExchange,
         units: float,
         team: str = _TEAM.name,
     ) -> list[messages.QuotaVerdict]:
         replies: list[messages.QuotaReply] = []
-        want = messages.QuotaRequest(7, team, units, 0, False, False)
-        await news.answer(want, replies.append)
+        request = messages.QuotaRequest(7, team, units, 0, False, False)
+        await exchange.answer(request, replies.append)
         return [reply.verdict for reply in replies]
 
-    def test_a_daemon_without_a_part_passes_on(self) -> None:
+    def test_a_daemon_without_a_share_passes_a_request_on(self) -> None:
         async def scenario() -> None:
-            news = self._build(0.0)
-            found = await self._ask(news, 100.0)
+            exchange = self._build(0.0)
+            found = await self._ask(exchange, 100.0)
             self.assertEqual([_Verdict.PASSED], found)
 
         self.run_clocked(scenario)
 
-    def test_a_team_that_is_not_known_here_is_passed_on(self) -> None:
+    def test_a_request_for_an_unknown_team_is_passed_on(self) -> None:
         async def scenario() -> None:
-            news = self._build(0.5)
-            found = await self._ask(news, 100.0, "strangers")
+            exchange = self._build(0.5)
+            found = await self._ask(exchange, 100.0, "strangers")
             self.assertEqual([_Verdict.PASSED], found)
 
         self.run_clocked(scenario)
 
-    def test_a_keeper_that_lacks_parts_passes_on_what_it_cannot_grant(
+    def test_a_hub_that_lacks_shares_passes_on_what_it_cannot_grant(
         self,
     ) -> None:
         async def scenario() -> None:
-            news = self._build(0.25)
+            exchange = self._build(0.25)
             await trio.sleep(0.5)
-            self.assertEqual([_Verdict.GRANTED], await self._ask(news, 50.0))
-            found = await self._ask(news, 90_000.0)
+            self.assertEqual(
+                [_Verdict.GRANTED], await self._ask(exchange, 50.0)
+            )
+            found = await self._ask(exchange, 90_000.0)
             self.assertEqual([_Verdict.PASSED], found)
-            # Who has not lent by now is gone.
+            # Daemons that have not delegated by now are down.
             await trio.sleep(3.0)
-            found = await self._ask(news, 90_000.0)
+            found = await self._ask(exchange, 90_000.0)
             self.assertEqual([_Verdict.REFUSED], found)
 
         self.run_clocked(scenario)
 
-    def test_a_keeper_with_its_zones_parts_refuses_at_once(self) -> None:
+    def test_a_hub_with_its_zones_shares_refuses_at_once(self) -> None:
         async def scenario() -> None:
-            news = self._build(0.5)
+            exchange = self._build(0.5)
             await trio.sleep(0.5)
-            found = await self._ask(news, 90_000.0)
+            found = await self._ask(exchange, 90_000.0)
             self.assertEqual([_Verdict.REFUSED], found)
 
         self.run_clocked(scenario)
 
-    def test_a_small_fleets_daemon_lacks_nobodys_parts(self) -> None:
+    def test_a_daemon_of_a_small_fleet_lacks_no_shares(self) -> None:
         async def scenario() -> None:
-            news = self._build(0.25)
-            self.assertTrue(news.lacks_shares())
+            exchange = self._build(0.25)
+            self.assertTrue(exchange.lacks_shares())
             self.links.is_small = True
-            self.assertFalse(news.lacks_shares())
+            self.assertFalse(exchange.lacks_shares())
 
         self.run_clocked(scenario)
 
-    def test_a_part_is_lent_to_the_keeper_and_ends_at_it_first(self) -> None:
+    def test_a_share_is_delegated_to_the_hub_and_to_no_other_process(
+        self,
+    ) -> None:
         async def scenario() -> None:
-            lender = self._build(0.25)
+            delegator = self._build(0.25)
             await trio.sleep(0.1)
-            self.assertIsNone(lender.create_delegation())
-            self.links.keeper = zone_mode.Keeper("entry-0.bb", "h:1", 9)
-            self.assertTrue(lender.has_share_to_delegate())
-            line = lender.create_delegation()
-            self.assertEqual(("entry-0.bb", 9), (line.receiver, line.heard))
-            self.assertFalse(lender.has_share_to_delegate())
+            self.assertIsNone(delegator.create_delegation())
+            self.links.quota_hub = zone_mode.Keeper("entry-0.bb", "h:1", 9)
+            self.assertTrue(delegator.has_share_to_delegate())
+            entry = delegator.create_delegation()
+            self.assertEqual(("entry-0.bb", 9), (entry.receiver, entry.heard))
+            self.assertFalse(delegator.has_share_to_delegate())
             digest = builders.build_digest(
-                member="entry-1.aa", instance="entry-1", loan=line
+                member="entry-1.aa", instance="entry-1", loan=entry
             )
             hub = self._build(0.0)
-            # It is meant for another process.
+            # The delegation names another process as its receiver.
             hub.apply_subscriber_digest(digest, trio.current_time())
             self.assertEqual(0.0, self.rights.find_usable_share())
 
--- a/tests/test_fleet/test_state_copies.py
+++ b/tests/test_fleet/test_state_copies.py
@@ -1,4 +1,4 @@
-"""A peer's copy makes entries as young as they were at the peer."""
+"""Runner entries from a peer get the age that they had at the peer."""
 
 from __future__ import annotations
 
@@ -33,31 +33,32 @@
 
 
 class StateCopiesTest(clocked.ClockedTestCase):
-    def test_age_counts_from_the_question_that_the_copy_answers(self) -> None:
+    def test_age_counts_from_the_request_that_the_reply_answers(self) -> None:
         async def scenario() -> None:
             own, other = _build_state(), _build_state()
-            asker = state_copies.StateTransfer(own)
+            requester = state_copies.StateTransfer(own)
             peer = state_copies.StateTransfer(other)
             now = trio.current_time()
             other.runner_follower.skip_to(5)
             other.runner_follower.copy_age.confirmed_at = now - 0.3
-            first = peer.create_copy(asker.create_request(), [])
+            first_reply = peer.create_copy(requester.create_request(), [])
             await trio.sleep(2.0)
-            asker.create_request()
-            # The first answer is late; the second question does not count.
-            asker.take(first)
+            requester.create_request()
+            # The first reply is late; its age must not count from the last
+            # request.
+            requester.take(first_reply)
             age_s = own.runner_follower.copy_age.age_s
             self.assertAlmostEqual(2.3, age_s)
 
         self.run_clocked(scenario)
 
-    def test_an_answer_to_nothing_that_was_asked_makes_nothing_younger(
+    def test_a_reply_to_no_request_makes_no_copy_newer(
         self,
     ) -> None:
         async def scenario() -> None:
             own = _build_state()
-            asker = state_copies.StateTransfer(own)
-            asker.take(messages.StateReply(b"", 5, [], [], [], 10, 0, 44))
+            requester = state_copies.StateTransfer(own)
+            requester.take(messages.StateReply(b"", 5, [], [], [], 10, 0, 44))
             self.assertIsNone(own.runner_follower.copy_age.note_use())
 
         self.run_clocked(scenario)
