--- a/packages/daemon/src/martenquay_daemon/fleet/quota_exchange.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/quota_exchange.py
@@ -72,7 +72,7 @@
         self._members_end = 0
         self._lacking_since = math.inf
 
-    def create_note(self) -> messages.QuotaUpdate:
+    def create_update(self) -> messages.QuotaUpdate:
         """Return the next update for other daemons that hold quota."""
         self._number += 1
         self._update_times.note(self._number)
--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -363,7 +363,7 @@
             self._shared.apply_report,
             self._shared.change_mode,
             self._unit_news.apply_subscriber_digest,
-            self._unit_news.create_note,
+            self._unit_news.create_update,
             self._unit_news.apply_update,
             self._unit_news.answer,
             self._unit_news.find_zone_end,
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -362,7 +362,7 @@
             return
         self._noted_at = now
         self._is_hurried = False
-        note = self._news.create_note()
+        note = self._news.create_update()
         for address in self._zone.list_other_quota_hubs():
             self._tell(address, note)
 
