--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -282,7 +282,7 @@
                 self._handle_report(message)
             case messages.StateRequest():
                 reply(
-                    self._state_transfer.create_copy(
+                    self._state_transfer.create_reply(
                         message, self._list_peers()
                     )
                 )
--- a/packages/daemon/src/martenquay_daemon/fleet/state_copies.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/state_copies.py
@@ -87,7 +87,7 @@
         # copy does not count as complete.
         self._lacks_entries = False
 
-    def create_copy(
+    def create_reply(
         self, request: messages.StateRequest, peers: list[messages.PeerEntry]
     ) -> messages.StateReply:
         """Return a reply with the state that the requester lacks."""
--- a/tests/entry_world.py
+++ b/tests/entry_world.py
@@ -80,7 +80,7 @@
     async def copy_from(self, other: Daemon, delay_s: float) -> None:
         """Ask another daemon and take its copy, `delay_s` later."""
         want = self.copies.create_request()
-        answer = other.copies.create_copy(want, [])
+        answer = other.copies.create_reply(want, [])
         await trio.sleep(delay_s)
         self.copies.take(answer)
 
--- a/tests/test_fleet/test_catalog_copies.py
+++ b/tests/test_fleet/test_catalog_copies.py
@@ -59,7 +59,7 @@
             hub.store.offer(_build_catalog_record(), "the test")
             requester = state_copies.StateTransfer(_build_state())
             sender = state_copies.StateTransfer(hub)
-            reply = sender.create_copy(requester.create_request(), [])
+            reply = sender.create_reply(requester.create_request(), [])
             return len(messages.encode_message(reply))
 
         size = trio.run(scenario)
@@ -72,7 +72,7 @@
             requester = state_copies.StateTransfer(own)
             request = requester.create_request()
             requester.take(
-                state_copies.StateTransfer(hub).create_copy(request, [])
+                state_copies.StateTransfer(hub).create_reply(request, [])
             )
             self.assertEqual(hub.store.table.catalog, own.store.table.catalog)
             # The receiver can pass it on.
--- a/tests/test_fleet/test_state_copies.py
+++ b/tests/test_fleet/test_state_copies.py
@@ -41,7 +41,7 @@
             now = trio.current_time()
             other.runner_follower.skip_to(5)
             other.runner_follower.copy_age.confirmed_at = now - 0.3
-            first_reply = peer.create_copy(requester.create_request(), [])
+            first_reply = peer.create_reply(requester.create_request(), [])
             await trio.sleep(2.0)
             requester.create_request()
             # The first reply is late; its age must not count from the last
