--- a/packages/daemon/src/martenquay_daemon/fleet/hub.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/hub.py
@@ -173,7 +173,7 @@
             begun=part.begun,
             demand=part.demand,
             reading=part.reading,
-            trials=trial_lines.write_trials(part.trials),
+            trials=trial_lines.encode_trials(part.trials),
         )
 
 
--- a/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
@@ -138,7 +138,7 @@
                 service: _encode_prefill(sums)
                 for service, sums in sources.estimates.list_own().items()
             },
-            trials=trial_lines.write_trials(sources.trials.list_own()),
+            trials=trial_lines.encode_trials(sources.trials.list_own()),
             orders=[
                 _encode_order(rollout)
                 for rollout in sources.orders.list_recent()
@@ -159,7 +159,7 @@
             digest.member, _decode_prefills(digest.reading)
         )
         sources.trials.replace_source(
-            digest.member, trial_lines.read_trials(digest.trials)
+            digest.member, trial_lines.decode_trials(digest.trials)
         )
         self._apply_orders(digest.orders)
         sources.listed.note_read_end(digest.instance, digest.members_end)
@@ -174,8 +174,8 @@
         sources.estimates.replace_source(
             _FLEET, _decode_prefills(report.reading)
         )
-        zones = [trial_lines.read_trials(one.trials) for one in report.zones]
-        sources.trials.replace_source(_FLEET, trial_lines.add_trials(zones))
+        zones = [trial_lines.decode_trials(one.trials) for one in report.zones]
+        sources.trials.replace_source(_FLEET, trial_lines.merge_trials(zones))
         self._apply_orders(report.orders)
         if sources.quota_exchange.has_share_to_delegate():
             # Nobody uses this daemon's share until a digest delegates it.
--- a/packages/daemon/src/martenquay_daemon/fleet/trial_lines.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/trial_lines.py
@@ -10,10 +10,10 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-__all__ = ["add_trials", "read_trials", "write_trials"]
+__all__ = ["merge_trials", "decode_trials", "encode_trials"]
 
 
-def write_trials(
+def encode_trials(
     trials: dict[str, tallies.Trial],
 ) -> dict[str, messages.TrialEntry]:
     """Return the entries of trials, by service."""
@@ -29,7 +29,7 @@
     }
 
 
-def read_trials(
+def decode_trials(
     entries: dict[str, messages.TrialEntry],
 ) -> dict[str, tallies.Trial]:
     """Return the trials of entries, by service."""
@@ -47,7 +47,7 @@
     }
 
 
-def add_trials(
+def merge_trials(
     several: Iterable[dict[str, tallies.Trial]],
 ) -> dict[str, tallies.Trial]:
     """Return the sums by service, of each service's newest order only."""
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_aggregator.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_aggregator.py
@@ -204,8 +204,8 @@
 
 
 def _add_trials(members: Iterable[_Member]) -> dict[str, tallies.Trial]:
-    return trial_lines.add_trials(
-        trial_lines.read_trials(known.digest.trials) for known in members
+    return trial_lines.merge_trials(
+        trial_lines.decode_trials(known.digest.trials) for known in members
     )
 
 
