--- a/bench/runner_needs.py
+++ b/bench/runner_needs.py
@@ -33,7 +33,7 @@
             limited.lines = (b"server-limit: 1",)
         if need in {"one leaves", "all of these"}:
             leaving.lines = (b"server-leaving: 1",)
-        await fleet.press(_PER_DAEMON_S, _LASTS_S)
+        await fleet.send_load(_PER_DAEMON_S, _LASTS_S)
         statuses = collections.Counter(one.status for one in fleet.replies)
         turned_away = sum(
             arrival.is_refused
--- a/tests/telling_fleet.py
+++ b/tests/telling_fleet.py
@@ -40,7 +40,7 @@
     runners: list[telling_runner.TellingRunner]
     replies: list[serving_scene.Reply] = dataclasses.field(default_factory=list)
 
-    async def press(self, per_daemon_s: float, duration_s: float) -> None:
+    async def send_load(self, per_daemon_s: float, duration_s: float) -> None:
         """Send requests to each daemon at a rate, for a duration.
 
         Args:
--- a/tests/test_promises/test_leaving_in_answers.py
+++ b/tests/test_promises/test_leaving_in_answers.py
@@ -28,9 +28,9 @@
         async def scenario(fleet: telling_fleet.TellingFleet) -> None:
             leaving = fleet.runners[0]
             leaving.lines = _LEAVES
-            await fleet.press(_PER_DAEMON_S, _PRESS_S)
+            await fleet.send_load(_PER_DAEMON_S, _PRESS_S)
             since = trio.current_time()
-            await fleet.press(_PER_DAEMON_S, _PRESS_S)
+            await fleet.send_load(_PER_DAEMON_S, _PRESS_S)
             late = [a for a in leaving.arrivals if a.at > since + _SETTLED_S]
             self.assertEqual([], late)
             self.assertEqual({200}, {one.status for one in fleet.replies})
@@ -41,10 +41,10 @@
         async def scenario(fleet: telling_fleet.TellingFleet) -> None:
             leaving = fleet.runners[0]
             leaving.lines = _LEAVES
-            await fleet.press(_PER_DAEMON_S, _PRESS_S)
+            await fleet.send_load(_PER_DAEMON_S, _PRESS_S)
             fleet.put_entry(0, slots=7)
             since = trio.current_time()
-            await fleet.press(_PER_DAEMON_S, _PRESS_S)
+            await fleet.send_load(_PER_DAEMON_S, _PRESS_S)
             late = [a for a in leaving.arrivals if a.at > since + _SETTLED_S]
             self.assertEqual([], late)
 
@@ -54,11 +54,11 @@
         async def scenario(fleet: telling_fleet.TellingFleet) -> None:
             runner = fleet.runners[0]
             runner.lines = _LEAVES
-            await fleet.press(_PER_DAEMON_S, _PRESS_S)
+            await fleet.send_load(_PER_DAEMON_S, _PRESS_S)
             runner.lines = ()
             fleet.put_entry(0, born_ms=2)
             since = trio.current_time()
-            await fleet.press(_PER_DAEMON_S, _PRESS_S)
+            await fleet.send_load(_PER_DAEMON_S, _PRESS_S)
             self.assertTrue([a for a in runner.arrivals if a.at > since])
 
         self.run_fleet(scenario)
@@ -67,7 +67,7 @@
         async def scenario(fleet: telling_fleet.TellingFleet) -> None:
             for runner in fleet.runners:
                 runner.lines = _LEAVES
-            await fleet.press(_PER_DAEMON_S, _PRESS_S)
+            await fleet.send_load(_PER_DAEMON_S, _PRESS_S)
             since = trio.current_time()
             reply = await fleet.daemons[0].ask()
             self.assertEqual(503, reply.status)
--- a/tests/test_promises/test_runner_limit.py
+++ b/tests/test_promises/test_runner_limit.py
@@ -34,7 +34,7 @@
             limited = fleet.runners[0]
             limited.lines = (b"server-limit: 1",)
             since = trio.current_time()
-            await fleet.press(_PER_DAEMON_S, _CONTACT_S + 3 * _WINDOW_S)
+            await fleet.send_load(_PER_DAEMON_S, _CONTACT_S + 3 * _WINDOW_S)
             most = limited.count_most(_WINDOW_S, since + _CONTACT_S)
             self.assertLessEqual(most, _MOST)
             # It is not given up either.
@@ -45,7 +45,7 @@
     def test_others_serve_what_it_does_not_take(self) -> None:
         async def scenario(fleet: telling_fleet.TellingFleet) -> None:
             fleet.runners[0].lines = (b"server-limit: 1",)
-            await fleet.press(_PER_DAEMON_S, _CONTACT_S)
+            await fleet.send_load(_PER_DAEMON_S, _CONTACT_S)
             statuses = {reply.status for reply in fleet.replies}
             self.assertEqual({200}, statuses)
 
@@ -55,9 +55,9 @@
         async def scenario(fleet: telling_fleet.TellingFleet) -> None:
             limited = fleet.runners[0]
             limited.lines = (b"server-limit: 1",)
-            await fleet.press(_PER_DAEMON_S, _CONTACT_S)
+            await fleet.send_load(_PER_DAEMON_S, _CONTACT_S)
             limited.lines = ()
-            await fleet.press(_PER_DAEMON_S, 2 * _CONTACT_S)
+            await fleet.send_load(_PER_DAEMON_S, 2 * _CONTACT_S)
             last = trio.current_time() - _CONTACT_S
             counts = [
                 sum(arrival.at > last for arrival in runner.arrivals)
--- a/tests/test_promises/test_runner_rest.py
+++ b/tests/test_promises/test_runner_rest.py
@@ -39,7 +39,7 @@
     def test_a_daemon_that_was_told_keeps_away(self) -> None:
         async def scenario(fleet: telling_fleet.TellingFleet) -> None:
             fleet.runners[0].refusal = _RESTS
-            await fleet.press(_PER_DAEMON_S, 2.5 * _REST_S)
+            await fleet.send_load(_PER_DAEMON_S, 2.5 * _REST_S)
             self.assertLessEqual(_count_most(fleet.runners[0]), _MOST)
             self.assertEqual({200}, {one.status for one in fleet.replies})
 
@@ -49,9 +49,9 @@
         async def scenario(fleet: telling_fleet.TellingFleet) -> None:
             runner = fleet.runners[0]
             runner.refusal = _RESTS
-            await fleet.press(_PER_DAEMON_S, 0.5)
+            await fleet.send_load(_PER_DAEMON_S, 0.5)
             runner.refusal = None
-            await fleet.press(_PER_DAEMON_S, 2 * _REST_S)
+            await fleet.send_load(_PER_DAEMON_S, 2 * _REST_S)
             last = trio.current_time() - _REST_S
             recent = [one for one in runner.arrivals if one.at > last]
             # More than the requests that only try whether it takes one.
@@ -63,7 +63,7 @@
         async def scenario(fleet: telling_fleet.TellingFleet) -> None:
             runner = fleet.runners[0]
             runner.refusal = _RESTS
-            await fleet.press(_PER_DAEMON_S, 2 * _REST_S + 1.0)
+            await fleet.send_load(_PER_DAEMON_S, 2 * _REST_S + 1.0)
             refused = [one for one in runner.arrivals if one.is_refused]
             # The first ones, and one each time that the rest is over.
             self.assertLessEqual(len(refused), 2 + 2)
@@ -74,7 +74,7 @@
         async def scenario(fleet: telling_fleet.TellingFleet) -> None:
             for runner in fleet.runners:
                 runner.refusal = _RESTS
-            await fleet.press(_PER_DAEMON_S, 0.5)
+            await fleet.send_load(_PER_DAEMON_S, 0.5)
             fleet.replies.clear()
             before = sum(len(one.arrivals) for one in fleet.runners)
             since = trio.current_time()
