--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -294,7 +294,7 @@
                 if self.listeners is not None:
                     self.listeners.apply_quota_update(message)
             case messages.StateReply():
-                self._state_transfer.take(message)
+                self._state_transfer.apply_reply(message)
                 for entry in message.peers:
                     self.add_peer(
                         topology.PeerAddress(
--- a/packages/daemon/src/martenquay_daemon/fleet/state_copies.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/state_copies.py
@@ -118,7 +118,7 @@
             state.store.version, runners_end, self._requests
         )
 
-    def take(self, reply: messages.StateReply) -> None:
+    def apply_reply(self, reply: messages.StateReply) -> None:
         """Apply a peer's reply."""
         state = self._state
         if reply.catalog:
--- a/tests/entry_world.py
+++ b/tests/entry_world.py
@@ -82,7 +82,7 @@
         want = self.copies.create_request()
         answer = other.copies.create_reply(want, [])
         await trio.sleep(delay_s)
-        self.copies.take(answer)
+        self.copies.apply_reply(answer)
 
     def list_usable(self) -> set[str]:
         """Return the runners that may get work."""
--- a/tests/test_fleet/test_catalog_copies.py
+++ b/tests/test_fleet/test_catalog_copies.py
@@ -71,7 +71,7 @@
             hub.store.offer(_build_catalog_record(), "the test")
             requester = state_copies.StateTransfer(own)
             request = requester.create_request()
-            requester.take(
+            requester.apply_reply(
                 state_copies.StateTransfer(hub).create_reply(request, [])
             )
             self.assertEqual(hub.store.table.catalog, own.store.table.catalog)
--- a/tests/test_fleet/test_state_copies.py
+++ b/tests/test_fleet/test_state_copies.py
@@ -46,7 +46,7 @@
             requester.create_request()
             # The first reply is late; its age must not count from the last
             # request.
-            requester.take(first_reply)
+            requester.apply_reply(first_reply)
             age_s = own.runner_follower.copy_age.age_s
             self.assertAlmostEqual(2.3, age_s)
 
@@ -58,7 +58,9 @@
         async def scenario() -> None:
             own = _build_state()
             requester = state_copies.StateTransfer(own)
-            requester.take(messages.StateReply(b"", 5, [], [], [], 10, 0, 44))
+            requester.apply_reply(
+                messages.StateReply(b"", 5, [], [], [], 10, 0, 44)
+            )
             self.assertIsNone(own.runner_follower.copy_age.note_use())
 
         self.run_clocked(scenario)
