--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -36,8 +36,8 @@
     quota_exchange,
     roster,
     runner_report_gossip,
-    shared_state,
     state_copies,
+    state_gossip,
     topology,
     view,
 )
@@ -333,14 +333,14 @@
         news = runner_report_gossip.RunnerReportGossip(
             self._backpressure.limits, self._backpressure.leaving
         )
-        self._shared = shared_state.StateGossip(
-            shared_state.Identity(
+        self._shared = state_gossip.StateGossip(
+            state_gossip.Identity(
                 self.member,
                 settings.instance,
                 settings.zone,
                 settings.link_mbps,
             ),
-            shared_state.StateSources(
+            state_gossip.StateSources(
                 store=self._store,
                 directory=self._directory,
                 contact=self._contact,
