--- a/packages/daemon/src/martenquay_daemon/fleet/hub.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/hub.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from martenquay_daemon.fleet import messages, trial_lines, zone_aggregator
+from martenquay_daemon.fleet import messages, trial_entries, zone_aggregator
 
 if TYPE_CHECKING:
     from martenquay_daemon.fleet import zones
@@ -173,7 +173,7 @@
             begun=part.begun,
             demand=part.demand,
             reading=part.reading,
-            trials=trial_lines.encode_trials(part.trials),
+            trials=trial_entries.encode_trials(part.trials),
         )
 
 
--- a/packages/daemon/src/martenquay_daemon/fleet/state_gossip.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/state_gossip.py
@@ -7,7 +7,7 @@
 
 from martenquay_core.serving import rollouts
 from martenquay_daemon.engines import loads, model
-from martenquay_daemon.fleet import messages, trial_lines
+from martenquay_daemon.fleet import messages, trial_entries
 
 if TYPE_CHECKING:
     from martenquay_daemon.discovery import (
@@ -138,7 +138,7 @@
                 service: _encode_prefill(sums)
                 for service, sums in sources.estimates.list_own().items()
             },
-            trials=trial_lines.encode_trials(sources.trials.list_own()),
+            trials=trial_entries.encode_trials(sources.trials.list_own()),
             orders=[
                 _encode_order(rollout)
                 for rollout in sources.orders.list_recent()
@@ -159,7 +159,7 @@
             digest.member, _decode_prefills(digest.reading)
         )
         sources.trials.replace_source(
-            digest.member, trial_lines.decode_trials(digest.trials)
+            digest.member, trial_entries.decode_trials(digest.trials)
         )
         self._apply_orders(digest.orders)
         sources.listed.note_read_end(digest.instance, digest.members_end)
@@ -174,8 +174,10 @@
         sources.estimates.replace_source(
             _FLEET, _decode_prefills(report.reading)
         )
-        zones = [trial_lines.decode_trials(one.trials) for one in report.zones]
-        sources.trials.replace_source(_FLEET, trial_lines.merge_trials(zones))
+        zones = [
+            trial_entries.decode_trials(one.trials) for one in report.zones
+        ]
+        sources.trials.replace_source(_FLEET, trial_entries.merge_trials(zones))
         self._apply_orders(report.orders)
         if sources.quota_exchange.has_share_to_delegate():
             # Nobody uses this daemon's share until a digest delegates it.
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_aggregator.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_aggregator.py
@@ -5,7 +5,7 @@
 import dataclasses
 from typing import TYPE_CHECKING
 
-from martenquay_daemon.fleet import messages, trial_lines
+from martenquay_daemon.fleet import messages, trial_entries
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
@@ -204,8 +204,8 @@
 
 
 def _add_trials(members: Iterable[_Member]) -> dict[str, tallies.Trial]:
-    return trial_lines.merge_trials(
-        trial_lines.decode_trials(known.digest.trials) for known in members
+    return trial_entries.merge_trials(
+        trial_entries.decode_trials(known.digest.trials) for known in members
     )
 
 
--- a/tests/test_rollouts/test_judging.py
+++ b/tests/test_rollouts/test_judging.py
@@ -7,7 +7,7 @@
 import msgspec
 import testtools
 
-from martenquay_daemon.fleet import trial_lines
+from martenquay_daemon.fleet import trial_entries
 from martenquay_daemon.rollouts import plan, registry, tallies, verdict
 from tests import clocked, rollout_days
 
@@ -124,10 +124,10 @@
 
     def test_what_is_told_adds_up_to_what_was_counted(self) -> None:
         tables = [self._draw(seed) for seed in range(8)]
-        raw = [trial_lines.encode_trials(one.list_own()) for one in tables]
-        told = [trial_lines.decode_trials(lines) for lines in raw]
+        raw = [trial_entries.encode_trials(one.list_own()) for one in tables]
+        told = [trial_entries.decode_trials(lines) for lines in raw]
         one = tallies.TallyTable()
-        one.replace_source("fleet", trial_lines.merge_trials(told))
+        one.replace_source("fleet", trial_entries.merge_trials(told))
         found = one.find("model", 7).find_total()
         counted = [t.find("model", 7).find_total() for t in tables]
         self.assertEqual(
@@ -145,6 +145,6 @@
 
     def test_a_fleet_of_400_tells_it_within_its_bytes(self) -> None:
         # 5 KB/s are for all control; a digest goes out twice a second.
-        raw = trial_lines.encode_trials(self._draw(1).list_own())
+        raw = trial_entries.encode_trials(self._draw(1).list_own())
         size = len(msgspec.msgpack.encode(raw))
         self.assertLess(2 * size, 500)
