--- a/bench/fleet_cost.py
+++ b/bench/fleet_cost.py
@@ -13,8 +13,7 @@
 from tests import serving_builders as builders
 
 from bench import figures
-from martenquay_daemon.fleet import hub, messages, topology, zones
-from martenquay_daemon.fleet import pace as paces
+from martenquay_daemon.fleet import hub, messages, timing, topology, zones
 
 _SIZES = (8, 80, 400)
 _TEAMS = 16
@@ -124,15 +123,15 @@
 def _describe(size: int) -> list[str]:
     cost = _measure_zone(size)
     if size <= topology.FULL_MESH + 1:
-        pace = paces.MESH_PACE
-        told = cost.digest_bytes * (size - 1) / pace.digest_s
+        intervals = timing.MESH_PACE
+        told = cost.digest_bytes * (size - 1) / intervals.digest_s
         sent = f"{told / 1000:.1f}"
         return [str(size), str(cost.digest_bytes), "-", sent, sent, *"----"]
-    pace = paces.ZONE_PACE
-    report_s = pace.find_report_s(cost.report_bytes)
+    intervals = timing.ZONE_PACE
+    report_s = intervals.find_report_s(cost.report_bytes)
     members = size // _ZONES
     hubs = 2
-    told = cost.digest_bytes * hubs / pace.digest_s
+    told = cost.digest_bytes * hubs / intervals.digest_s
     heard = cost.report_bytes * hubs / report_s
     hub_out = cost.report_bytes * members / report_s
     hub_out += cost.exchange_bytes * hubs * (_ZONES - 1) / report_s
--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -19,9 +19,9 @@
 from martenquay_core.peers import sockets
 from martenquay_daemon.fleet import (
     messages,
-    pace,
     quota_client,
     state_copies,
+    timing,
     topology,
     zone_mode,
 )
@@ -105,8 +105,8 @@
         fleet: view.FleetView,
         state: state_copies.FleetState,
         create_digest: Callable[[], messages.Digest],
-        mesh_intervals: pace.GossipIntervals = pace.MESH_PACE,
-        zone_intervals: pace.GossipIntervals = pace.ZONE_PACE,
+        mesh_intervals: timing.GossipIntervals = timing.MESH_PACE,
+        zone_intervals: timing.GossipIntervals = timing.ZONE_PACE,
         *,
         announced: str | None = None,
     ) -> None:
@@ -419,15 +419,17 @@
         if self.listeners is not None:
             self.listeners.change_mode()
 
-    def _get_intervals(self) -> pace.GossipIntervals:
+    def _get_intervals(self) -> timing.GossipIntervals:
         return self._mesh_intervals if self.is_mesh() else self._zone_intervals
 
-    def _find_silence_timeout(self, intervals: pace.GossipIntervals) -> float:
+    def _find_silence_timeout(self, intervals: timing.GossipIntervals) -> float:
         if self.is_mesh():
             return intervals.silent_s
-        return max(intervals.silent_s, pace.LOST_REPORTS * self._zone.report_s)
+        return max(
+            intervals.silent_s, timing.LOST_REPORTS * self._zone.report_s
+        )
 
-    def _is_digest_due(self, intervals: pace.GossipIntervals) -> bool:
+    def _is_digest_due(self, intervals: timing.GossipIntervals) -> bool:
         due_s = (
             intervals.min_interval_s
             if self._digest_wake.is_set()
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Iterator
 
-    from martenquay_daemon.fleet import pace, view
+    from martenquay_daemon.fleet import timing, view
 
 __all__ = ["Keeper", "Outgoing", "ZoneMode"]
 
@@ -95,7 +95,7 @@
         place: topology.PeerAddress,
         fleet: view.FleetView,
         state: state_copies.FleetState,
-        zone_pace: pace.GossipIntervals,
+        zone_pace: timing.GossipIntervals,
     ) -> None:
         self.is_hub = False
         self.find_members_end: Callable[[], int] = lambda: 0
--- a/tests/test_fleet/test_links.py
+++ b/tests/test_fleet/test_links.py
@@ -20,10 +20,10 @@
 from martenquay_daemon.fleet import (
     links,
     messages,
-    pace,
     quota_client,
     runner_report_gossip,
     state_copies,
+    timing,
     topology,
     view,
 )
@@ -31,7 +31,7 @@
 from tests import serving_builders as builders
 
 _HANG_S = 30.0
-_INTERVALS = pace.GossipIntervals(
+_INTERVALS = timing.GossipIntervals(
     digest_s=0.02,
     min_interval_s=0.005,
     check_s=0.005,
--- a/tests/test_fleet/test_zone_mode.py
+++ b/tests/test_fleet/test_zone_mode.py
@@ -14,8 +14,8 @@
 )
 from martenquay_daemon.fleet import (
     messages,
-    pace,
     state_copies,
+    timing,
     topology,
     view,
     zone_mode,
@@ -53,7 +53,7 @@
         self.follower = follower
         fleet = view.FleetView("entry-9")
         fleet.is_mesh = False
-        return zone_mode.ZoneMode(place, fleet, state, pace.ZONE_PACE)
+        return zone_mode.ZoneMode(place, fleet, state, timing.ZONE_PACE)
 
     def _report(self, one: zone_mode.ZoneMode, number: int, age_ms: int):
         summary = builders.build_summary(
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -22,11 +22,11 @@
 )
 from martenquay_daemon.fleet import (
     messages,
-    pace,
     quota_client,
     quota_exchange,
     roster,
     state_copies,
+    timing,
     topology,
     view,
     zone_mode,
@@ -41,7 +41,7 @@
 
 __all__ = ["Announced", "FleetRecord", "ZoneDaemon"]
 
-_PACE = pace.ZONE_PACE
+_PACE = timing.ZONE_PACE
 # As in `quota_client`, by which a real daemon asks.
 _HEDGE_S = 0.04
 _LONGEST_S = 0.2
