--- a/bench/fleet_cost.py
+++ b/bench/fleet_cost.py
@@ -123,11 +123,11 @@
 def _describe(size: int) -> list[str]:
     cost = _measure_zone(size)
     if size <= topology.FULL_MESH + 1:
-        intervals = timing.MESH_PACE
+        intervals = timing.MESH_INTERVALS
         told = cost.digest_bytes * (size - 1) / intervals.digest_s
         sent = f"{told / 1000:.1f}"
         return [str(size), str(cost.digest_bytes), "-", sent, sent, *"----"]
-    intervals = timing.ZONE_PACE
+    intervals = timing.ZONE_INTERVALS
     report_s = intervals.find_report_s(cost.report_bytes)
     members = size // _ZONES
     hubs = 2
--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -105,8 +105,8 @@
         fleet: view.FleetView,
         state: state_copies.FleetState,
         create_digest: Callable[[], messages.Digest],
-        mesh_intervals: timing.GossipIntervals = timing.MESH_PACE,
-        zone_intervals: timing.GossipIntervals = timing.ZONE_PACE,
+        mesh_intervals: timing.GossipIntervals = timing.MESH_INTERVALS,
+        zone_intervals: timing.GossipIntervals = timing.ZONE_INTERVALS,
         *,
         announced: str | None = None,
     ) -> None:
--- a/packages/daemon/src/martenquay_daemon/fleet/timing.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/timing.py
@@ -4,7 +4,12 @@
 
 import dataclasses
 
-__all__ = ["LOST_REPORTS", "MESH_PACE", "ZONE_PACE", "GossipIntervals"]
+__all__ = [
+    "LOST_REPORTS",
+    "MESH_INTERVALS",
+    "ZONE_INTERVALS",
+    "GossipIntervals",
+]
 
 
 @dataclasses.dataclass(frozen=True)
@@ -41,7 +46,7 @@
 
 # A mesh has no reports; the report fields are unused there. Four digests may be
 # lost in a row before a daemon counts as silent.
-MESH_PACE = GossipIntervals(
+MESH_INTERVALS = GossipIntervals(
     digest_s=0.25,
     min_interval_s=0.04,
     check_s=0.04,
@@ -53,7 +58,7 @@
 )
 # Reports and the daemon's own digests together stay below the 5 KB/s per daemon
 # that control traffic may use.
-ZONE_PACE = GossipIntervals(
+ZONE_INTERVALS = GossipIntervals(
     digest_s=0.5,
     min_interval_s=0.15,
     check_s=0.1,
--- a/tests/test_fleet/test_zone_mode.py
+++ b/tests/test_fleet/test_zone_mode.py
@@ -53,7 +53,7 @@
         self.follower = follower
         fleet = view.FleetView("entry-9")
         fleet.is_mesh = False
-        return zone_mode.ZoneMode(place, fleet, state, timing.ZONE_PACE)
+        return zone_mode.ZoneMode(place, fleet, state, timing.ZONE_INTERVALS)
 
     def _report(self, one: zone_mode.ZoneMode, number: int, age_ms: int):
         summary = builders.build_summary(
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -41,7 +41,7 @@
 
 __all__ = ["Announced", "FleetRecord", "ZoneDaemon"]
 
-_PACE = timing.ZONE_PACE
+_PACE = timing.ZONE_INTERVALS
 # As in `quota_client`, by which a real daemon asks.
 _HEDGE_S = 0.04
 _LONGEST_S = 0.2
