--- a/packages/daemon/src/martenquay_daemon/fleet/quota_client.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/quota_client.py
@@ -70,7 +70,7 @@
         is_waiting: A hub has replied that it waits for transfers.
         holder: Address of the daemon to ask that a hub has named, if any.
         passed: Number of hubs that hold no quota or are not linked yet.
-        news: Set at each reply and then replaced.
+        reply_received: Set at each reply and then replaced.
     """
 
     first: str = ""
@@ -79,7 +79,7 @@
     is_waiting: bool = False
     holder: str = ""
     passed: int = 0
-    news: trio.Event = dataclasses.field(default_factory=trio.Event)
+    reply_received: trio.Event = dataclasses.field(default_factory=trio.Event)
 
     def needs_no_hedging(self) -> bool:
         """Return whether no further hub is to be asked."""
@@ -100,8 +100,8 @@
                 self.passed += 1
             case messages.QuotaVerdict.REDIRECTED:
                 self.holder = self.first = reply.holder
-        self.news.set()
-        self.news = trio.Event()
+        self.reply_received.set()
+        self.reply_received = trio.Event()
 
 
 def _ignore_outcome(outcome: str, took_s: float) -> None:
@@ -224,7 +224,7 @@
                 continue
             with trio.move_on_after(_HEDGE_S):
                 while pending.passed < asked and not pending.needs_no_hedging():
-                    await pending.news.wait()
+                    await pending.reply_received.wait()
             if pending.needs_no_hedging():
                 break
             if pending.passed < asked:
@@ -239,7 +239,7 @@
                     if not self._transport.send_to(address, raw)
                 ]
             with trio.move_on_after(_LINK_RETRY_S if unlinked else _TIMEOUT_S):
-                await pending.news.wait()
+                await pending.reply_received.wait()
 
     async def _ask_holder(
         self, pending: _PendingRequest, request: messages.QuotaRequest
