--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -154,9 +154,10 @@
     Mutation(
         "reports are written before they are sent",
         f"{DAEMON}/duties/usage_reporter.py",
-        "        if window not in self._written and not await"
-        " self._write(window):\n            return\n",
-        "        self._written.setdefault(window, {})\n",
+        "        if window not in self._logged_counts and not await"
+        " self._log_report(\n            window\n        ):\n"
+        "            return\n",
+        "        self._logged_counts.setdefault(window, {})\n",
         "tests.test_duties.test_usage_reporter",
     ),
     Mutation(
--- a/packages/daemon/src/martenquay_daemon/duties/capacity_controller.py
+++ b/packages/daemon/src/martenquay_daemon/duties/capacity_controller.py
@@ -32,23 +32,23 @@
 __all__ = ["CapacityController", "CapacityParts"]
 
 _LOG = logs.create_log("capacity")
-_POLL_S = 0.5
+_RECONCILE_INTERVAL_S = 0.5
 # A common start shows the runners' entries one by one for up to 3.4 s. A holder
 # that looked sooner took five of nine for all, and planned a third less.
-_SETTLE_S = 3.4
-_CALL_S = 0.5
+_START_DELAY_S = 3.4
+_MIN_LEASE_S = 0.5
 # A refusal tells of the platform for so long: until after the next try.
-_DRY_S = 2.5
+_REFUSAL_VALID_S = 2.5
 # Less is ordered only when less has been needed for so long: waves of a day
 # come back, and a runner takes seconds to boot.
-_LOWER_AFTER_S = 12.0
+_SCALE_DOWN_DELAY_S = 12.0
 # Before so many seconds of traffic have been seen, this part of the runners
 # that there were at first is needed. Operators provide for peaks; the part is
 # what a peak takes of the sites' pools when read load is as planned. All of
 # them are comfortable: engines that start have nothing cached.
-_LEARN_S = 15.0
-_START_PART = 0.6
-_REFUSED = 409
+_WARMUP_S = 15.0
+_WARMUP_FRACTION = 0.6
+_HTTP_CONFLICT = 409
 
 
 @dataclasses.dataclass(frozen=True)
@@ -88,49 +88,49 @@
 
     def __init__(self, parts: CapacityParts) -> None:
         self._parts = parts
-        self._lines: dict[
+        self._orders: dict[
             tuple[str, str, bool], capacity_order.CapacityOrder
         ] = {}
-        self._needs: dict[str, delayed_decrease.DelayedDecrease] = {}
-        self._comforts: dict[str, delayed_decrease.DelayedDecrease] = {}
-        self._rises: dict[str, delayed_decrease.DelayedDecrease] = {}
+        self._required: dict[str, delayed_decrease.DelayedDecrease] = {}
+        self._desired: dict[str, delayed_decrease.DelayedDecrease] = {}
+        self._forecasts: dict[str, delayed_decrease.DelayedDecrease] = {}
         self._targets: dict[str, capacity_plan.CapacityTarget] = {}
         self._trends: dict[str, demand_trend.DemandTrend] = {}
-        self._first_counts: dict[str, int] = {}
+        self._initial_counts: dict[str, int] = {}
         self._fence = 0
-        self._busy_since: float | None = None
+        self._first_demand_at: float | None = None
 
     async def run(self) -> None:
         """Order until cancelled."""
         # Orders by half of the entries would take runners away that serve.
-        await trio.sleep(_SETTLE_S)
+        await trio.sleep(_START_DELAY_S)
         while True:
-            await trio.sleep(_POLL_S)
+            await trio.sleep(_RECONCILE_INTERVAL_S)
             services = self._parts.store.table.catalog.services
             for service in list(services.values()):
                 if service.scaling is not None and service.engine is not None:
-                    await self._keep(service, service.scaling)
+                    await self._reconcile(service, service.scaling)
 
-    async def _keep(
+    async def _reconcile(
         self, service: catalog.Service, limits: catalog.ScalingLimits
     ) -> None:
-        state = self._find_state(service.name, limits)
+        state = self._build_state(service.name, limits)
         # Followed without the lease as well: a successor knows what is needed.
-        target = self._find_target(service, state)
-        if not self._parts.lease.is_held(_CALL_S):
+        target = self._update_target(service, state)
+        if not self._parts.lease.is_held(_MIN_LEASE_S):
             return
         if self._fence != self._parts.lease.fence:
             self._fence = self._parts.lease.fence
             # A former holder's orders are not known.
-            self._lines.clear()
+            self._orders.clear()
         for order in capacity_plan.plan_reclaimable(state, target):
-            await self._order(service.name, state, order)
+            await self._send_order(service.name, state, order)
         # What the platform has just promised need not be bought dearer.
-        state = self._find_state(service.name, limits)
+        state = self._build_state(service.name, limits)
         for order in capacity_plan.plan_on_demand(state, target):
-            await self._order(service.name, state, order)
+            await self._send_order(service.name, state, order)
 
-    def _find_state(
+    def _build_state(
         self, service: str, limits: catalog.ScalingLimits
     ) -> capacity_plan.ServiceState:
         usable = self._parts.directory.list_usable(service)
@@ -143,18 +143,18 @@
             tuple(sorted(zones & used or zones)),
             serving,
             self._list_booting(service, limits, serving),
-            self._is_dry(service),
+            self._is_out_of_reclaimable(service),
         )
 
-    def _is_dry(self, service: str) -> bool:
+    def _is_out_of_reclaimable(self, service: str) -> bool:
         """Tell whether reclaimable runners were refused just now."""
-        oldest = trio.current_time() - _DRY_S
+        oldest = trio.current_time() - _REFUSAL_VALID_S
         return any(
             name == service
             and is_reclaimable
-            and line.status == _REFUSED
-            and line.sent_at > oldest
-            for (name, _, is_reclaimable), line in self._lines.items()
+            and last_order.status == _HTTP_CONFLICT
+            and last_order.sent_at > oldest
+            for (name, _, is_reclaimable), last_order in self._orders.items()
         )
 
     def _list_booting(
@@ -166,89 +166,96 @@
         """Return what was promised lately and does not serve yet."""
         now = trio.current_time()
         found = []
-        for (name, zone, is_reclaimable), line in self._lines.items():
+        for (name, zone, is_reclaimable), last_order in self._orders.items():
             if name != service:
                 continue
-            line.note_serving(
+            last_order.note_serving(
                 sum(
                     one.zone == zone and one.is_reclaimable == is_reclaimable
                     for one in serving
                 )
             )
-            missing = line.count_booting(now, limits.boot_s)
-            if missing > 0:
+            booting = last_order.count_booting(now, limits.boot_s)
+            if booting > 0:
                 found.append(
-                    capacity_plan.BootingRunners(zone, is_reclaimable, missing)
+                    capacity_plan.BootingRunners(zone, is_reclaimable, booting)
                 )
         return tuple(found)
 
-    def _find_target(
+    def _update_target(
         self, service: catalog.Service, state: capacity_plan.ServiceState
     ) -> capacity_plan.CapacityTarget:
         """Return the runners to aim for; they fall only after a while."""
         now = trio.current_time()
         slots = service.engine.slots if service.engine else 1
-        measured = self._measure(service.name)
-        foreseen = self._foresee(service.name, measured, state.limits)
-        rise = foreseen.count_needed(slots)
+        measured = self._measure_demand(service.name)
+        forecast = self._forecast_demand(service.name, measured, state.limits)
+        forecast_count = forecast.count_required(slots)
         # Who takes a request now and then is no whole engine.
-        missing = self._count_missing(service.name, state, measured)
-        count = measured.count_needed(slots) + missing
-        comfortable = measured.count_busy(slots) + missing
+        lost_to_limits = self._count_lost_to_limits(
+            service.name, state, measured
+        )
+        count = measured.count_required(slots) + lost_to_limits
+        desired = measured.count_desired(slots) + lost_to_limits
         if not self._parts.estimates.find(service.name).is_learnt:
             # What is only assumed of engines keeps what runs and buys nothing.
             count = min(count, len(state.runners))
-            comfortable = min(comfortable, len(state.runners))
-            rise = 0
-        if measured.tokens_per_s > 0 and self._busy_since is None:
-            self._busy_since = now
-        if self._busy_since is None or now - self._busy_since < _LEARN_S:
-            first = self._first_counts.setdefault(
+            desired = min(desired, len(state.runners))
+            forecast_count = 0
+        if measured.tokens_per_s > 0 and self._first_demand_at is None:
+            self._first_demand_at = now
+        if (
+            self._first_demand_at is None
+            or now - self._first_demand_at < _WARMUP_S
+        ):
+            initial_count = self._initial_counts.setdefault(
                 service.name, len(state.runners)
             )
-            count = max(count, math.ceil(_START_PART * first))
-            comfortable = max(comfortable, first)
+            count = max(count, math.ceil(_WARMUP_FRACTION * initial_count))
+            desired = max(desired, initial_count)
         # What was foreseen and is not there a boot later was no wave.
-        rises = self._rises.setdefault(
+        held_forecast = self._forecasts.setdefault(
             service.name, delayed_decrease.DelayedDecrease(state.limits.boot_s)
         )
-        rise = rises.follow(now, rise)
-        needed = self._needs.setdefault(
-            service.name, delayed_decrease.DelayedDecrease(_LOWER_AFTER_S)
+        forecast_count = held_forecast.update(now, forecast_count)
+        held_required = self._required.setdefault(
+            service.name, delayed_decrease.DelayedDecrease(_SCALE_DOWN_DELAY_S)
         )
-        spare = self._comforts.setdefault(
-            service.name, delayed_decrease.DelayedDecrease(_LOWER_AFTER_S)
+        held_desired = self._desired.setdefault(
+            service.name, delayed_decrease.DelayedDecrease(_SCALE_DOWN_DELAY_S)
         )
         target = capacity_plan.CapacityTarget(
-            max(rise, needed.follow(now, count)),
-            max(rise, spare.follow(now, comfortable)),
+            max(forecast_count, held_required.update(now, count)),
+            max(forecast_count, held_desired.update(now, desired)),
         )
-        self._note_target(service.name, target, measured)
+        self._log_new_target(service.name, target, measured)
         return target
 
-    def _count_missing(
+    def _count_lost_to_limits(
         self,
         service: str,
         state: capacity_plan.ServiceState,
-        measured: capacity_plan.CapacityNeed,
+        measured: capacity_plan.ServiceDemand,
     ) -> int:
         """Return how many engines those with a limit fall short of."""
-        found = [self._parts.limits.find_limit(one) for one in state.runners]
-        limits = [limit for limit in found if limit is not None]
+        known_limits = [
+            self._parts.limits.find_limit(one) for one in state.runners
+        ]
+        limits = [limit for limit in known_limits if limit is not None]
         tokens = self._parts.meter.find_size(service)
-        return measured.find_missing(limits, tokens)
+        return measured.count_lost_to_limits(limits, tokens)
 
-    def _note_target(
+    def _log_new_target(
         self,
         service: str,
         target: capacity_plan.CapacityTarget,
-        measured: capacity_plan.CapacityNeed,
+        measured: capacity_plan.ServiceDemand,
     ) -> None:
         if self._targets.get(service) == target:
             return
         self._targets[service] = target
         _LOG.write(
-            f"Needs {target.needed} engines, {target.comfortable} are comfort.",
+            f"Needs {target.required} engines, {target.desired} are comfort.",
             service=service,
             tokens_per_s=round(measured.tokens_per_s),
             read_tokens_per_s=round(measured.read_tokens_per_s),
@@ -258,34 +265,34 @@
             leads=self._parts.lease.is_held(),
         )
 
-    def _foresee(
+    def _forecast_demand(
         self,
         service: str,
-        measured: capacity_plan.CapacityNeed,
+        measured: capacity_plan.ServiceDemand,
         limits: catalog.ScalingLimits,
-    ) -> capacity_plan.CapacityNeed:
+    ) -> capacity_plan.ServiceDemand:
         """Return the need by the time that what is ordered now serves."""
         trend = self._trends.setdefault(service, demand_trend.DemandTrend())
-        trend.note(trio.current_time(), measured.tokens_per_s)
-        rate = trend.find_rate(demand.MEMORY_S + limits.boot_s)
+        trend.add_rate(trio.current_time(), measured.tokens_per_s)
+        rate = trend.forecast_rate(demand.MEMORY_S + limits.boot_s)
         return dataclasses.replace(measured, tokens_per_s=rate)
 
-    def _measure(self, service: str) -> capacity_plan.CapacityNeed:
+    def _measure_demand(self, service: str) -> capacity_plan.ServiceDemand:
         parts = self._parts
         rate = parts.meter.list_rates().get(service, 0.0)
         rate += parts.fleet.sum_demand(service)
-        found = [
+        runner_loads = [
             parts.ledger.find(runner.id)
             for runner in parts.directory.list_all(service)
         ]
-        return capacity_plan.CapacityNeed(
+        return capacity_plan.ServiceDemand(
             rate,
-            sum(load.requests for load in found),
+            sum(load.requests for load in runner_loads),
             parts.estimates.find(service).read_tokens_per_s,
-            sum(load.unread_tokens for load in found),
+            sum(load.unread_tokens for load in runner_loads),
         )
 
-    async def _order(
+    async def _send_order(
         self,
         service: str,
         state: capacity_plan.ServiceState,
@@ -293,14 +300,20 @@
     ) -> None:
         wanted = order.wanted
         key = (service, order.zone, order.is_reclaimable)
-        line = self._lines.setdefault(key, capacity_order.CapacityOrder())
-        serving = state.count(order.zone, is_reclaimable=order.is_reclaimable)
-        line.note_serving(serving)
-        if not line.is_due(trio.current_time(), wanted, state.limits.boot_s):
+        last_order = self._orders.setdefault(
+            key, capacity_order.CapacityOrder()
+        )
+        serving = state.count_serving(
+            order.zone, is_reclaimable=order.is_reclaimable
+        )
+        last_order.note_serving(serving)
+        if not last_order.is_due(
+            trio.current_time(), wanted, state.limits.boot_s
+        ):
             return
-        if not self._parts.lease.is_held(_CALL_S):
+        if not self._parts.lease.is_held(_MIN_LEASE_S):
             return
-        line.note_sent(wanted)
+        last_order.note_sent(wanted)
         answer = await self._parts.cloud.order_runners(
             ports.RunnerOrderLine(
                 service, order.zone, order.is_reclaimable, wanted
@@ -310,15 +323,15 @@
         )
         match answer:
             case Result(tag="ok", ok=status):
-                line.status = status
+                last_order.status = status
             case _:
-                line.status = 0
+                last_order.status = 0
         _LOG.write(
             f"Ordered {wanted} in {order.zone}, {serving} serve.",
             service=service,
             zone=order.zone,
             reclaimable=order.is_reclaimable,
-            status=line.status,
+            status=last_order.status,
             error=None if answer.is_ok() else answer.error.message,
             fence=self._fence,
         )
--- a/packages/daemon/src/martenquay_daemon/duties/capacity_plan.py
+++ b/packages/daemon/src/martenquay_daemon/duties/capacity_plan.py
@@ -20,8 +20,8 @@
 
 __all__ = [
     "BootingRunners",
-    "CapacityNeed",
     "CapacityTarget",
+    "ServiceDemand",
     "ServiceState",
     "ZoneOrder",
     "plan_on_demand",
@@ -33,21 +33,21 @@
 # arrivals come in clumps. With 0.5, engines that read 23,000 tokens a second
 # cost a fifth more (0.178 in place of 0.147 of a day's worth) and served as
 # many.
-_READ_LOAD = 0.65
+_PREFILL_UTILIZATION = 0.65
 # The part of an engine's slots that may be in use on average: of the engines
 # that have to be there at any price, and of those worth having of the cheap
 # kind. With 0.5 for both, runners cost a fifth more on a day on which cheap
 # ones were refused, and nobody was served better: those that there are serve
 # on until their zone goes.
-_SLOT_LOAD = 0.65
-_EASY_SLOT_LOAD = 0.5
+_REQUIRED_SLOT_UTILIZATION = 0.65
+_DESIRED_SLOT_UTILIZATION = 0.5
 # A backlog of prompts should be read within this time beside what comes in;
 # as long as a runner takes to boot, so that one more is there when it pays.
-_BACKLOG_S = 4.0
+_BACKLOG_DRAIN_S = 4.0
 
 
 @dataclasses.dataclass(frozen=True)
-class CapacityNeed:
+class ServiceDemand:
     """What callers ask of a service, over all daemons.
 
     Attributes:
@@ -62,7 +62,9 @@
     read_tokens_per_s: float
     unread_tokens: int = 0
 
-    def find_missing(self, limits: Sequence[float], tokens: float) -> int:
+    def count_lost_to_limits(
+        self, limits: Sequence[float], tokens: float
+    ) -> int:
         """Return how many engines runners in need fall short of.
 
         Args:
@@ -71,24 +73,30 @@
         """
         if tokens <= 0:
             return 0
-        usual_per_s = self.read_tokens_per_s * _READ_LOAD / tokens
-        parts = [min(1.0, limit / usual_per_s) for limit in limits]
-        return round(len(parts) - sum(parts))
+        requests_per_s = self.read_tokens_per_s * _PREFILL_UTILIZATION / tokens
+        fractions = [min(1.0, limit / requests_per_s) for limit in limits]
+        return round(len(fractions) - sum(fractions))
 
-    def count_needed(self, slots: int) -> int:
+    def count_required(self, slots: int) -> int:
         """Return the engines that take what comes in."""
-        return self._count(slots * _SLOT_LOAD, self.tokens_per_s)
+        return self._count_runners(
+            slots * _REQUIRED_SLOT_UTILIZATION, self.tokens_per_s
+        )
 
-    def count_busy(self, slots: int) -> int:
+    def count_desired(self, slots: int) -> int:
         """Return the engines that take the backlog as well."""
-        backlog_per_s = self.unread_tokens / _BACKLOG_S
+        backlog_per_s = self.unread_tokens / _BACKLOG_DRAIN_S
         tokens_per_s = self.tokens_per_s + backlog_per_s
-        return self._count(slots * _EASY_SLOT_LOAD, tokens_per_s)
+        return self._count_runners(
+            slots * _DESIRED_SLOT_UTILIZATION, tokens_per_s
+        )
 
-    def _count(self, slots: float, tokens_per_s: float) -> int:
-        for_reading = tokens_per_s / (self.read_tokens_per_s * _READ_LOAD)
+    def _count_runners(self, slots: float, tokens_per_s: float) -> int:
+        for_prefill = tokens_per_s / (
+            self.read_tokens_per_s * _PREFILL_UTILIZATION
+        )
         for_slots = self.requests / max(1.0, slots)
-        return max(1, math.ceil(max(for_reading, for_slots)))
+        return max(1, math.ceil(max(for_prefill, for_slots)))
 
 
 @dataclasses.dataclass(frozen=True)
@@ -102,8 +110,8 @@
             clumps of arrivals and what a wave of reclaims leaves.
     """
 
-    needed: int
-    comfortable: int
+    required: int
+    desired: int
 
 
 @dataclasses.dataclass(frozen=True)
@@ -137,35 +145,37 @@
     zones: tuple[str, ...]
     runners: tuple[runners.Runner, ...]
     booting: tuple[BootingRunners, ...] = ()
-    is_dry: bool = False
+    is_out_of_reclaimable: bool = False
 
-    def count(self, zone: str, *, is_reclaimable: bool) -> int:
+    def count_serving(self, zone: str, *, is_reclaimable: bool) -> int:
         """Return the runners of one kind that serve in a zone."""
         return sum(
             runner.zone == zone and runner.is_reclaimable == is_reclaimable
             for runner in self.runners
         )
 
-    def count_coming(self, zone: str, *, is_reclaimable: bool) -> int:
+    def count_expected(self, zone: str, *, is_reclaimable: bool) -> int:
         """Return the runners of one kind that serve in a zone or boot there."""
-        return self.count(zone, is_reclaimable=is_reclaimable) + sum(
+        return self.count_serving(zone, is_reclaimable=is_reclaimable) + sum(
             one.count
             for one in self.booting
             if one.zone == zone and one.is_reclaimable == is_reclaimable
         )
 
-    def count_certain(self, *, is_coming: bool) -> int:
+    def count_after_zone_loss(self, *, is_booting_counted: bool) -> int:
         """Return the reclaimable runners left when a zone's are taken back.
 
         While the platform has none to give, it takes back those of the other
         zones as well, at times within a second: then none is certain.
 
         Args:
-            is_coming: Count those that boot as well.
+            is_booting_counted: Count those that boot as well.
         """
-        if self.is_dry:
+        if self.is_out_of_reclaimable:
             return 0
-        count = self.count_coming if is_coming else self.count
+        count = (
+            self.count_expected if is_booting_counted else self.count_serving
+        )
         zones = [count(zone, is_reclaimable=True) for zone in self.zones]
         return sum(zones) - max(zones, default=0)
 
@@ -198,14 +208,14 @@
         target: Engines that the callers' load takes.
     """
     limits = state.limits
-    others = max(1, len(state.zones) - 1)
-    a_zone = math.ceil(max(target.needed, target.comfortable) / others)
-    a_zone = max(limits.least, a_zone)
+    other_zones = max(1, len(state.zones) - 1)
+    per_zone = math.ceil(max(target.required, target.desired) / other_zones)
+    per_zone = max(limits.least, per_zone)
     orders = []
     for zone in state.zones:
-        dear = state.count_coming(zone, is_reclaimable=False)
-        room = max(0, limits.most - dear)
-        orders.append(ZoneOrder(zone, True, min(a_zone, room)))
+        on_demand = state.count_expected(zone, is_reclaimable=False)
+        room = max(0, limits.most - on_demand)
+        orders.append(ZoneOrder(zone, True, min(per_zone, room)))
     return orders
 
 
@@ -219,20 +229,24 @@
             promised.
         target: Engines that the callers' load takes.
     """
-    chosen = _choose_on_demand(state, _count_on_demand(state, target.needed))
+    chosen = _choose_on_demand(state, _count_on_demand(state, target.required))
     return [ZoneOrder(zone, False, chosen.get(zone, 0)) for zone in state.zones]
 
 
-def _count_on_demand(state: ServiceState, needed: int) -> int:
+def _count_on_demand(state: ServiceState, required: int) -> int:
     """Return how many on-demand runners to have.
 
     None is bought for what boots already, for it would come no sooner. None
     is given up before what boots serves.
     """
-    least = max(0, needed - state.count_certain(is_coming=True))
-    most = max(0, needed - state.count_certain(is_coming=False))
+    least = max(
+        0, required - state.count_after_zone_loss(is_booting_counted=True)
+    )
+    most = max(
+        0, required - state.count_after_zone_loss(is_booting_counted=False)
+    )
     held = sum(
-        state.count_coming(zone, is_reclaimable=False) for zone in state.zones
+        state.count_expected(zone, is_reclaimable=False) for zone in state.zones
     )
     return min(most, max(least, held))
 
@@ -244,14 +258,16 @@
     """
 
     def has_room(zone: str) -> bool:
-        cheap = state.count_coming(zone, is_reclaimable=True)
-        return cheap + chosen.get(zone, 0) < state.limits.most
+        reclaimable = state.count_expected(zone, is_reclaimable=True)
+        return reclaimable + chosen.get(zone, 0) < state.limits.most
 
     def rank(zone: str) -> tuple[bool, float]:
-        already = chosen.get(zone, 0)
-        is_new = state.count_coming(zone, is_reclaimable=False) <= already
+        chosen_count = chosen.get(zone, 0)
+        is_added = (
+            state.count_expected(zone, is_reclaimable=False) <= chosen_count
+        )
         price = state.limits.zone_prices.get(zone, 1.0)
-        return is_new, price * (1 + already)
+        return is_added, price * (1 + chosen_count)
 
     chosen: dict[str, int] = {}
     for _ in range(missing):
--- a/packages/daemon/src/martenquay_daemon/duties/delayed_decrease.py
+++ b/packages/daemon/src/martenquay_daemon/duties/delayed_decrease.py
@@ -21,9 +21,9 @@
     hold_s: float
     count: int = 0
     lower_since: float | None = None
-    lower: int = 0
+    highest_lower: int = 0
 
-    def follow(self, now: float, count: int) -> int:
+    def update(self, now: float, count: int) -> int:
         """Take the newest figure; return the one to go by."""
         if count >= self.count:
             self.count = count
@@ -31,9 +31,9 @@
             return self.count
         if self.lower_since is None:
             self.lower_since = now
-            self.lower = count
-        self.lower = max(self.lower, count)
+            self.highest_lower = count
+        self.highest_lower = max(self.highest_lower, count)
         if now - self.lower_since > self.hold_s:
-            self.count = self.lower
+            self.count = self.highest_lower
             self.lower_since = None
         return self.count
--- a/packages/daemon/src/martenquay_daemon/duties/demand_trend.py
+++ b/packages/daemon/src/martenquay_daemon/duties/demand_trend.py
@@ -9,16 +9,16 @@
 
 # The slope is taken over so long: with 2 s arrivals in clumps pass for waves
 # more often, with 4 s a rise is believed a second later.
-_SLOPE_S = 3.0
+_TREND_WINDOW_S = 3.0
 # Arrivals come in clumps, which make the rate jump from look to look. A slope
 # is taken for a rise by what it has beyond so many standard errors of that: of
 # steady demand a fleet of six then holds 3% more than it takes in place of 33%,
 # and on a wave a large one lacks 9% in place of 15% (drawn arrivals).
-_SURE_ERRORS = 1.25
+_SIGNIFICANT_ERRORS = 1.25
 # Jumps are remembered over so many looks.
-_JUMP_MEMORY = 20
+_VARIANCE_SAMPLES = 20
 # A zone that is heard again brings its whole demand at once, which is no rise.
-_MOST_GROWTH = 2.0
+_MAX_GROWTH = 2.0
 
 
 class DemandTrend:
@@ -37,22 +37,22 @@
             collections.deque()
         )
         # The mean square by which one change of the rate differs from the last.
-        self._jumps = 0.0
+        self._change_variance = 0.0
         self._last_change = 0.0
 
-    def note(self, now: float, rate: float) -> None:
+    def add_rate(self, now: float, rate: float) -> None:
         """Note the rate now, in tokens a second."""
         if self._rates:
-            self._note_change(rate - self._rates[-1][1])
+            self._update_variance(rate - self._rates[-1][1])
         self._rates.append((now, rate))
-        while now - self._rates[0][0] > _SLOPE_S:
+        while now - self._rates[0][0] > _TREND_WINDOW_S:
             self._rates.popleft()
 
-    def find_rate(self, ahead_s: float) -> float:
+    def forecast_rate(self, horizon_s: float) -> float:
         """Return the rate to expect.
 
         Args:
-            ahead_s: How far to look beyond the rate as noted: its memory and
+            horizon_s: How far to look beyond the rate as noted: its memory and
                 the time until what is ordered serves.
         """
         if not self._rates:
@@ -61,20 +61,22 @@
         last_at, last = self._rates[-1]
         if last <= first or last_at <= first_at:
             return last
-        rise = last - first - _SURE_ERRORS * self._find_error()
+        rise = last - first - _SIGNIFICANT_ERRORS * self._find_standard_error()
         slope = max(0.0, rise) / (last_at - first_at)
-        return min(_MOST_GROWTH * last, last + ahead_s * slope)
+        return min(_MAX_GROWTH * last, last + horizon_s * slope)
 
-    def _note_change(self, change: float) -> None:
-        jump = change - self._last_change
+    def _update_variance(self, change: float) -> None:
+        difference = change - self._last_change
         self._last_change = change
-        self._jumps += (jump * jump - self._jumps) / _JUMP_MEMORY
+        self._change_variance += (
+            difference * difference - self._change_variance
+        ) / _VARIANCE_SAMPLES
 
-    def _find_error(self) -> float:
+    def _find_standard_error(self) -> float:
         """Return the standard error of the change over all that is kept.
 
         A wave's changes from look to look are alike, so what they differ by is
         chance; two looks' chances make up one difference.
         """
         changes = len(self._rates) - 1
-        return math.sqrt(changes * self._jumps / 2)
+        return math.sqrt(changes * self._change_variance / 2)
--- a/packages/daemon/src/martenquay_daemon/duties/lease.py
+++ b/packages/daemon/src/martenquay_daemon/duties/lease.py
@@ -25,24 +25,24 @@
     from martenquay_core.serving import ports
     from martenquay_daemon.fleet import view
 
-__all__ = ["Lease", "LeaseTerms", "create_lease"]
+__all__ = ["Lease", "LeaseTiming", "create_lease"]
 
 _LOG = logs.create_log("lease")
-_POLL_S = 0.2
+_RETRY_DELAY_S = 0.2
 # Candidates try one after the other, so that the log is asked once.
-_TURN_S = 0.15
+_ACQUIRE_STAGGER_S = 0.15
 # Before it looks into the log, each waits so long for each one before it.
-_LOOK_S = 0.1
-_MOST_TURNS = 30
-_START_SPREAD_S = 1.0
-_STEPS = 1000
-_WATCH_S = 0.5
-_MS = 1000
+_READ_STAGGER_S = 0.1
+_MAX_RANK = 30
+_START_JITTER_S = 1.0
+_JITTER_STEPS = 1000
+_CHECK_INTERVAL_S = 0.5
+_MS_PER_S = 1000
 _Kind = lease_topic.RecordKind
 
 
 @dataclasses.dataclass(frozen=True)
-class LeaseTerms:
+class LeaseTiming:
     """Times of a lease.
 
     Attributes:
@@ -70,21 +70,21 @@
         topic: str,
         member: str,
         instance: str,
-        terms: LeaseTerms,
+        timing: LeaseTiming,
         fleet: view.FleetView,
     ) -> None:
         self.fence = 0
-        self._name = topic
+        self._topic_name = topic
         self._member = member
         self._instance = instance
-        self._terms = terms
+        self._timing = timing
         self._view = fleet
         self._topic = lease_topic.LeaseTopic(log, topic, member, instance)
         self._valid_until = -math.inf
         # The topic's end that belongs to that time.
-        self._valid_end = 0
-        self._told_by = ""
-        self._told_free_at = -math.inf
+        self._valid_end_offset = 0
+        self._gossiped_by = ""
+        self._gossiped_free_at = -math.inf
         self._started_at = trio.current_time()
         self._is_stopping = False
 
@@ -95,7 +95,9 @@
 
     def is_next(self) -> bool:
         """Tell whether nobody is known to hold it and this daemon is first."""
-        is_free = not self.fence and self._told_free_at <= trio.current_time()
+        is_free = (
+            not self.fence and self._gossiped_free_at <= trio.current_time()
+        )
         return is_free and not self._is_stopping and self._find_rank() == 0
 
     def create_status(self) -> messages.LeaseStatus | None:
@@ -104,42 +106,44 @@
             return None
         left_s = self._valid_until - trio.current_time()
         return messages.LeaseStatus(
-            self.fence, self._valid_end, int(left_s * _MS)
+            self.fence, self._valid_end_offset, int(left_s * _MS_PER_S)
         )
 
     def apply_status(
         self,
         member: str,
-        news: messages.LeaseStatus | None,
+        status: messages.LeaseStatus | None,
         *,
         is_leaving: bool,
     ) -> None:
         """Take what another daemon tells of the lease."""
-        if news is None:
-            if member == self._told_by and is_leaving:
+        if status is None:
+            if member == self._gossiped_by and is_leaving:
                 # It has released the lease, or is about to.
-                self._told_free_at = -math.inf
-                self._topic.is_told = False
+                self._gossiped_free_at = -math.inf
+                self._topic.is_end_gossiped = False
             return
-        if self.fence or news.end < self._topic.end:
+        if self.fence or status.end < self._topic.end:
             return
-        if news.end > self._topic.end or self._topic.is_told:
-            self._topic.skip_to(news.end, news.fence)
+        if status.end > self._topic.end or self._topic.is_end_gossiped:
+            self._topic.skip_to(status.end, status.fence)
         # A slow way of the news only makes this later than it need be.
-        left_s = news.left_ms / _MS + 2 * self._terms.margin_s
-        self._told_by = member
-        self._told_free_at = trio.current_time() + left_s
+        left_s = status.left_ms / _MS_PER_S + 2 * self._timing.margin_s
+        self._gossiped_by = member
+        self._gossiped_free_at = trio.current_time() + left_s
 
     async def run(self) -> None:
         """Take, keep and lose the lease until cancelled."""
         # Daemons that start together do not know of each other yet.
-        score = rendezvous.score_candidate(self._name, self._instance)
-        await trio.sleep(score % _STEPS / _STEPS * _START_SPREAD_S)
+        score = rendezvous.score_candidate(self._topic_name, self._instance)
+        await trio.sleep(
+            score % _JITTER_STEPS / _JITTER_STEPS * _START_JITTER_S
+        )
         while True:
             if self.fence:
-                await self._keep()
+                await self._renew()
             else:
-                await self._wait_for_turn()
+                await self._wait_to_acquire()
 
     async def release(self) -> None:
         """Give the lease up before a planned stop."""
@@ -147,52 +151,52 @@
         if not self.is_held():
             return
         fence = self.fence
-        self._lose("given up for a planned stop")
+        self._drop("given up for a planned stop")
         await self._topic.append(_Kind.RELEASED, fence)
 
-    async def _keep(self) -> None:
+    async def _renew(self) -> None:
         """Renew once and wait until it is time for the next."""
         started = trio.current_time()
         if started >= self._valid_until:
-            self._lose("it ran out before it could be renewed")
+            self._drop("it ran out before it could be renewed")
             return
         if not await self._topic.append(_Kind.RENEWED, self.fence):
             await self._topic.read()
             last = self._topic.last
             if last is not None and last.member != self._member:
-                self._lose(f"{last.member} has it")
-            await trio.sleep(_POLL_S)
-        self._extend()
-        await trio.sleep_until(started + self._terms.renew_s)
+                self._drop(f"{last.member} has it")
+            await trio.sleep(_RETRY_DELAY_S)
+        self._extend_validity()
+        await trio.sleep_until(started + self._timing.renew_s)
 
-    async def _wait_for_turn(self) -> None:
+    async def _wait_to_acquire(self) -> None:
         if self._is_stopping:
-            await trio.sleep(_WATCH_S)
+            await trio.sleep(_CHECK_INTERVAL_S)
             return
-        told_left_s = self._told_free_at - trio.current_time()
-        if told_left_s > 0:
-            await trio.sleep(min(told_left_s, _WATCH_S))
+        gossiped_left_s = self._gossiped_free_at - trio.current_time()
+        if gossiped_left_s > 0:
+            await trio.sleep(min(gossiped_left_s, _CHECK_INTERVAL_S))
             return
         # Most daemons hear of the new holder before their turn to look.
-        await trio.sleep(min(self._find_rank(), _MOST_TURNS) * _LOOK_S)
-        if self._told_free_at > trio.current_time():
+        await trio.sleep(min(self._find_rank(), _MAX_RANK) * _READ_STAGGER_S)
+        if self._gossiped_free_at > trio.current_time():
             return
         # What a holder has told is as good as reading it: if the topic has
         # grown since, the record that takes the lease is not written.
-        if not self._topic.is_told and not await self._topic.read():
-            await trio.sleep(_WATCH_S)
+        if not self._topic.is_end_gossiped and not await self._topic.read():
+            await trio.sleep(_CHECK_INTERVAL_S)
             return
         now = trio.current_time()
-        free_at = self._find_free()
+        free_at = self._find_free_at()
         if now < free_at:
-            await trio.sleep(min(free_at - now, _WATCH_S))
+            await trio.sleep(min(free_at - now, _CHECK_INTERVAL_S))
             return
-        await trio.sleep(self._find_rank() * _TURN_S)
-        if self._told_free_at <= trio.current_time():
-            await self._take()
+        await trio.sleep(self._find_rank() * _ACQUIRE_STAGGER_S)
+        if self._gossiped_free_at <= trio.current_time():
+            await self._try_acquire()
 
-    async def _take(self) -> None:
-        told_by = self._told_by
+    async def _try_acquire(self) -> None:
+        gossiped_by = self._gossiped_by
         if not await self._topic.append(_Kind.TAKEN, 0):
             await self._topic.read()
         last = self._topic.last
@@ -203,14 +207,14 @@
         ):
             return
         self.fence = self._topic.fence
-        self._extend()
+        self._extend_validity()
         _LOG.write(
             f"Taken with fence {self.fence}.",
             fence=self.fence,
-            told_by=told_by,
+            told_by=gossiped_by,
         )
 
-    def _extend(self) -> None:
+    def _extend_validity(self) -> None:
         """Count the lease from the sending of the last record, if it is ours.
 
         The record may be one whose answer was lost and that was done late;
@@ -218,36 +222,36 @@
         """
         last = self._topic.last
         if self.fence and last is not None and last.member == self._member:
-            sent_at = self._topic.find_sent(last.number)
+            sent_at = self._topic.find_sent_at(last.number)
             self._valid_until = (
-                sent_at + self._terms.length_s - self._terms.margin_s
+                sent_at + self._timing.length_s - self._timing.margin_s
             )
-            self._valid_end = self._topic.end
+            self._valid_end_offset = self._topic.end
 
-    def _lose(self, reason: str) -> None:
+    def _drop(self, reason: str) -> None:
         _LOG.write(f"Fence {self.fence} ends: {reason}.", fence=self.fence)
         self.fence = 0
         self._valid_until = -math.inf
 
-    def _find_free(self) -> float:
+    def _find_free_at(self) -> float:
         """Return when the lease can be taken, in trio's time."""
         topic = self._topic
-        wait_s = self._terms.length_s + self._terms.margin_s
+        wait_s = self._timing.length_s + self._timing.margin_s
         if topic.end == 0:
             return -math.inf
         # This instance may have held it just before it started anew.
-        own_free = self._started_at + wait_s
-        if topic.is_told:
-            return max(own_free, self._told_free_at)
+        own_free_at = self._started_at + wait_s
+        if topic.is_end_gossiped:
+            return max(own_free_at, self._gossiped_free_at)
         if topic.last is not None and topic.last.kind is _Kind.RELEASED:
-            return own_free
-        return max(own_free, topic.changed_at + wait_s)
+            return own_free_at
+        return max(own_free_at, topic.changed_at + wait_s)
 
     def _find_rank(self) -> int:
         """Return this daemon's place among those that may want the lease."""
         if not self._view.is_candidate:
-            return _MOST_TURNS
-        key = f"{self._name} {self._topic.end}"
+            return _MAX_RANK
+        key = f"{self._topic_name} {self._topic.end}"
         ranked = rendezvous.rank_candidates(
             key, [*self._view.list_candidates(), self._instance]
         )
@@ -266,5 +270,5 @@
 
     It is renewed three times in its length; a sixth of it is kept as margin.
     """
-    terms = LeaseTerms(length_s, length_s / 3, length_s / 6)
-    return Lease(log, topic, member, instance, terms, fleet)
+    timing = LeaseTiming(length_s, length_s / 3, length_s / 6)
+    return Lease(log, topic, member, instance, timing, fleet)
--- a/packages/daemon/src/martenquay_daemon/duties/lease_topic.py
+++ b/packages/daemon/src/martenquay_daemon/duties/lease_topic.py
@@ -19,7 +19,7 @@
 
 _LOG = logs.create_log("lease")
 # A record that was done late is at most a few calls old.
-_REMEMBERED = 50
+_MAX_SENT_TIMES = 50
 
 
 class RecordKind(enum.IntEnum):
@@ -68,15 +68,15 @@
         self.last: LeaseRecord | None = None
         self.fence = 0
         self.changed_at = -math.inf
-        self.is_told = False
+        self.is_end_gossiped = False
         self._log = log
         self._name = name
         self._member = member
         self._instance = instance
-        self._number = 0
+        self._last_number = 0
         self._sent_at: dict[int, float] = {}
 
-    def find_sent(self, number: int) -> float:
+    def find_sent_at(self, number: int) -> float:
         """Return when an own record was sent first, in trio's time."""
         return self._sent_at.get(number, -math.inf)
 
@@ -86,7 +86,7 @@
         self.last = None
         self.fence = fence
         self.changed_at = trio.current_time()
-        self.is_told = True
+        self.is_end_gossiped = True
 
     async def append(self, kind: RecordKind, fence: int) -> bool:
         """Write a record if the topic still ends where it is known to."""
@@ -98,7 +98,7 @@
         )
         match written:
             case Result(tag="ok", ok=done) if done.offset is not None:
-                self._note(record, done.offset)
+                self._apply_record(record, done.offset)
                 return True
             case Result(tag="ok"):
                 return False
@@ -117,7 +117,7 @@
                 case _:
                     _LOG.write(f"Not read: {page.error.message}.")
                     return False
-            self.is_told = False
+            self.is_end_gossiped = False
             if found.is_lost:
                 self.end = found.start
                 continue
@@ -126,33 +126,33 @@
                     record = msgspec.msgpack.decode(payload, type=LeaseRecord)
                 except msgspec.MsgspecError as error:
                     _LOG.write(f"Record {offset} cannot be read: {error}.")
-                    self._pass_over(offset)
+                    self._skip_record(offset)
                 else:
-                    self._note(record, offset)
+                    self._apply_record(record, offset)
             if self.end < found.end and not found.records:
                 self.end = found.end
             if self.end >= found.end:
                 return True
 
     def _create_record(self, kind: RecordKind, fence: int) -> LeaseRecord:
-        self._number += 1
-        self._sent_at[self._number] = trio.current_time()
-        self._sent_at.pop(self._number - _REMEMBERED, None)
+        self._last_number += 1
+        self._sent_at[self._last_number] = trio.current_time()
+        self._sent_at.pop(self._last_number - _MAX_SENT_TIMES, None)
         return LeaseRecord(
-            kind, self._member, self._instance, fence, self._number
+            kind, self._member, self._instance, fence, self._last_number
         )
 
-    def _pass_over(self, offset: int) -> None:
+    def _skip_record(self, offset: int) -> None:
         # Else it would be read for ever, and nobody could take the lease. It
         # may be a holder's: what it did is not known.
         self.end = offset + 1
         self.last = None
         self.changed_at = trio.current_time()
 
-    def _note(self, record: LeaseRecord, offset: int) -> None:
+    def _apply_record(self, record: LeaseRecord, offset: int) -> None:
         is_taken = record.kind is RecordKind.TAKEN
         self.end = offset + 1
         self.last = record
         self.changed_at = trio.current_time()
         self.fence = offset + 1 if is_taken else record.fence
-        self.is_told = False
+        self.is_end_gossiped = False
--- a/packages/daemon/src/martenquay_daemon/duties/parts.py
+++ b/packages/daemon/src/martenquay_daemon/duties/parts.py
@@ -74,8 +74,8 @@
     return {
         "lease": sources.lease.run,
         "usage": _create_reporter(sources, cloud).run,
-        "capacity": _create_capacity_keeper(sources, cloud).run,
-        "rollouts": _create_rollout_keeper(sources).run,
+        "capacity": _create_capacity_controller(sources, cloud).run,
+        "rollouts": _create_rollout_controller(sources).run,
         "list": _create_remover(sources).run,
     }
 
@@ -92,11 +92,11 @@
         sources.lease,
         sources.usage,
         sources.fleet,
-        usage_reporter.UsageTerms(settings.bounds.usage_late_s),
+        usage_reporter.ReportDeadline(settings.bounds.usage_late_s),
     )
 
 
-def _create_capacity_keeper(
+def _create_capacity_controller(
     sources: DutySources, cloud: port_types.CloudPort
 ) -> capacity_controller.CapacityController:
     return capacity_controller.CapacityController(
@@ -116,7 +116,7 @@
     )
 
 
-def _create_rollout_keeper(
+def _create_rollout_controller(
     sources: DutySources,
 ) -> rollout_controller.RolloutController:
     return rollout_controller.RolloutController(
--- a/packages/daemon/src/martenquay_daemon/duties/usage_counts.py
+++ b/packages/daemon/src/martenquay_daemon/duties/usage_counts.py
@@ -31,7 +31,7 @@
         """Return the number of the window that is now."""
         return int(self._read_clock() // self._window_s)
 
-    def find_age(self, window: int) -> float:
+    def find_age_s(self, window: int) -> float:
         """Return the seconds since a window closed; negative before."""
         return self._read_clock() - (window + 1) * self._window_s
 
@@ -40,7 +40,7 @@
         window = self.find_window()
         teams = self._counts.setdefault(window, {})
         teams[team] = teams.get(team, 0) + 1
-        self._forget_old(window)
+        self._drop_old(window)
         return window
 
     def take_back(self, team: str, window: int) -> None:
@@ -53,6 +53,6 @@
         """Return all windows that are still kept."""
         return self._counts
 
-    def _forget_old(self, window: int) -> None:
+    def _drop_old(self, window: int) -> None:
         for old in [w for w in self._counts if w < window - _KEPT_WINDOWS]:
             del self._counts[old]
--- a/packages/daemon/src/martenquay_daemon/duties/usage_reporter.py
+++ b/packages/daemon/src/martenquay_daemon/duties/usage_reporter.py
@@ -20,20 +20,20 @@
 if TYPE_CHECKING:
     from martenquay_daemon.duties import lease, usage_counts
 
-__all__ = ["UsageReporter", "UsageTerms"]
+__all__ = ["ReportDeadline", "UsageReporter"]
 
 _LOG = logs.create_log("usage")
-_POLL_S = 0.25
+_POLL_INTERVAL_S = 0.25
 # A call takes a few ms when the cloud is well; the lease has to last for it.
-_CALL_S = 0.5
+_MIN_LEASE_S = 0.5
 # Daemons tell their counts four times a second; one more round for the last
 # requests of the window.
-_SETTLE_S = 0.8
+_GOSSIP_DELAY_S = 0.8
 # So long before a report is due it goes out without silent daemons' counts.
-_HURRY_S = 4.0
+_DEADLINE_MARGIN_S = 4.0
 # Windows older than this beyond their due time are nobody's any more.
-_KEEP_S = 8.0
-_OK = 200
+_EXPIRY_S = 8.0
+_HTTP_OK = 200
 
 
 class _Report(msgspec.Struct, frozen=True, array_like=True):
@@ -42,14 +42,14 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class UsageTerms:
+class ReportDeadline:
     """When reports are due.
 
     Attributes:
         late_s: A report is due so long after its window's end.
     """
 
-    late_s: float
+    after_window_s: float
 
 
 class UsageReporter:
@@ -61,78 +61,88 @@
         topic: str,
         cloud: ports.CloudPort,
         holder: str,
-        duty: lease.Lease,
+        duty_lease: lease.Lease,
         counts: usage_counts.UsageCounts,
         fleet: view.FleetView,
-        terms: UsageTerms,
+        deadline: ReportDeadline,
     ) -> None:
         self._log = log
         self._topic = topic
         self._cloud = cloud
         self._holder = holder
-        self._lease = duty
+        self._lease = duty_lease
         self._counts = counts
         self._view = fleet
-        self._terms = terms
-        self._end = 0
-        self._written: dict[int, dict[str, int]] = {}
-        self._accepted: set[int] = set()
+        self._deadline = deadline
+        self._end_offset = 0
+        self._logged_counts: dict[int, dict[str, int]] = {}
+        self._accepted_windows: set[int] = set()
         self._fence = 0
 
     async def run(self) -> None:
         """Report until cancelled."""
         while True:
-            await trio.sleep(_POLL_S)
-            if not self._lease.is_held(_CALL_S):
+            await trio.sleep(_POLL_INTERVAL_S)
+            if not self._lease.is_held(_MIN_LEASE_S):
                 continue
             if self._fence != self._lease.fence:
                 # Somebody else may have written since this daemon last read.
-                if not await self._read():
+                if not await self._read_log():
                     continue
                 self._fence = self._lease.fence
-            for window in self._list_open():
-                await self._report(window)
-
-    def _list_open(self) -> list[int]:
-        now = self._counts.find_window()
-        kept = int((self._terms.late_s + _KEEP_S) // self._find_length()) + 1
+            for window in self._list_due():
+                await self._send_report(window)
+
+    def _list_due(self) -> list[int]:
+        current = self._counts.find_window()
+        window_count = (
+            int(
+                (self._deadline.after_window_s + _EXPIRY_S)
+                // self._find_window_length_s()
+            )
+            + 1
+        )
         return [
             window
-            for window in range(now - kept, now)
-            if window not in self._accepted and self._is_due(window)
+            for window in range(current - window_count, current)
+            if window not in self._accepted_windows and self._is_due(window)
         ]
 
-    def _find_length(self) -> float:
-        now = self._counts.find_window()
-        return self._counts.find_age(now - 1) - self._counts.find_age(now)
+    def _find_window_length_s(self) -> float:
+        current = self._counts.find_window()
+        return self._counts.find_age_s(current - 1) - self._counts.find_age_s(
+            current
+        )
 
     def _is_due(self, window: int) -> bool:
-        if window in self._written:
+        if window in self._logged_counts:
             return True
-        age_s = self._counts.find_age(window)
-        if age_s > self._terms.late_s + _KEEP_S:
+        age_s = self._counts.find_age_s(window)
+        if age_s > self._deadline.after_window_s + _EXPIRY_S:
             return False
-        if age_s > self._terms.late_s - _HURRY_S:
+        if age_s > self._deadline.after_window_s - _DEADLINE_MARGIN_S:
             return True
-        return age_s > _SETTLE_S and self._view.has_closed(window)
+        return age_s > _GOSSIP_DELAY_S and self._view.has_closed(window)
 
-    async def _report(self, window: int) -> None:
-        if window not in self._written and not await self._write(window):
+    async def _send_report(self, window: int) -> None:
+        if window not in self._logged_counts and not await self._log_report(
+            window
+        ):
             return
-        if not self._lease.is_held(_CALL_S):
+        if not self._lease.is_held(_MIN_LEASE_S):
             return
-        report = ports.UsageReport(window, self._written[window])
+        report = ports.UsageReport(window, self._logged_counts[window])
         answer = await self._cloud.report_usage(
             report, self._holder, self._lease.fence
         )
         match answer:
-            case Result(tag="ok", ok=status) if status == _OK:
-                self._accepted.add(window)
+            case Result(tag="ok", ok=status) if status == _HTTP_OK:
+                self._accepted_windows.add(window)
                 _LOG.write(
                     f"Window {window} is reported.",
                     window=window,
                     requests=sum(report.counts.values()),
-                    age_s=round(self._counts.find_age(window), 3),
+                    age_s=round(self._counts.find_age_s(window), 3),
                     fence=self._fence,
                 )
             case Result(tag="ok", ok=status):
@@ -140,32 +150,32 @@
             case _:
                 _LOG.write(f"Window {window}: {answer.error.message}.")
 
-    async def _write(self, window: int) -> bool:
+    async def _log_report(self, window: int) -> bool:
         """Write the report to the log unless another one is there."""
         counts = view.merge_counts(
             self._counts.list_counts(), self._view.sum_started(window), window
         )
         payload = msgspec.msgpack.encode(_Report(window, counts))
         written = await self._log.append(
-            self._topic, [payload], expected_end=self._end
+            self._topic, [payload], expected_end=self._end_offset
         )
         match written:
             case Result(tag="ok", ok=done) if done.offset is not None:
-                self._end = done.offset + 1
-                self._written[window] = counts
+                self._end_offset = done.offset + 1
+                self._logged_counts[window] = counts
                 return True
             case Result(tag="ok"):
-                await self._read()
+                await self._read_log()
             case _:
                 message = written.error.message
                 _LOG.write(f"Window {window} may not be written: {message}.")
-                await self._read()
+                await self._read_log()
         return False
 
-    async def _read(self) -> bool:
+    async def _read_log(self) -> bool:
         """Read what is written; the first report of a window counts."""
         while True:
-            page = await self._log.read(self._topic, self._end)
+            page = await self._log.read(self._topic, self._end_offset)
             match page:
                 case Result(tag="ok", ok=found):
                     pass
@@ -173,7 +183,7 @@
                     _LOG.write(f"Not read: {page.error.message}.")
                     return False
             if found.is_lost:
-                self._end = found.start
+                self._end_offset = found.start
                 continue
             for offset, payload in enumerate(found.records, found.start):
                 try:
@@ -182,7 +192,9 @@
                     # Else it would be read for ever, and nothing reported.
                     _LOG.write(f"Record {offset} cannot be read: {error}.")
                     continue
-                self._written.setdefault(report.window, report.counts)
-            self._end = max(self._end, found.start + len(found.records))
-            if self._end >= found.end:
+                self._logged_counts.setdefault(report.window, report.counts)
+            self._end_offset = max(
+                self._end_offset, found.start + len(found.records)
+            )
+            if self._end_offset >= found.end:
                 return True
--- a/packages/daemon/src/martenquay_daemon/rollouts/controller.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/controller.py
@@ -27,10 +27,10 @@
 _LOG = logs.create_log("rollouts")
 # A bad version goes on getting its share until it is rolled back, and the
 # users allow 5 s after its 50th bad answer.
-_POLL_S = 0.25
+_RECONCILE_INTERVAL_S = 0.25
 # A log call takes 4 ms; the lease has to outlast it.
-_CALL_S = 0.5
-_MS = 1000
+_MIN_LEASE_S = 0.5
+_MS_PER_S = 1000
 
 
 @dataclasses.dataclass(frozen=True)
@@ -66,53 +66,55 @@
     def __init__(
         self,
         parts: RolloutParts,
-        find_wall_s: Callable[[], float] = time.time,
+        read_wall_clock_s: Callable[[], float] = time.time,
     ) -> None:
         self._parts = parts
-        self._find_wall_s = find_wall_s
+        self._read_wall_clock_s = read_wall_clock_s
         self._fence = 0
         # Orders that this daemon has followed from their first step on.
-        self._led: set[tuple[str, int]] = set()
-        self._told: dict[str, tuple[int, rollouts.RolloutState]] = {}
+        self._started_here: set[tuple[str, int]] = set()
+        self._published: dict[str, tuple[int, rollouts.RolloutState]] = {}
 
     async def run(self) -> None:
         """Lead orders until cancelled."""
         while True:
-            await trio.sleep(_POLL_S)
-            await self.keep()
+            await trio.sleep(_RECONCILE_INTERVAL_S)
+            await self.reconcile()
 
-    async def keep(self) -> None:
+    async def reconcile(self) -> None:
         """Look at each order once."""
         parts = self._parts
-        if not parts.orders.list_all() or not parts.lease.is_held(_CALL_S):
+        if not parts.orders.list_all() or not parts.lease.is_held(_MIN_LEASE_S):
             return
         if self._fence != parts.lease.fence:
             # Somebody else may have decided since this daemon last read.
             if not await parts.follower.read_now():
                 return
             self._fence = parts.lease.fence
-            self._told.clear()
+            self._published.clear()
         for rollout in parts.orders.list_all():
-            await self._keep_one(rollout)
+            await self._advance(rollout)
 
-    async def _keep_one(self, rollout: registry.Rollout) -> None:
+    async def _advance(self, rollout: registry.Rollout) -> None:
         step = rollout.step
         if step is None:
-            started_ms = int(self._find_wall_s() * _MS)
-            await self._write(
+            started_ms = int(self._read_wall_clock_s() * _MS_PER_S)
+            await self._write_step(
                 rollout, registry.Phase.CANARY, started_ms, "the order is read"
             )
             return
         if not step.phase.is_final:
-            phase, why = plan.decide_step(self._describe(rollout, step))
+            phase, why = plan.decide_phase(
+                self._measure_progress(rollout, step)
+            )
             if phase is not step.phase:
-                await self._write(rollout, phase, step.started_ms, why)
+                await self._write_step(rollout, phase, step.started_ms, why)
                 return
-        await self._tell(rollout, step)
+        await self._publish_status(rollout, step)
 
-    def _describe(
+    def _measure_progress(
         self, rollout: registry.Rollout, step: registry.Step
-    ) -> plan.Situation:
+    ) -> plan.RolloutProgress:
         parts = self._parts
         name = rollout.order.service
         version = rollout.order.version
@@ -124,9 +126,9 @@
             if one.software != version
         ]
         trial = parts.trials.find(name, rollout.offset)
-        return plan.Situation(
+        return plan.RolloutProgress(
             step.phase,
-            self._find_elapsed(rollout, step),
+            self._find_elapsed_s(rollout, step),
             rollout.order.duration_s,
             verdict.judge_trial(trial),
             any(one.software != version for one in usable),
@@ -134,7 +136,7 @@
             sum(parts.ledger.find(one.id).requests for one in old),
         )
 
-    def _find_elapsed(
+    def _find_elapsed_s(
         self, rollout: registry.Rollout, step: registry.Step
     ) -> float:
         """Return the time since the order.
@@ -142,13 +144,13 @@
         Who has followed it all along goes by the steady clock; the time of
         day, which may jump, serves only who took over.
         """
-        own_s = trio.current_time() - rollout.seen_at
-        if (step.service, step.order) in self._led:
-            return own_s
-        told_s = self._find_wall_s() - step.started_ms / _MS
-        return max(own_s, min(told_s, rollout.order.duration_s))
+        monotonic_s = trio.current_time() - rollout.seen_at
+        if (step.service, step.order) in self._started_here:
+            return monotonic_s
+        wall_clock_s = self._read_wall_clock_s() - step.started_ms / _MS_PER_S
+        return max(monotonic_s, min(wall_clock_s, rollout.order.duration_s))
 
-    async def _write(
+    async def _write_step(
         self,
         rollout: registry.Rollout,
         phase: registry.Phase,
@@ -175,7 +177,7 @@
         match written:
             case Result(tag="ok", ok=done) if done.offset is not None:
                 if phase is registry.Phase.CANARY:
-                    self._led.add((service, rollout.offset))
+                    self._started_here.add((service, rollout.offset))
                 parts.follower.skip_to(done.offset + 1)
                 parts.orders.apply_step(step)
             case Result(tag="ok"):
@@ -204,23 +206,23 @@
             refused.add(rollout.order.version)
         return tuple(sorted(refused))
 
-    async def _tell(
+    async def _publish_status(
         self, rollout: registry.Rollout, step: registry.Step
     ) -> None:
         """Tell operators, once in this daemon's term for each state."""
         parts = self._parts
         service = rollout.order.service
-        told = (rollout.offset, step.phase.state)
-        if self._told.get(service) == told:
+        published_state = (rollout.offset, step.phase.state)
+        if self._published.get(service) == published_state:
             return
         status = rollouts.RolloutStatus(
             service, rollout.order.version, step.phase.state
         )
         key, value = parts.codec.encode_rollout_status(status)
-        if await self._is_known(key, value):
-            self._told[service] = told
+        if await self._is_published(key, value):
+            self._published[service] = published_state
             return
-        if not parts.lease.is_held(_CALL_S):
+        if not parts.lease.is_held(_MIN_LEASE_S):
             return
         payload = parts.log.join_keyed(key, value)
         written = await parts.log.append(parts.topics.status, [payload])
@@ -228,7 +230,7 @@
             message = written.error.message
             _LOG.write(f"{service}: the status is not told yet: {message}.")
             return
-        self._told[service] = told
+        self._published[service] = published_state
         _LOG.write(
             f"{service}: operators are told {step.phase.state.value}.",
             service=service,
@@ -238,7 +240,7 @@
             fence=self._fence,
         )
 
-    async def _is_known(self, key: str, value: bytes) -> bool:
+    async def _is_published(self, key: str, value: bytes) -> bool:
         """Tell whether operators have been told the same before."""
         found = await self._parts.log.read_newest(self._parts.topics.status)
         match found:
--- a/packages/daemon/src/martenquay_daemon/rollouts/parts.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/parts.py
@@ -18,7 +18,7 @@
 __all__ = ["RolloutState", "create_rollout_state"]
 
 # The log answers some daemon of each zone at least twice a second.
-_LOG_HEARD_S = 2.5
+_LOG_CONTACT_S = 2.5
 
 
 @dataclasses.dataclass(frozen=True)
@@ -66,6 +66,6 @@
             orders,
             rng,
             count_daemons,
-            lambda: log_contact.age_s < _LOG_HEARD_S,
+            lambda: log_contact.age_s < _LOG_CONTACT_S,
         ),
     )
--- a/packages/daemon/src/martenquay_daemon/rollouts/plan.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/plan.py
@@ -10,21 +10,21 @@
 if TYPE_CHECKING:
     from martenquay_daemon.rollouts import verdict
 
-__all__ = ["Situation", "decide_step"]
+__all__ = ["RolloutProgress", "decide_phase"]
 
 # Parts of an order's time. A version that turns bad after some seconds shows
 # it only to those who wait, and to call a version good by mistake exposes all
 # callers: so the trial takes most of the time. Of versions that fail 5 s after
 # their first answer, in an order of 12 s at 65 to 400 requests a second, 55 of
 # 72 got more requests than the users allow with 0.72, and 39 of 96 with this.
-_TRIAL_PART = 0.84
+_CANARY_FRACTION = 0.84
 # The old runners stop at once when the order is completed, so what they have
 # has to end before that; and it has to be told before the time is over.
-_END_PART = 0.94
+_COMPLETION_FRACTION = 0.94
 
 
 @dataclasses.dataclass(frozen=True)
-class Situation:
+class RolloutProgress:
     """What is known of an open order.
 
     Attributes:
@@ -46,43 +46,57 @@
     old_requests: int
 
 
-def decide_step(now: Situation) -> tuple[registry.Phase, str]:
+def decide_phase(progress: RolloutProgress) -> tuple[registry.Phase, str]:
     """Return the phase that is to hold, and why."""
-    if now.phase.is_final:
-        return now.phase, ""
-    if now.verdict.is_bad:
-        return registry.Phase.ROLLED_BACK, now.verdict.why
-    part = now.elapsed_s / now.duration_s if now.duration_s > 0 else 1.0
-    if now.phase is registry.Phase.SWITCHING:
-        return _decide_switch(now, part)
-    return _decide_trial(now, part)
-
-
-def _decide_trial(now: Situation, part: float) -> tuple[registry.Phase, str]:
-    if part < _TRIAL_PART:
+    if progress.phase.is_final:
+        return progress.phase, ""
+    if progress.verdict.is_bad:
+        return registry.Phase.ROLLED_BACK, progress.verdict.why
+    elapsed_fraction = (
+        progress.elapsed_s / progress.duration_s
+        if progress.duration_s > 0
+        else 1.0
+    )
+    if progress.phase is registry.Phase.SWITCHING:
+        return _decide_switching(progress, elapsed_fraction)
+    return _decide_canary(progress, elapsed_fraction)
+
+
+def _decide_canary(
+    progress: RolloutProgress, elapsed_fraction: float
+) -> tuple[registry.Phase, str]:
+    if elapsed_fraction < _CANARY_FRACTION:
         return registry.Phase.CANARY, ""
-    if now.verdict.is_doubtful:
-        return registry.Phase.ROLLED_BACK, f"in doubt: {now.verdict.why}"
-    if not now.has_new:
+    if progress.verdict.is_doubtful:
+        return registry.Phase.ROLLED_BACK, f"in doubt: {progress.verdict.why}"
+    if not progress.has_new:
         return registry.Phase.ROLLED_BACK, "no runner of it serves"
-    if not now.has_old:
+    if not progress.has_old:
         return registry.Phase.COMPLETED, "no runner of another version serves"
-    if not now.verdict.has_enough and part < _END_PART:
+    if (
+        not progress.verdict.has_enough
+        and elapsed_fraction < _COMPLETION_FRACTION
+    ):
         return registry.Phase.CANARY, ""
-    if not now.verdict.has_enough:
-        return registry.Phase.ROLLED_BACK, f"too few answers: {now.verdict.why}"
-    return registry.Phase.SWITCHING, now.verdict.why
+    if not progress.verdict.has_enough:
+        return (
+            registry.Phase.ROLLED_BACK,
+            f"too few answers: {progress.verdict.why}",
+        )
+    return registry.Phase.SWITCHING, progress.verdict.why
 
 
-def _decide_switch(now: Situation, part: float) -> tuple[registry.Phase, str]:
-    if now.old_requests == 0 and now.has_new:
+def _decide_switching(
+    progress: RolloutProgress, elapsed_fraction: float
+) -> tuple[registry.Phase, str]:
+    if progress.old_requests == 0 and progress.has_new:
         return (
             registry.Phase.COMPLETED,
             "the old runners have ended all they had",
         )
-    if part < _END_PART:
+    if elapsed_fraction < _COMPLETION_FRACTION:
         return registry.Phase.SWITCHING, ""
     return (
         registry.Phase.COMPLETED,
-        f"{now.old_requests} requests at old runners when time was over",
+        f"{progress.old_requests} requests at old runners when time was over",
     )
--- a/packages/daemon/src/martenquay_daemon/rollouts/records.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/records.py
@@ -43,7 +43,7 @@
     """Implement `keyed_follower.RecordSink` for steps."""
 
     def __init__(self, rollouts: registry.RolloutRegistry) -> None:
-        self._book = rollouts
+        self._registry = rollouts
 
     def replace_all(self, snapshot: ports.Snapshot) -> None:
         """Take the newest step of each service; a missing one holds on."""
@@ -60,7 +60,7 @@
         except ValueError as error:
             _LOG.write(f"A record of {record.key} is no step: {error}.")
             return
-        self._book.apply_step(
+        self._registry.apply_step(
             registry.Step(
                 record.key,
                 found.order,
@@ -80,7 +80,7 @@
         self, codec: ports.PlatformCodec, rollouts: registry.RolloutRegistry
     ) -> None:
         self._codec = codec
-        self._book = rollouts
+        self._registry = rollouts
 
     def replace_all(self, snapshot: ports.Snapshot) -> None:
         """Take the newest records; a missing one changes nothing."""
@@ -97,4 +97,4 @@
             _LOG.write(f"Order {record.key} cannot be read: {error}.")
             return
         if order is not None:
-            self._book.apply_order(record.offset, order)
+            self._registry.apply_order(record.offset, order)
--- a/packages/daemon/src/martenquay_daemon/rollouts/registry.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/registry.py
@@ -20,7 +20,7 @@
 _LOG = logs.create_log("rollouts")
 # Who starts reads all orders; who runs hears of a new one from others within a
 # second or two, or as soon as a cut is over.
-_RECENT_S = 60.0
+_GOSSIP_PERIOD_S = 60.0
 
 
 class Phase(enum.Enum):
@@ -124,7 +124,7 @@
 
     def list_recent(self) -> list[Rollout]:
         """Return the orders that other daemons may not have read yet."""
-        oldest = trio.current_time() - _RECENT_S
+        oldest = trio.current_time() - _GOSSIP_PERIOD_S
         return [one for one in self.list_all() if one.seen_at > oldest]
 
     def find_last_step(self, service: str) -> Step | None:
@@ -158,7 +158,7 @@
     def apply_step(self, step: Step) -> bool:
         """Take a step; tell whether it leads on."""
         known = self._steps.get(step.service)
-        if known is not None and not _leads_on(known, step):
+        if known is not None and not _supersedes(known, step):
             return False
         self._steps[step.service] = step
         rollout = self._rollouts.get(step.service)
@@ -175,7 +175,7 @@
         return True
 
 
-def _leads_on(known: Step, step: Step) -> bool:
+def _supersedes(known: Step, step: Step) -> bool:
     if step.order != known.order:
         return step.order > known.order
     return step.phase.rank > known.phase.rank
--- a/packages/daemon/src/martenquay_daemon/rollouts/share.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/share.py
@@ -7,22 +7,22 @@
 if TYPE_CHECKING:
     import random
 
-__all__ = ["CanaryShare"]
+__all__ = ["CanaryBudget"]
 
 # The part of a service's requests that a version gets until it is judged. The
 # users allow a tenth and 50 more, over all daemons; what is left over is for
 # requests that a daemon has counted and that never reach a runner.
-_PART = 0.08
+_CANARY_FRACTION = 0.08
 # Beside it the daemons together get so many: where requests are few, a part of
 # them is too few to judge by. All of them may start anew once, and have them
 # again.
-_EXTRA = 20.0
+_EXTRA_REQUESTS = 20.0
 # Credit beyond this is dropped, or a daemon that had no runner of the version
 # for a while would send it all at once.
-_MOST_CREDIT = 2.0
+_MAX_CREDIT = 2.0
 
 
-class CanaryShare:
+class CanaryBudget:
     """Credit that each request earns and each canary request spends.
 
     The bound holds over any number of daemons without a word between them, for
@@ -40,16 +40,16 @@
             daemons: How many there are.
         """
         self._rng = rng
-        self._credit = _EXTRA / max(1, daemons)
+        self._credit = _EXTRA_REQUESTS / max(1, daemons)
         self._threshold = rng.random()
 
-    def note_request(self) -> None:
+    def earn(self) -> None:
         """Earn the credit of one request."""
         self._credit = max(
-            self._credit, min(_MOST_CREDIT, self._credit + _PART)
+            self._credit, min(_MAX_CREDIT, self._credit + _CANARY_FRACTION)
         )
 
-    def take(self) -> bool:
+    def try_spend(self) -> bool:
         """Spend one canary request if there is credit for it."""
         if self._credit < self._threshold:
             return False
--- a/packages/daemon/src/martenquay_daemon/rollouts/tallies.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/tallies.py
@@ -5,10 +5,10 @@
 import dataclasses
 import math
 
-__all__ = ["RouteTally", "OutcomeTally", "TallyTable", "Trial"]
+__all__ = ["OutcomeTally", "RouteTally", "TallyTable", "Trial"]
 
 # What took no time that could be measured.
-_LEAST_S = 0.001
+_MIN_LATENCY_S = 0.001
 
 
 @dataclasses.dataclass(frozen=True)
@@ -42,16 +42,18 @@
             self.log_squares + other.log_squares,
         )
 
-    def note(self, took_s: float | None) -> OutcomeTally:
+    def note(self, latency_s: float | None) -> OutcomeTally:
         """Return it with one answer more.
 
         Args:
-            took_s: Until its first event, or its end; None if it failed.
+            latency_s: Until its first event, or its end; None if it failed.
         """
-        if took_s is None:
+        if latency_s is None:
             return self.add(OutcomeTally(1, 1))
-        taken = math.log(max(_LEAST_S, took_s))
-        return self.add(OutcomeTally(1, 0, 1, taken, taken * taken))
+        log_latency = math.log(max(_MIN_LATENCY_S, latency_s))
+        return self.add(
+            OutcomeTally(1, 0, 1, log_latency, log_latency * log_latency)
+        )
 
 
 @dataclasses.dataclass(frozen=True)
@@ -112,7 +114,7 @@
         service: str,
         order: int,
         route: str,
-        took_s: float | None,
+        latency_s: float | None,
         *,
         is_new: bool,
     ) -> None:
@@ -122,14 +124,14 @@
             service: Whose runner gave it.
             order: The offset of the order that is open.
             route: The request's route.
-            took_s: Until its first event, or its end; None if it failed.
+            latency_s: Until its first event, or its end; None if it failed.
             is_new: The runner has the version on trial.
         """
         trial = self._own.get(service)
         if trial is None or trial.order != order:
             trial = Trial(order)
-        side = OutcomeTally().note(took_s)
-        tally = RouteTally(new=side) if is_new else RouteTally(old=side)
+        outcome = OutcomeTally().note(latency_s)
+        tally = RouteTally(new=outcome) if is_new else RouteTally(old=outcome)
         self._own[service] = trial.add(Trial(order, {route: tally}))
 
     def list_own(self) -> dict[str, Trial]:
--- a/packages/daemon/src/martenquay_daemon/rollouts/versions.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/versions.py
@@ -21,7 +21,7 @@
 # Runners of a new version may be listed before their order is read. An order
 # is read within this time unless the log is away; after it the operators have
 # put the version there by other means, and it serves like the others.
-_UNORDERED_S = 6.0
+_UNORDERED_WAIT_S = 6.0
 
 
 class VersionChooser:
@@ -32,18 +32,18 @@
         rollouts: registry.RolloutRegistry,
         rng: random.Random,
         count_daemons: Callable[[], int],
-        is_log_heard: Callable[[], bool] = lambda: True,
+        is_log_reachable: Callable[[], bool] = lambda: True,
     ) -> None:
-        self._book = rollouts
-        self._is_log_heard = is_log_heard
+        self._registry = rollouts
+        self._is_log_reachable = is_log_reachable
         self._count_daemons = count_daemons
         self._rng = rng
-        self._shares: dict[tuple[str, int], share.CanaryShare] = {}
+        self._budgets: dict[tuple[str, int], share.CanaryBudget] = {}
         # Versions by service: those in use, and since when others are seen.
-        self._used: dict[str, set[str]] = {}
-        self._seen_at: dict[tuple[str, str], float] = {}
+        self._known_versions: dict[str, set[str]] = {}
+        self._new_since: dict[tuple[str, str], float] = {}
         # The order by service of which runners have been there to choose.
-        self._begun: dict[str, int] = {}
+        self._canary_orders: dict[str, int] = {}
 
     def choose(
         self, service: str, usable: list[runners.Runner]
@@ -54,32 +54,32 @@
             service: The service.
             usable: Its runners that may get work at all.
         """
-        rollout = self._book.find(service)
+        rollout = self._registry.find(service)
         if rollout is None or rollout.phase is not registry.Phase.CANARY:
             return self.list_serving(service, usable)
         old, new = self._split(service, usable, rollout.order.version)
         if new:
-            self._begun[service] = rollout.offset
-        canary = self._find_share(service, rollout.offset)
-        canary.note_request()
+            self._canary_orders[service] = rollout.offset
+        budget = self._find_budget(service, rollout.offset)
+        budget.earn()
         if not old:
             return new
-        return new if new and canary.take() else old
+        return new if new and budget.try_spend() else old
 
     def has_begun(self, service: str, order: int) -> bool:
         """Tell whether this daemon has had runners of an order's version.
 
         What the old ones answered before is of other seconds.
         """
-        return self._begun.get(service) == order
+        return self._canary_orders.get(service) == order
 
     def list_serving(
         self, service: str, usable: list[runners.Runner]
     ) -> list[runners.Runner]:
         """Return the runners that carry a service's requests."""
-        rollout = self._book.find(service)
+        rollout = self._registry.find(service)
         if rollout is None:
-            return self._list_used(service, usable)
+            return self._list_known_versions(service, usable)
         old, new = self._split(service, usable, rollout.order.version)
         match rollout.phase:
             case registry.Phase.CANARY:
@@ -95,7 +95,7 @@
         self, service: str, usable: list[runners.Runner], version: str
     ) -> tuple[list[runners.Runner], list[runners.Runner]]:
         """Return the runners of the other versions and of this one."""
-        refused = self._book.find_refused(service) - {version}
+        refused = self._registry.find_refused(service) - {version}
         old = [
             one
             for one in usable
@@ -103,32 +103,32 @@
         ]
         return old, [one for one in usable if one.software == version]
 
-    def _find_share(self, service: str, order: int) -> share.CanaryShare:
+    def _find_budget(self, service: str, order: int) -> share.CanaryBudget:
         key = (service, order)
-        if key not in self._shares:
-            self._shares[key] = share.CanaryShare(
+        if key not in self._budgets:
+            self._budgets[key] = share.CanaryBudget(
                 self._rng, self._count_daemons()
             )
-        return self._shares[key]
+        return self._budgets[key]
 
-    def _list_used(
+    def _list_known_versions(
         self, service: str, usable: list[runners.Runner]
     ) -> list[runners.Runner]:
         """Return the runners of versions that need no order."""
-        there = {one.software for one in usable}
-        used = self._used.setdefault(service, there)
-        for version in there - used:
-            if not there & used or self._has_waited(service, version):
-                self._used[service] = used = used | {version}
-        return [one for one in usable if one.software in used]
-
-    def _has_waited(self, service: str, version: str) -> bool:
+        present = {one.software for one in usable}
+        known = self._known_versions.setdefault(service, present)
+        for version in present - known:
+            if not present & known or self._is_wait_over(service, version):
+                self._known_versions[service] = known = known | {version}
+        return [one for one in usable if one.software in known]
+
+    def _is_wait_over(self, service: str, version: str) -> bool:
         now = trio.current_time()
-        if not self._is_log_heard():
+        if not self._is_log_reachable():
             # Its order may be there.
-            self._seen_at[service, version] = now
-        since = self._seen_at.setdefault((service, version), now)
-        if now - since < _UNORDERED_S:
+            self._new_since[service, version] = now
+        since = self._new_since.setdefault((service, version), now)
+        if now - since < _UNORDERED_WAIT_S:
             return False
         _LOG.write(
             f"{service}: {version} serves without an order.",
--- a/tests/rollout_days.py
+++ b/tests/rollout_days.py
@@ -15,18 +15,18 @@
 )
 from tests import serving_builders as builders
 
-__all__ = ["Played", "RolloutDay", "Version", "play_day"]
+__all__ = ["RolloutOutcome", "RolloutDay", "Version", "play_day"]
 
 _SERVICE = "model"
 _ROUTES = ("r-long", "r-short", "r-chat")
 _STEP_S = 0.25
 _BOOT_S = 4.0
 # Sums of others are so old when the keeper reads them.
-_TOLD_S = 0.5
+_GOSSIP_DELAY_S = 0.5
 # How answers of one route differ in time: half of them by a factor of two.
-_SPREAD = 0.8
-_TYPICAL_S = 0.2
-_USUAL_FAILURES = 0.01
+_LATENCY_SIGMA = 0.8
+_MEDIAN_LATENCY_S = 0.2
+_BASE_FAILURE_RATE = 0.01
 
 
 @dataclasses.dataclass(frozen=True)
@@ -78,7 +78,7 @@
 
 
 @dataclasses.dataclass
-class Played:
+class RolloutOutcome:
     """What became of an order.
 
     Attributes:
@@ -92,127 +92,133 @@
 
     phase: registry.Phase = registry.Phase.CANARY
     decided_s: float = 0.0
-    exposed: int = 0
+    canary_requests: int = 0
     requests: int = 0
     bad_answers: int = 0
     why: str = ""
 
     def find_excess(self) -> float:
         """Return by how much the users' bound on exposure is exceeded."""
-        return max(0.0, self.exposed - 0.1 * self.requests - 50)
+        return max(0.0, self.canary_requests - 0.1 * self.requests - 50)
 
 
-def play_day(day: RolloutDay) -> Played:
+def play_day(scenario: RolloutDay) -> RolloutOutcome:
     """Play an order; needs a running clock, of which no time is taken."""
-    return _Replay(day).play()
+    return _Simulation(scenario).run()
 
 
-class _Replay:
-    def __init__(self, day: RolloutDay) -> None:
-        self._day = day
-        self._rng = random.Random(day.seed)
-        self._played = Played()
+class _Simulation:
+    def __init__(self, scenario: RolloutDay) -> None:
+        self._scenario = scenario
+        self._rng = random.Random(scenario.seed)
+        self._outcome = RolloutOutcome()
         self._old = _build_runners("v1")
         self._new = _build_runners("v2")
-        self._book = registry.RolloutRegistry()
-        order = rollouts.RolloutOrder(_SERVICE, "v2", day.duration_s)
-        self._book.apply_order(7, order)
-        self._take_step(registry.Phase.CANARY, "")
+        self._registry = registry.RolloutRegistry()
+        order = rollouts.RolloutOrder(_SERVICE, "v2", scenario.duration_s)
+        self._registry.apply_order(7, order)
+        self._apply_step(registry.Phase.CANARY, "")
         self._start_daemons()
-        self._told: list[tuple[float, tallies.Trial]] = []
+        self._gossiped: list[tuple[float, tallies.Trial]] = []
         self._first_new_s: float | None = None
-        self._ends: list[float] = []
+        self._old_requests_end_at: list[float] = []
 
-    def play(self) -> Played:
+    def run(self) -> RolloutOutcome:
         step = 0
-        while step * _STEP_S < self._day.duration_s:
+        while step * _STEP_S < self._scenario.duration_s:
             now = step * _STEP_S
-            if self._day.restart_at_s == now:
+            if self._scenario.restart_at_s == now:
                 self._start_daemons()
             for _ in range(self._draw_count()):
-                self._send(now)
+                self._send_request(now)
             self._decide(now + _STEP_S)
             step += 1
-        return self._played
+        return self._outcome
 
     def _start_daemons(self) -> None:
-        count = self._day.daemons
+        count = self._scenario.daemons
         self._choosers = [
-            versions.VersionChooser(self._book, self._rng, lambda: count)
+            versions.VersionChooser(self._registry, self._rng, lambda: count)
             for _ in range(count)
         ]
         self._tables = [tallies.TallyTable() for _ in range(count)]
 
     def _draw_count(self) -> int:
-        mean = self._day.requests_per_s * _STEP_S
+        mean = self._scenario.requests_per_s * _STEP_S
         return max(0, round(self._rng.gauss(mean, mean**0.5)))
 
-    def _send(self, now: float) -> None:
-        number = self._rng.randrange(self._day.daemons)
+    def _send_request(self, now: float) -> None:
+        number = self._rng.randrange(self._scenario.daemons)
         usable = [*self._old, *(self._new if now >= _BOOT_S else [])]
         chosen = self._choosers[number].choose(_SERVICE, usable)
         is_new = chosen[0].software == "v2"
         route = self._rng.choice(_ROUTES)
-        took_s = self._draw_answer(now, route, is_new=is_new)
-        self._played.requests += 1
-        self._played.exposed += is_new
+        latency_s = self._draw_answer(now, route, is_new=is_new)
+        self._outcome.requests += 1
+        self._outcome.canary_requests += is_new
         if not is_new:
-            self._ends.append(now + 2.0 * self._rng.random())
+            self._old_requests_end_at.append(now + 2.0 * self._rng.random())
         if self._choosers[number].has_begun(_SERVICE, 7):
             table = self._tables[number]
-            table.note(_SERVICE, 7, route, took_s, is_new=is_new)
+            table.note(_SERVICE, 7, route, latency_s, is_new=is_new)
 
     def _draw_answer(
         self, now: float, route: str, *, is_new: bool
     ) -> float | None:
         """Return how long an answer takes; None if it is a failure."""
-        failures = _USUAL_FAILURES
-        took_s = self._rng.lognormvariate(0.0, _SPREAD) * _TYPICAL_S
-        crash_at_s = self._day.crash_at_s
+        failures = _BASE_FAILURE_RATE
+        latency_s = (
+            self._rng.lognormvariate(0.0, _LATENCY_SIGMA) * _MEDIAN_LATENCY_S
+        )
+        crash_at_s = self._scenario.crash_at_s
         if crash_at_s is not None and crash_at_s <= now < crash_at_s + 2.0:
-            failures += self._day.crash_failures
-            took_s *= 3
-        version = self._day.version
+            failures += self._scenario.crash_failures
+            latency_s *= 3
+        version = self._scenario.version
         if is_new:
             if self._first_new_s is None:
                 self._first_new_s = now
             is_on = now >= self._first_new_s + version.from_s
             if is_on and route in version.routes:
                 failures += version.failures
-                took_s *= version.slowness
+                latency_s *= version.slowness
                 is_failed = self._rng.random() < failures
-                self._played.bad_answers += is_failed or version.slowness > 1
-                return None if is_failed else took_s
-        return None if self._rng.random() < failures else took_s
+                self._outcome.bad_answers += is_failed or version.slowness > 1
+                return None if is_failed else latency_s
+        return None if self._rng.random() < failures else latency_s
 
     def _decide(self, now: float) -> None:
-        rollout = self._book.find(_SERVICE)
+        rollout = self._registry.find(_SERVICE)
         assert rollout is not None, "the order was taken"
         total = tallies.Trial(7)
         for table in self._tables:
             total = total.add(table.find(_SERVICE, 7))
-        self._told.append((now, total))
-        known = [trial for at, trial in self._told if at <= now - _TOLD_S]
-        phase, why = plan.decide_step(
-            plan.Situation(
+        self._gossiped.append((now, total))
+        known = [
+            trial for at, trial in self._gossiped if at <= now - _GOSSIP_DELAY_S
+        ]
+        phase, why = plan.decide_phase(
+            plan.RolloutProgress(
                 rollout.phase,
                 now,
-                self._day.duration_s,
+                self._scenario.duration_s,
                 verdict.judge_trial(known[-1] if known else tallies.Trial(7)),
                 has_old=True,
                 has_new=now >= _BOOT_S,
-                old_requests=sum(end > now for end in self._ends),
+                old_requests=sum(
+                    end > now for end in self._old_requests_end_at
+                ),
             )
         )
         if phase is not rollout.phase:
-            self._take_step(phase, why)
-            self._played.phase = phase
-            self._played.decided_s = now
-            self._played.why = why
+            self._apply_step(phase, why)
+            self._outcome.phase = phase
+            self._outcome.decided_s = now
+            self._outcome.why = why
 
-    def _take_step(self, phase: registry.Phase, why: str) -> None:
+    def _apply_step(self, phase: registry.Phase, why: str) -> None:
         refused = ("v2",) if phase is registry.Phase.ROLLED_BACK else ()
-        self._book.apply_step(
+        self._registry.apply_step(
             registry.Step(_SERVICE, 7, "v2", phase, 0, refused, why)
         )
 
--- a/tests/test_duties/test_capacity.py
+++ b/tests/test_duties/test_capacity.py
@@ -37,13 +37,13 @@
     def _plan(
         self,
         state: capacity_plan.ServiceState,
-        needed: int,
-        comfortable: int = 0,
+        required: int,
+        desired: int = 0,
     ) -> tuple[list[int], list[int]]:
-        target = capacity_plan.CapacityTarget(needed, comfortable)
-        cheap = capacity_plan.plan_reclaimable(state, target)
-        dear = capacity_plan.plan_on_demand(state, target)
-        return [o.wanted for o in cheap], [o.wanted for o in dear]
+        target = capacity_plan.CapacityTarget(required, desired)
+        reclaimable = capacity_plan.plan_reclaimable(state, target)
+        on_demand = capacity_plan.plan_on_demand(state, target)
+        return [o.wanted for o in reclaimable], [o.wanted for o in on_demand]
 
     def test_reclaimable_ones_are_spread_so_that_one_zone_may_go(self) -> None:
         reclaimable, on_demand = self._plan(_build_state("aabbcc"), 4)
@@ -89,8 +89,8 @@
     ) -> None:
         state = _build_state("bbbccc")
         self.assertEqual(0, sum(self._plan(state, 3)[1]))
-        dry = dataclasses.replace(state, is_dry=True)
-        self.assertEqual(3, sum(self._plan(dry, 3)[1]))
+        exhausted = dataclasses.replace(state, is_out_of_reclaimable=True)
+        self.assertEqual(3, sum(self._plan(exhausted, 3)[1]))
 
     def test_an_on_demand_one_that_boots_stays_where_it_was_ordered(
         self,
@@ -105,60 +105,68 @@
         st.integers(1, 20),
     )
     def test_limits_hold_for_both_kinds_together(
-        self, reclaimable: list[str], on_demand: list[str], needed: int
+        self, reclaimable: list[str], on_demand: list[str], required: int
     ) -> None:
         state = _build_state("".join(reclaimable), "".join(on_demand))
-        target = capacity_plan.CapacityTarget(needed, needed)
+        target = capacity_plan.CapacityTarget(required, required)
         most = state.limits.most
         for order in capacity_plan.plan_reclaimable(state, target):
-            dear = state.count(order.zone, is_reclaimable=False)
-            self.assertLessEqual(order.wanted, max(0, most - dear))
-            self.assertGreaterEqual(order.wanted + dear, state.limits.least)
+            on_demand_count = state.count_serving(
+                order.zone, is_reclaimable=False
+            )
+            self.assertLessEqual(order.wanted, max(0, most - on_demand_count))
+            self.assertGreaterEqual(
+                order.wanted + on_demand_count, state.limits.least
+            )
         for order in capacity_plan.plan_on_demand(state, target):
-            cheap = state.count(order.zone, is_reclaimable=True)
-            self.assertLessEqual(order.wanted, max(0, most - cheap))
+            reclaimable_count = state.count_serving(
+                order.zone, is_reclaimable=True
+            )
+            self.assertLessEqual(order.wanted, max(0, most - reclaimable_count))
 
     @given(st.lists(st.sampled_from("abc"), max_size=9), st.integers(1, 20))
     def test_no_runner_that_serves_is_given_up_for_a_dearer_one(
-        self, reclaimable: list[str], needed: int
+        self, reclaimable: list[str], required: int
     ) -> None:
         state = _build_state("".join(reclaimable))
         most = state.limits.most
-        target = capacity_plan.CapacityTarget(needed, needed)
+        target = capacity_plan.CapacityTarget(required, required)
         for order in capacity_plan.plan_on_demand(state, target):
-            serving = state.count(order.zone, is_reclaimable=True)
+            serving = state.count_serving(order.zone, is_reclaimable=True)
             if order.wanted and serving <= most:
                 self.assertLessEqual(serving + order.wanted, most)
 
 
 class NeedTest(testtools.TestCase):
     def test_the_larger_of_reading_and_slots_decides(self) -> None:
-        reading = capacity_plan.CapacityNeed(45_000.0, 1, 30_000.0)
-        slots = capacity_plan.CapacityNeed(10.0, 200, 30_000.0)
-        self.assertEqual(3, reading.count_needed(128))
-        self.assertEqual(4, slots.count_busy(128))
+        prefill_bound = capacity_plan.ServiceDemand(45_000.0, 1, 30_000.0)
+        slot_bound = capacity_plan.ServiceDemand(10.0, 200, 30_000.0)
+        self.assertEqual(3, prefill_bound.count_required(128))
+        self.assertEqual(4, slot_bound.count_desired(128))
 
     def test_engines_that_name_a_limit_are_parts_of_engines(self) -> None:
-        need = capacity_plan.CapacityNeed(45_000.0, 1, 30_000.0)
+        service_demand = capacity_plan.ServiceDemand(45_000.0, 1, 30_000.0)
         # One engine reads 19,500 tokens a second, so 10 requests of 1,950.
-        self.assertEqual(0, need.find_missing([], 1950.0))
-        self.assertEqual(0, need.find_missing([50.0], 1950.0))
-        self.assertEqual(1, need.find_missing([1.0], 1950.0))
-        self.assertEqual(2, need.find_missing([0.0, 1.0, 9.0], 1950.0))
-        self.assertEqual(0, need.find_missing([0.0], 0.0))
+        self.assertEqual(0, service_demand.count_lost_to_limits([], 1950.0))
+        self.assertEqual(0, service_demand.count_lost_to_limits([50.0], 1950.0))
+        self.assertEqual(1, service_demand.count_lost_to_limits([1.0], 1950.0))
+        self.assertEqual(
+            2, service_demand.count_lost_to_limits([0.0, 1.0, 9.0], 1950.0)
+        )
+        self.assertEqual(0, service_demand.count_lost_to_limits([0.0], 0.0))
 
     def test_cheap_runners_leave_more_slots_free_than_dear_ones(self) -> None:
-        need = capacity_plan.CapacityNeed(10.0, 240, 30_000.0)
-        self.assertEqual(3, need.count_needed(128))
-        self.assertEqual(4, need.count_busy(128))
+        service_demand = capacity_plan.ServiceDemand(10.0, 240, 30_000.0)
+        self.assertEqual(3, service_demand.count_required(128))
+        self.assertEqual(4, service_demand.count_desired(128))
 
     def test_a_backlog_takes_runners_beside_what_comes_in(self) -> None:
-        need = capacity_plan.CapacityNeed(
+        service_demand = capacity_plan.ServiceDemand(
             15_000.0, 1, 30_000.0, unread_tokens=60_000
         )
-        self.assertEqual(1, need.count_needed(128))
-        self.assertEqual(2, need.count_busy(128))
+        self.assertEqual(1, service_demand.count_required(128))
+        self.assertEqual(2, service_demand.count_desired(128))
 
     def test_one_runner_is_always_needed(self) -> None:
-        need = capacity_plan.CapacityNeed(0.0, 0, 30_000.0)
-        self.assertEqual(1, need.count_needed(128))
+        service_demand = capacity_plan.ServiceDemand(0.0, 0, 30_000.0)
+        self.assertEqual(1, service_demand.count_required(128))
--- a/tests/test_duties/test_capacity_controller.py
+++ b/tests/test_duties/test_capacity_controller.py
@@ -60,7 +60,7 @@
             )
         )
 
-    def _put(self, number: int, zone: str, **changes) -> None:
+    def _put_runner(self, number: int, zone: str, **changes) -> None:
         runner = builders.build_runner(
             id=f"r-{number}",
             service="model",
@@ -74,18 +74,20 @@
 
     def _run(self, scenario) -> None:
         async def run() -> None:
-            keeper = self._build()
+            controller = self._build()
             async with trio.open_nursery() as nursery:
                 for number, zone in enumerate("abcab", 1):
-                    self._put(number, zone)
+                    self._put_runner(number, zone)
                 nursery.start_soon(self.lease.run)
-                nursery.start_soon(keeper.run)
+                nursery.start_soon(controller.run)
                 await scenario()
                 nursery.cancel_scope.cancel()
 
         self.run_clocked(run)
 
-    def _find_last(self, zone: str, *, is_reclaimable: bool) -> int | None:
+    def _find_last_order(
+        self, zone: str, *, is_reclaimable: bool
+    ) -> int | None:
         found = [
             order.wanted
             for order in self.cloud.list_orders()
@@ -96,14 +98,14 @@
     def test_cheap_runners_come_first_and_dear_ones_go_after(self) -> None:
         async def scenario() -> None:
             await trio.sleep(4.0)
-            self.assertEqual(3, self._find_last("a", is_reclaimable=True))
+            self.assertEqual(3, self._find_last_order("a", is_reclaimable=True))
             before = self.cloud.list_orders()
             self.assertEqual([], [o for o in before if o.wanted == 0])
             for number, zone in enumerate("aaabbbccc", 10):
-                self._put(number, zone, is_reclaimable=True)
+                self._put_runner(number, zone, is_reclaimable=True)
             await trio.sleep(2.0)
             for zone in "abc":
-                last = self._find_last(zone, is_reclaimable=False)
+                last = self._find_last_order(zone, is_reclaimable=False)
                 self.assertEqual(0, last)
 
         self._run(scenario)
@@ -138,12 +140,12 @@
         """Have nine reclaimable runners serve, then take those of a and b."""
         await trio.sleep(4.0)
         for number, zone in enumerate("aaabbbccc", 10):
-            self._put(number, zone, is_reclaimable=True)
+            self._put_runner(number, zone, is_reclaimable=True)
         await trio.sleep(6.0)
         for number in range(1, 6):
-            self._put(number, "abcab"[number - 1], is_leaving=True)
+            self._put_runner(number, "abcab"[number - 1], is_leaving=True)
         for number in range(10, 16):
-            self._put(
+            self._put_runner(
                 number,
                 "aaabbb"[number - 10],
                 is_reclaimable=True,
@@ -165,8 +167,8 @@
             await self._lose_two_zones()
             self.cloud.has_reclaimable = False
             await trio.sleep(1.0)
-            dear = self._list_orders(is_reclaimable=False)
-            self.assertEqual(3, sum(wanted for _, wanted in dear))
+            on_demand = self._list_orders(is_reclaimable=False)
+            self.assertEqual(3, sum(wanted for _, wanted in on_demand))
 
         self._run(scenario)
 
@@ -176,10 +178,10 @@
         async def scenario() -> None:
             await self._lose_two_zones()
             await trio.sleep(1.0)
-            cheap = self._list_orders(is_reclaimable=True)
-            self.assertEqual([("a", 3), ("b", 3)], cheap)
-            dear = self._list_orders(is_reclaimable=False)
-            self.assertEqual(0, sum(wanted for _, wanted in dear))
+            reclaimable = self._list_orders(is_reclaimable=True)
+            self.assertEqual([("a", 3), ("b", 3)], reclaimable)
+            on_demand = self._list_orders(is_reclaimable=False)
+            self.assertEqual(0, sum(wanted for _, wanted in on_demand))
 
         self._run(scenario)
 
@@ -191,8 +193,8 @@
                     ports.KeyedRecord(99, f"r-{number}", None)
                 )
             await trio.sleep(1.0)
-            cheap = self._list_orders(is_reclaimable=True)
-            self.assertEqual([("a", 3), ("b", 3)], cheap)
+            reclaimable = self._list_orders(is_reclaimable=True)
+            self.assertEqual([("a", 3), ("b", 3)], reclaimable)
 
         self._run(scenario)
 
@@ -227,35 +229,39 @@
         async def scenario() -> None:
             await trio.sleep(4.0)
             for number, zone in enumerate("aaabbbccc", 10):
-                self._put(number, zone, is_reclaimable=True)
-            await self._teach_and_load(3.0, 20_000.0)
-            self._teach(20_000.0)
-            await self._load(1.5, 200_000.0)
-            risen = self._find_last("a", is_reclaimable=True)
+                self._put_runner(number, zone, is_reclaimable=True)
+            await self._send_prompts_at_known_speed(3.0, 20_000.0)
+            self._report_prefill_speed(20_000.0)
+            await self._send_prompts(1.5, 200_000.0)
+            risen = self._find_last_order("a", is_reclaimable=True)
             self.assertGreater(risen, 3)
             for number in range(1, 6):
-                self._put(number, "abcab"[number - 1], is_leaving=True)
+                self._put_runner(number, "abcab"[number - 1], is_leaving=True)
             for number in range(10, 13):
-                self._put(number, "a", is_reclaimable=True, is_leaving=True)
+                self._put_runner(
+                    number, "a", is_reclaimable=True, is_leaving=True
+                )
             self.cloud.has_reclaimable = False
             self.cloud.received.clear()
             await trio.sleep(3.0)
-            dear = self._list_orders(is_reclaimable=False)
-            self.assertGreater(sum(wanted for _, wanted in dear), 0)
+            on_demand = self._list_orders(is_reclaimable=False)
+            self.assertGreater(sum(wanted for _, wanted in on_demand), 0)
 
         self._run(scenario)
 
-    async def _teach_and_load(self, seconds: float, rate: float) -> None:
-        self._teach(20_000.0)
-        await self._load(seconds, rate)
+    async def _send_prompts_at_known_speed(
+        self, seconds: float, rate: float
+    ) -> None:
+        self._report_prefill_speed(20_000.0)
+        await self._send_prompts(seconds, rate)
 
-    async def _load(self, seconds: float, tokens_per_s: float) -> None:
+    async def _send_prompts(self, seconds: float, tokens_per_s: float) -> None:
         """Have callers bring prompts for engines to read."""
         for _ in range(int(seconds * 10)):
             self.meter.note("model", round(tokens_per_s / 10))
             await trio.sleep(0.1)
 
-    def _teach(self, tokens_per_s: float) -> None:
+    def _report_prefill_speed(self, tokens_per_s: float) -> None:
         """Have results show how fast engines read."""
         for number in range(100):
             own = 500 + 90 * number
@@ -266,14 +272,14 @@
         async def find_most(*limited: int) -> int:
             for number in limited:
                 runner = self.directory.find(f"r-{number}")
-                told = signals.RunnerSignals(limit_per_s=0.1)
-                self.limits.note_answer(runner, told, trio.current_time())
+                signal = signals.RunnerSignals(limit_per_s=0.1)
+                self.limits.note_answer(runner, signal, trio.current_time())
             self.cloud.received.clear()
-            await self._teach_and_load(3.0, 35_000.0)
+            await self._send_prompts_at_known_speed(3.0, 35_000.0)
             return max(o.wanted for o in self.cloud.list_orders())
 
         async def scenario() -> None:
-            await self._teach_and_load(30.0, 35_000.0)
+            await self._send_prompts_at_known_speed(30.0, 35_000.0)
             before = await find_most()
             # Engines read 13,000 tokens a second: the two take a tenth of it.
             self.assertGreater(await find_most(1, 2), before)
@@ -282,7 +288,7 @@
 
     def test_what_is_only_assumed_of_engines_buys_none(self) -> None:
         async def scenario() -> None:
-            await self._load(25.0, 200_000.0)
+            await self._send_prompts(25.0, 200_000.0)
             wanted = [o.wanted for o in self.cloud.list_orders()]
             # Five serve: with one zone's gone, two more than that remain.
             self.assertEqual(3, max(wanted))
@@ -293,12 +299,12 @@
         async def find_most(tokens_per_s: float) -> int:
             self.cloud.received.clear()
             for _ in range(5):
-                self._teach(tokens_per_s)
-                await self._load(5.0, 120_000.0)
+                self._report_prefill_speed(tokens_per_s)
+                await self._send_prompts(5.0, 120_000.0)
             return max(o.wanted for o in self.cloud.list_orders())
 
         async def scenario() -> None:
-            await self._load(16.0, 1000.0)
+            await self._send_prompts(16.0, 1000.0)
             fast = await find_most(150_000.0)
             slow = await find_most(20_000.0)
             self.assertLess(fast, slow)
--- a/tests/test_duties/test_lease.py
+++ b/tests/test_duties/test_lease.py
@@ -30,7 +30,7 @@
 )
 
 
-class _CutLog:
+class _DisconnectableLog:
     """One daemon's way to a log.
 
     Attributes:
@@ -38,32 +38,32 @@
     """
 
     def __init__(self, store: log.MemoryLog) -> None:
-        self.is_cut = False
+        self.is_disconnected = False
         self._store = store
 
     async def read(self, topic: str, start: int, *, wait_s: float = 0.0):
         """Read unless it is cut off."""
-        if self.is_cut:
-            return await _fail()
+        if self.is_disconnected:
+            return await _fail_call()
         return await self._store.read(topic, start, wait_s=wait_s)
 
     async def append(self, topic: str, payloads: list[bytes], **options):
         """Append unless it is cut off."""
-        if self.is_cut:
-            return await _fail()
+        if self.is_disconnected:
+            return await _fail_call()
         return await self._store.append(topic, payloads, **options)
 
 
-async def _fail() -> Result[None, outcome.PlatformFailure]:
+async def _fail_call() -> Result[None, outcome.PlatformFailure]:
     await trio.sleep(0.3)
     return Error(outcome.PlatformFailure(outcome.Effect.UNKNOWN, "cut"))
 
 
-async def _tell(first: lease.Lease, second: lease.Lease) -> None:
+async def _gossip_status(first: lease.Lease, second: lease.Lease) -> None:
     """Hand on the first one's news as digests do."""
     while True:
-        news = first.create_status()
-        second.apply_status("entry-1.aa", news, is_leaving=False)
+        status = first.create_status()
+        second.apply_status("entry-1.aa", status, is_leaving=False)
         await trio.sleep(0.25)
 
 
@@ -77,20 +77,20 @@
         )
         return one, fleet
 
-    def _create_on(self, store: _CutLog, name: str) -> lease.Lease:
+    def _create_on(self, store: _DisconnectableLog, name: str) -> lease.Lease:
         fleet = view.FleetView(name)
         return lease.create_lease(
             store, "lease", f"{name}.aa", name, _LENGTH_S, fleet
         )
 
-    async def _wait_held(self, one: lease.Lease) -> None:
+    async def _wait_until_held(self, one: lease.Lease) -> None:
         while not one.is_held():
             await trio.sleep(0.05)
 
     def test_the_first_daemon_takes_a_lease_that_was_never_held(self) -> None:
         async def scenario() -> None:
             one, _ = self._create(log.MemoryLog(), "entry-1")
-            async with _hold(one):
+            async with _hold_lease(one):
                 self.assertEqual(1, one.fence)
                 await trio.sleep(20.0)
                 self.assertTrue(one.is_held())
@@ -143,7 +143,7 @@
             async with trio.open_nursery() as nursery:
                 frozen = trio.CancelScope()
                 nursery.start_soon(_run_in, frozen, first)
-                await self._wait_held(first)
+                await self._wait_until_held(first)
                 frozen.cancel()
                 stopped_at = trio.current_time()
                 second, _ = self._create(store, "entry-2")
@@ -165,18 +165,18 @@
     ) -> None:
         async def scenario() -> None:
             store = log.MemoryLog()
-            cut = _CutLog(store)
-            first = self._create_on(cut, "entry-1")
+            connection = _DisconnectableLog(store)
+            first = self._create_on(connection, "entry-1")
             second, _ = self._create(store, "entry-2")
-            async with _hold(first) as nursery:
+            async with _hold_lease(first) as nursery:
                 nursery.start_soon(second.run)
-                nursery.start_soon(_tell, first, second)
+                nursery.start_soon(_gossip_status, first, second)
                 await trio.sleep(5.0)
-                cut.is_cut = True
+                connection.is_disconnected = True
                 while first.is_held():
                     await trio.sleep(0.01)
                 ended_at = trio.current_time()
-                await self._wait_held(second)
+                await self._wait_until_held(second)
                 gap_s = trio.current_time() - ended_at
                 # The margin of both sides, and the turn.
                 self.assertGreaterEqual(gap_s, _LENGTH_S / 3)
@@ -190,10 +190,10 @@
             store = log.MemoryLog()
             first, _ = self._create(store, "entry-1")
             second, _ = self._create(store, "entry-2")
-            async with _hold(first) as nursery:
+            async with _hold_lease(first) as nursery:
                 nursery.start_soon(second.run)
-                news = first.create_status()
-                second.apply_status("entry-1.aa", news, is_leaving=False)
+                status = first.create_status()
+                second.apply_status("entry-1.aa", status, is_leaving=False)
                 for _ in range(200):
                     await trio.sleep(0.1)
                     self.assertTrue(first.is_held())
@@ -205,9 +205,9 @@
         async def scenario() -> None:
             store = log.MemoryLog()
             first, _ = self._create(store, "entry-1")
-            async with _hold(first):
-                news = messages.LeaseStatus(first.fence, 40, 2000)
-                first.apply_status("entry-9.aa", news, is_leaving=False)
+            async with _hold_lease(first):
+                status = messages.LeaseStatus(first.fence, 40, 2000)
+                first.apply_status("entry-9.aa", status, is_leaving=False)
                 await trio.sleep(10.0)
                 self.assertTrue(first.is_held())
 
@@ -217,7 +217,7 @@
         async def scenario() -> None:
             store = log.MemoryLog()
             one, _ = self._create(store, "entry-1")
-            async with _hold(one):
+            async with _hold_lease(one):
                 store.faults.late_appends = 1
                 while store.faults.late_appends:
                     await trio.sleep(0.01)
@@ -238,7 +238,7 @@
             store = log.MemoryLog()
             one, _ = self._create(store, "entry-1")
             store.faults.lost_answers = 2
-            async with _hold(one):
+            async with _hold_lease(one):
                 await trio.sleep(10.0)
                 self.assertTrue(one.is_held())
 
@@ -249,15 +249,15 @@
             store = log.MemoryLog()
             first, _ = self._create(store, "entry-1")
             second, _ = self._create(store, "entry-2")
-            async with _hold(first) as nursery:
+            async with _hold_lease(first) as nursery:
                 nursery.start_soon(second.run)
-                nursery.start_soon(_tell, first, second)
+                nursery.start_soon(_gossip_status, first, second)
                 await trio.sleep(5.0)
                 await first.release()
                 second.apply_status("entry-1.aa", None, is_leaving=True)
                 released_at = trio.current_time()
                 self.assertFalse(first.is_held())
-                await self._wait_held(second)
+                await self._wait_until_held(second)
                 waited_s = trio.current_time() - released_at
                 self.assertLess(waited_s, _LENGTH_S)
 
@@ -267,11 +267,11 @@
         async def scenario() -> None:
             store = log.MemoryLog()
             first, _ = self._create(store, "entry-1")
-            async with _hold(first):
+            async with _hold_lease(first):
                 await first.release()
             started_at = trio.current_time()
             again, _ = self._create(store, "entry-1")
-            async with _hold(again):
+            async with _hold_lease(again):
                 self.assertGreater(trio.current_time() - started_at, _LENGTH_S)
 
         self.run_clocked(scenario)
@@ -282,8 +282,8 @@
             await store.append("lease", list(_UNREADABLE))
             read_at = trio.current_time()
             one, _ = self._create(store, "entry-1")
-            with mock.patch.object(lease_topic, "_LOG") as told:
-                async with _hold(one):
+            with mock.patch.object(lease_topic, "_LOG") as log_mock:
+                async with _hold_lease(one):
                     # Somebody may have taken it by one of them.
                     self.assertGreater(trio.current_time() - read_at, _LENGTH_S)
                     self.assertEqual(len(_UNREADABLE) + 1, one.fence)
@@ -292,7 +292,7 @@
                     for _ in range(200):
                         await trio.sleep(0.1)
                         self.assertTrue(one.is_held())
-            self.assertEqual(len(_UNREADABLE) + 1, told.write.call_count)
+            self.assertEqual(len(_UNREADABLE) + 1, log_mock.write.call_count)
 
         self.run_clocked(scenario)
 
@@ -302,14 +302,14 @@
         async def scenario() -> None:
             store = log.MemoryLog()
             first, _ = self._create(store, "entry-1")
-            async with _hold(first):
+            async with _hold_lease(first):
                 await first.release()
             second, _ = self._create(store, "entry-2")
             # So that its own first wait is over.
             await trio.sleep(10.0)
             await store.append("lease", [_UNREADABLE[0]])
             read_at = trio.current_time()
-            async with _hold(second):
+            async with _hold_lease(second):
                 self.assertGreater(trio.current_time() - read_at, _LENGTH_S)
 
         self.run_clocked(scenario)
@@ -320,18 +320,18 @@
         async def scenario() -> None:
             store = log.MemoryLog()
             first, _ = self._create(store, "entry-1")
-            async with _hold(first):
+            async with _hold_lease(first):
                 self.assertEqual(1, first.fence)
             store.forget("lease")
             second, _ = self._create(store, "entry-2")
-            async with _hold(second):
+            async with _hold_lease(second):
                 self.assertGreater(second.fence, first.fence)
 
         self.run_clocked(scenario)
 
 
 @contextlib.asynccontextmanager
-async def _hold(one: lease.Lease) -> AsyncIterator[trio.Nursery]:
+async def _hold_lease(one: lease.Lease) -> AsyncIterator[trio.Nursery]:
     """Run a lease from when it is held to the end of the block."""
     async with trio.open_nursery() as nursery:
         nursery.start_soon(one.run)
--- a/tests/test_duties/test_usage_reporter.py
+++ b/tests/test_duties/test_usage_reporter.py
@@ -36,7 +36,7 @@
             self.lease,
             self.counts,
             self.fleet,
-            usage_reporter.UsageTerms(10.0),
+            usage_reporter.ReportDeadline(10.0),
         )
 
     async def run(self) -> None:
@@ -150,7 +150,7 @@
             written = msgspec.msgpack.encode([window, {"drivers": 7}])
             unreadable = [b"\xc1", msgspec.msgpack.encode(["x", 1])]
             await store.append("usage", [*unreadable, written])
-            with mock.patch.object(usage_reporter, "_LOG") as told:
+            with mock.patch.object(usage_reporter, "_LOG") as log_mock:
                 async with trio.open_nursery() as nursery:
                     nursery.start_soon(one.run)
                     await trio.sleep(2 * _WINDOW_S + 2.0)
@@ -159,7 +159,7 @@
             # What can be read behind them counts, and more is reported.
             self.assertEqual({"drivers": 7}, found[window])
             self.assertIn(window + 1, found)
-            lines = [call.args[0] for call in told.write.call_args_list]
+            lines = [call.args[0] for call in log_mock.write.call_args_list]
             unread = [line for line in lines if "cannot be read" in line]
             self.assertEqual(len(unreadable), len(unread))
 
--- a/tests/test_rollouts/test_controller.py
+++ b/tests/test_rollouts/test_controller.py
@@ -26,7 +26,7 @@
 
     def __init__(self, name: str, platform: log.MemoryLog) -> None:
         self.log = platform
-        self.book = registry.RolloutRegistry()
+        self.registry = registry.RolloutRegistry()
         self.trials = tallies.TallyTable()
         self.ledger = loads.LoadLedger()
         codec = builders.FakeRecords()
@@ -47,27 +47,27 @@
             platform,
             log_contact,
             _TOPICS.catalog,
-            records.OrderSink(codec, self.book),
+            records.OrderSink(codec, self.registry),
             keyed_follower.ReadSchedule(wait_s=2.0),
         )
         self.follower = keyed_follower.KeyedFollower(
             platform,
             log_contact,
             _TOPICS.rollouts,
-            records.StepSink(self.book),
+            records.StepSink(self.registry),
             keyed_follower.ReadSchedule(wait_s=2.0),
         )
         self.lease = lease.create_lease(
             platform, "lease", f"{name}.aa", name, 3.0, view.FleetView(name)
         )
-        self.keeper = controller.RolloutController(
+        self.controller = controller.RolloutController(
             controller.RolloutParts(
                 log=platform,
                 topics=_TOPICS,
                 codec=codec,
                 follower=self.follower,
                 lease=self.lease,
-                orders=self.book,
+                orders=self.registry,
                 trials=self.trials,
                 directory=self.directory,
                 ledger=self.ledger,
@@ -80,9 +80,9 @@
             nursery.start_soon(self.orders.run)
             nursery.start_soon(self.follower.run)
             nursery.start_soon(self.lease.run)
-            nursery.start_soon(self.keeper.run)
+            nursery.start_soon(self.controller.run)
 
-    def answer(self, count: int, *, failures: int = 0) -> None:
+    def record_answers(self, count: int, *, failures: int = 0) -> None:
         """Have the new version answer, and the old one as often."""
         for number in range(count):
             took_s = None if number < failures else 0.2
@@ -123,35 +123,35 @@
     def test_a_good_version_is_completed_in_time(self) -> None:
         async def scenario(nursery: trio.Nursery) -> None:
             one = await self._follow_order(nursery)
-            one.answer(40)
+            one.record_answers(40)
             await trio.sleep(7.0)
-            told = await self._list_status()
-            self.assertEqual(["v2 in_progress", "v2 completed"], told)
+            statuses = await self._list_status()
+            self.assertEqual(["v2 in_progress", "v2 completed"], statuses)
 
         self._run(scenario)
 
     def test_a_bad_version_is_rolled_back_as_soon_as_it_shows(self) -> None:
         async def scenario(nursery: trio.Nursery) -> None:
             one = await self._follow_order(nursery)
-            one.answer(20, failures=10)
+            one.record_answers(20, failures=10)
             await trio.sleep(1.0)
-            told = await self._list_status()
-            self.assertEqual(["v2 in_progress", "v2 rolled_back"], told)
+            statuses = await self._list_status()
+            self.assertEqual(["v2 in_progress", "v2 rolled_back"], statuses)
 
         self._run(scenario)
 
     def test_what_runs_at_old_runners_delays_the_end(self) -> None:
         async def scenario(nursery: trio.Nursery) -> None:
             one = await self._follow_order(nursery)
-            one.answer(40)
+            one.record_answers(40)
             with one.ledger.count("r-0", 100):
                 await trio.sleep(5.8)
                 self.assertIs(
-                    registry.Phase.SWITCHING, one.book.find("model").phase
+                    registry.Phase.SWITCHING, one.registry.find("model").phase
                 )
             await trio.sleep(0.5)
             self.assertIs(
-                registry.Phase.COMPLETED, one.book.find("model").phase
+                registry.Phase.COMPLETED, one.registry.find("model").phase
             )
 
         self._run(scenario)
@@ -167,12 +167,12 @@
                     # It is gone without a word, and what it counted as well.
                     scope.cancel()
             second = _Daemon("entry-2", self.log)
-            second.answer(40)
+            second.record_answers(40)
             nursery.start_soon(second.run)
             # The lease has to run out first.
             await trio.sleep(6.0)
-            told = await self._list_status()
-            self.assertEqual(["v2 in_progress", "v2 completed"], told)
+            statuses = await self._list_status()
+            self.assertEqual(["v2 in_progress", "v2 completed"], statuses)
 
         self._run(scenario)
 
@@ -186,18 +186,18 @@
                     inner.start_soon(first.run)
                     self._order()
                     await trio.sleep(5.0)
-                    first.answer(20, failures=20)
-                    while first.book.has_open():
+                    first.record_answers(20, failures=20)
+                    while first.registry.has_open():
                         await trio.sleep(0.01)
                     # Between the decision and the word to operators.
                     scope.cancel()
             self.assertEqual(["v2 in_progress"], await self._list_status())
             second = _Daemon("entry-2", self.log)
-            second.answer(60)
+            second.record_answers(60)
             nursery.start_soon(second.run)
             await trio.sleep(15.0)
-            told = await self._list_status()
-            self.assertEqual(["v2 in_progress", "v2 rolled_back"], told)
+            statuses = await self._list_status()
+            self.assertEqual(["v2 in_progress", "v2 rolled_back"], statuses)
 
         self._run(scenario)
 
@@ -210,22 +210,22 @@
             self._order("v3", 6.0)
             await trio.sleep(8.0)
             # Nobody has seen any runner of it.
-            told = await self._list_status()
+            statuses = await self._list_status()
             self.assertEqual(
-                ["v2 in_progress", "v3 in_progress", "v3 rolled_back"], told
+                ["v2 in_progress", "v3 in_progress", "v3 rolled_back"], statuses
             )
-            self.assertEqual({"v2", "v3"}, one.book.find_refused("model"))
+            self.assertEqual({"v2", "v3"}, one.registry.find_refused("model"))
 
         self._run(scenario)
 
     def test_lost_answers_of_the_log_decide_nothing_twice(self) -> None:
         async def scenario(nursery: trio.Nursery) -> None:
             one = await self._follow_order(nursery)
-            one.answer(20, failures=20)
+            one.record_answers(20, failures=20)
             self.log.faults.lost_answers = 2
             await trio.sleep(4.0)
-            told = await self._list_status()
-            self.assertEqual("v2 rolled_back", told[-1])
+            statuses = await self._list_status()
+            self.assertEqual("v2 rolled_back", statuses[-1])
             steps = await self.log.read(_TOPICS.rollouts, 0)
             self.assertEqual(2, len(steps.ok.records))
 
@@ -235,7 +235,7 @@
         async def scenario(nursery: trio.Nursery) -> None:
             one = await self._follow_order(nursery)
             await one.lease.release()
-            one.answer(20, failures=20)
+            one.record_answers(20, failures=20)
             await trio.sleep(0.5)
             if not one.lease.is_held():
                 self.assertEqual(["v2 in_progress"], await self._list_status())
--- a/tests/test_rollouts/test_judging.py
+++ b/tests/test_rollouts/test_judging.py
@@ -30,7 +30,7 @@
         self.run_clocked(scenario)
         return played
 
-    def _expect(
+    def _expect_end(
         self, phase: registry.Phase, version: rollout_days.Version, **changes
     ) -> None:
         for one in self._play(version, **changes):
@@ -41,33 +41,35 @@
     def test_good_versions_go_through(self) -> None:
         good = rollout_days.Version()
         for rate in (20.0, 65.0, 200.0):
-            self._expect(registry.Phase.COMPLETED, good, requests_per_s=rate)
+            self._expect_end(
+                registry.Phase.COMPLETED, good, requests_per_s=rate
+            )
 
     def test_good_versions_go_through_beside_trouble_of_both(self) -> None:
         good = rollout_days.Version()
-        self._expect(registry.Phase.COMPLETED, good, crash_at_s=6.0)
+        self._expect_end(registry.Phase.COMPLETED, good, crash_at_s=6.0)
 
     def test_good_versions_go_through_a_restart_of_all(self) -> None:
         good = rollout_days.Version()
-        self._expect(registry.Phase.COMPLETED, good, restart_at_s=6.0)
+        self._expect_end(registry.Phase.COMPLETED, good, restart_at_s=6.0)
 
     def test_versions_that_fail_are_rolled_back(self) -> None:
         for failures in (0.2, 0.5, 0.99):
             bad = rollout_days.Version(failures=failures)
-            self._expect(registry.Phase.ROLLED_BACK, bad)
+            self._expect_end(registry.Phase.ROLLED_BACK, bad)
 
     def test_versions_that_fail_on_one_route_are_rolled_back(self) -> None:
         bad = rollout_days.Version(failures=0.5, routes=("r-chat",))
-        self._expect(registry.Phase.ROLLED_BACK, bad)
+        self._expect_end(registry.Phase.ROLLED_BACK, bad)
 
     def test_slow_versions_are_rolled_back(self) -> None:
         for slowness in (3.0, 8.0):
             bad = rollout_days.Version(slowness=slowness)
-            self._expect(registry.Phase.ROLLED_BACK, bad)
+            self._expect_end(registry.Phase.ROLLED_BACK, bad)
 
     def test_versions_that_turn_bad_later_are_rolled_back(self) -> None:
         bad = rollout_days.Version(failures=0.5, from_s=3.0)
-        self._expect(registry.Phase.ROLLED_BACK, bad)
+        self._expect_end(registry.Phase.ROLLED_BACK, bad)
 
 
 class PlanTest(testtools.TestCase):
@@ -84,7 +86,7 @@
             "has_new": True,
             "old_requests": 5,
         }
-        return plan.decide_step(plan.Situation(**(fields | changes)))[0]
+        return plan.decide_phase(plan.RolloutProgress(**(fields | changes)))[0]
 
     def test_nothing_is_decided_before_the_trial_is_over(self) -> None:
         self.assertIs(registry.Phase.CANARY, self._decide())
@@ -125,9 +127,9 @@
     def test_what_is_told_adds_up_to_what_was_counted(self) -> None:
         tables = [self._draw(seed) for seed in range(8)]
         raw = [trial_lines.write_trials(one.list_own()) for one in tables]
-        told = [trial_lines.read_trials(lines) for lines in raw]
+        gossiped = [trial_lines.read_trials(lines) for lines in raw]
         one = tallies.TallyTable()
-        one.replace_source("fleet", trial_lines.add_trials(told))
+        one.replace_source("fleet", trial_lines.add_trials(gossiped))
         found = one.find("model", 7).find_total()
         counted = [t.find("model", 7).find_total() for t in tables]
         self.assertEqual(
--- a/tests/test_rollouts/test_registry.py
+++ b/tests/test_rollouts/test_registry.py
@@ -28,7 +28,7 @@
 
 class RolloutBookTest(clocked.ClockedTestCase):
     def test_any_order_of_reading_ends_alike(self) -> None:
-        news = [
+        messages = [
             (3, _order("v3")),
             (8, _order("v8")),
             _step(3, _CANARY),
@@ -38,7 +38,7 @@
         ]
 
         async def scenario() -> None:
-            for order in itertools.permutations(news):
+            for order in itertools.permutations(messages):
                 found = registry.RolloutRegistry()
                 for one in order:
                     if isinstance(one, registry.Step):
--- a/tests/test_rollouts/test_versions.py
+++ b/tests/test_rollouts/test_versions.py
@@ -13,11 +13,11 @@
 
 # What the users allow a version that is not judged: this part of the requests
 # since the order, and so many more.
-_PART = 0.1
-_SLACK = 50
+_ALLOWED_FRACTION = 0.1
+_ALLOWED_EXTRA = 50
 
 
-def _runners(*software: str) -> list[runners.Runner]:
+def _build_runners(*software: str) -> list[runners.Runner]:
     return [
         builders.build_runner(id=f"r-{number}", service="model", software=one)
         for number, one in enumerate(software)
@@ -25,30 +25,32 @@
 
 
 class VersionChooserTest(clocked.ClockedTestCase):
-    def _open(self, phase: registry.Phase | None = None, **changes) -> None:
-        self.book = registry.RolloutRegistry()
+    def _create_chooser(
+        self, phase: registry.Phase | None = None, **changes
+    ) -> None:
+        self.registry = registry.RolloutRegistry()
         self.chooser = versions.VersionChooser(
-            self.book, random.Random(1), lambda: 1
+            self.registry, random.Random(1), lambda: 1
         )
         if phase is not None:
             self._order("v2", 3)
             fields = {"version": "v2", "started_ms": 0} | changes
             step = registry.Step("model", 3, phase=phase, **fields)
-            self.book.apply_step(step)
+            self.registry.apply_step(step)
 
     def _order(self, version: str, offset: int) -> None:
         order = rollouts.RolloutOrder("model", version, 12.0)
-        self.book.apply_order(offset, order)
+        self.registry.apply_order(offset, order)
 
     def _choose(self, *software: str) -> set[str]:
-        found = self.chooser.choose("model", _runners(*software))
+        found = self.chooser.choose("model", _build_runners(*software))
         return {one.software for one in found}
 
     def test_runners_that_are_listed_before_their_order_get_nothing(
         self,
     ) -> None:
         async def scenario() -> None:
-            self._open()
+            self._create_chooser()
             self.assertEqual({"v1"}, self._choose("v1"))
             for _ in range(20):
                 self.assertEqual({"v1"}, self._choose("v1", "v2"))
@@ -61,7 +63,7 @@
 
     def test_a_version_without_any_order_serves_after_a_while(self) -> None:
         async def scenario() -> None:
-            self._open()
+            self._create_chooser()
             self._choose("v1")
             self._choose("v1", "v2")
             await trio.sleep(10.0)
@@ -73,14 +75,14 @@
         self,
     ) -> None:
         async def scenario() -> None:
-            self._open()
+            self._create_chooser()
             self.assertEqual({"v1", "v2"}, self._choose("v1", "v2"))
 
         self.run_clocked(scenario)
 
     def test_the_last_runners_serve_whatever_their_version(self) -> None:
         async def scenario() -> None:
-            self._open()
+            self._create_chooser()
             self._choose("v1")
             self.assertEqual({"v2"}, self._choose("v2"))
 
@@ -89,7 +91,7 @@
     def test_after_the_switch_only_the_new_one_gets_requests(self) -> None:
         async def scenario() -> None:
             for phase in (registry.Phase.SWITCHING, registry.Phase.COMPLETED):
-                self._open(phase)
+                self._create_chooser(phase)
                 self.assertEqual({"v2"}, self._choose("v1", "v2"))
                 # Its runners may be listed late.
                 self.assertEqual({"v1"}, self._choose("v1"))
@@ -100,7 +102,7 @@
         self,
     ) -> None:
         async def scenario() -> None:
-            self._open(registry.Phase.ROLLED_BACK, refused=("v2",))
+            self._create_chooser(registry.Phase.ROLLED_BACK, refused=("v2",))
             self.assertEqual({"v1"}, self._choose("v1", "v2"))
             self.assertEqual(set(), self._choose("v2"))
 
@@ -108,9 +110,9 @@
 
     def test_a_version_whose_order_was_replaced_gets_nothing(self) -> None:
         async def scenario() -> None:
-            self._open()
+            self._create_chooser()
             self._order("v3", 9)
-            self.book.apply_step(
+            self.registry.apply_step(
                 registry.Step(
                     "model", 9, "v3", registry.Phase.CANARY, 0, ("v2",)
                 )
@@ -128,31 +130,33 @@
         for daemons in (1, 6, 25, 70, 195, 400):
             for seed in range(20):
                 rng = random.Random(seed)
-                shares = [
-                    share.CanaryShare(rng, daemons) for _ in range(daemons)
+                budgets = [
+                    share.CanaryBudget(rng, daemons) for _ in range(daemons)
                 ]
-                exposed = 0
+                canary_requests = 0
                 for sent in range(1, 3000):
                     if sent == 700:
                         # All of them start anew and know nothing.
-                        shares = [
-                            share.CanaryShare(rng, daemons)
+                        budgets = [
+                            share.CanaryBudget(rng, daemons)
                             for _ in range(daemons)
                         ]
-                    one = rng.choice(shares)
-                    one.note_request()
-                    exposed += one.take()
-                    bound = _PART * sent + _SLACK
-                    self.assertLessEqual(exposed, bound, (daemons, seed, sent))
+                    one = rng.choice(budgets)
+                    one.earn()
+                    canary_requests += one.try_spend()
+                    bound = _ALLOWED_FRACTION * sent + _ALLOWED_EXTRA
+                    self.assertLessEqual(
+                        canary_requests, bound, (daemons, seed, sent)
+                    )
 
     def test_a_daemon_that_sends_little_takes_its_part_too(self) -> None:
         rng = random.Random(1)
-        exposed = 0
+        canary_requests = 0
         for _ in range(400):
-            one = share.CanaryShare(rng, 400)
+            one = share.CanaryBudget(rng, 400)
             for _ in range(5):
-                one.note_request()
-                exposed += one.take()
+                one.earn()
+                canary_requests += one.try_spend()
         # 400 daemons with 5 requests each: 0.08 of them, and 20.
-        self.assertGreater(exposed, 120)
-        self.assertLess(exposed, 250)
+        self.assertGreater(canary_requests, 120)
+        self.assertLess(canary_requests, 250)
