--- a/packages/daemon/src/martenquay_daemon/duties/__init__.py
+++ b/packages/daemon/src/martenquay_daemon/duties/__init__.py
@@ -1,1 +1,1 @@
-"""Duties that one daemon at a time has: usage reports, orders of runners."""
+"""Run the tasks that one lease holder does for the whole fleet."""
--- a/packages/daemon/src/martenquay_daemon/duties/capacity_controller.py
+++ b/packages/daemon/src/martenquay_daemon/duties/capacity_controller.py
@@ -1,4 +1,4 @@
-"""Order runners while this daemon holds the lease."""
+"""Order runners from the platform to match demand, as the lease holder."""
 
 from __future__ import annotations
 
@@ -33,19 +33,18 @@
 
 _LOG = logs.create_log("capacity")
 _RECONCILE_INTERVAL_S = 0.5
-# A common start shows the runners' entries one by one for up to 3.4 s. A holder
-# that looked sooner took five of nine for all, and planned a third less.
+# The first capacity plan waits until the directory has listed the runners; from
+# a partial list it would order too few.
 _START_DELAY_S = 3.4
 _MIN_LEASE_S = 0.5
-# A refusal tells of the platform for so long: until after the next try.
+# A refusal counts as a shortage until the refused order has been retried.
 _REFUSAL_VALID_S = 2.5
-# Less is ordered only when less has been needed for so long: waves of a day
-# come back, and a runner takes seconds to boot.
+# The target falls only after the need has stayed lower for this long, since
+# runners take seconds to boot.
 _SCALE_DOWN_DELAY_S = 12.0
-# Before so many seconds of traffic have been seen, this part of the runners
-# that there were at first is needed. Operators provide for peaks; the part is
-# what a peak takes of the sites' pools when read load is as planned. All of
-# them are comfortable: engines that start have nothing cached.
+# Until demand has been observed for this long, this fraction of the initial
+# runners is required and all of them are desired: restarted engines have empty
+# caches.
 _WARMUP_S = 15.0
 _WARMUP_FRACTION = 0.6
 _HTTP_CONFLICT = 409
@@ -53,21 +52,21 @@
 
 @dataclasses.dataclass(frozen=True)
 class CapacityParts:
-    """What a keeper decides with.
+    """Dependencies of `CapacityController`.
 
     Attributes:
-        cloud: Takes orders.
+        cloud: Accepts orders of runners.
         holder: The name under which this daemon orders.
-        lease: The right to order.
+        lease: The lease that permits orders.
         store: The catalog.
-        directory: The runners.
-        meter: What callers bring to this daemon.
-        ledger: What runs at runners.
-        estimates: How fast they are.
-        fleet: What other daemons tell.
-        limits: What runners in need say that they take.
-        list_serving: Returns, of a service's usable runners, those of versions
-            that carry its requests. Those on trial are the platform's to give.
+        directory: The known runners.
+        meter: Prompt tokens that callers send to this daemon.
+        ledger: Requests in progress at runners.
+        estimates: Prefill speed of each service's engines.
+        fleet: What other daemons gossip.
+        limits: Rate limits that runners reported.
+        list_serving: Returns those of a service's usable runners whose
+            version receives its regular requests, canaries excluded.
     """
 
     cloud: ports.CloudPort
@@ -84,7 +83,7 @@
 
 
 class CapacityController:
-    """Keep as many runners as the load takes, as cheap as can be."""
+    """Keep each service at its target number of runners."""
 
     def __init__(self, parts: CapacityParts) -> None:
         self._parts = parts
@@ -101,8 +100,8 @@
         self._first_demand_at: float | None = None
 
     async def run(self) -> None:
-        """Order until cancelled."""
-        # Orders by half of the entries would take runners away that serve.
+        """Reconcile all services until cancelled."""
+        # An order from a partial list would stop runners that serve.
         await trio.sleep(_START_DELAY_S)
         while True:
             await trio.sleep(_RECONCILE_INTERVAL_S)
@@ -115,17 +114,19 @@
         self, service: catalog.Service, limits: catalog.ScalingLimits
     ) -> None:
         state = self._build_state(service.name, limits)
-        # Followed without the lease as well: a successor knows what is needed.
+        # The target is kept up to date without the lease as well, so that a
+        # successor starts from the current need.
         target = self._update_target(service, state)
         if not self._parts.lease.is_held(_MIN_LEASE_S):
             return
         if self._fence != self._parts.lease.fence:
             self._fence = self._parts.lease.fence
-            # A former holder's orders are not known.
+            # Another holder may have ordered since, so own orders are outdated.
             self._orders.clear()
         for order in capacity_plan.plan_reclaimable(state, target):
             await self._send_order(service.name, state, order)
-        # What the platform has just promised need not be bought dearer.
+        # Runners that the platform just granted must not be ordered on demand
+        # as well.
         state = self._build_state(service.name, limits)
         for order in capacity_plan.plan_on_demand(state, target):
             await self._send_order(service.name, state, order)
@@ -135,7 +136,7 @@
     ) -> capacity_plan.ServiceState:
         usable = self._parts.directory.list_usable(service)
         serving = tuple(self._parts.list_serving(service, usable))
-        # A zone whose runners were all taken back stays one to order in.
+        # A zone without any runner left must stay orderable.
         used = self._parts.directory.list_zones(service)
         zones = set(limits.zone_prices) or used
         return capacity_plan.ServiceState(
@@ -147,7 +148,7 @@
         )
 
     def _is_out_of_reclaimable(self, service: str) -> bool:
-        """Tell whether reclaimable runners were refused just now."""
+        """Return whether reclaimable runners were refused recently."""
         oldest = trio.current_time() - _REFUSAL_VALID_S
         return any(
             name == service
@@ -163,7 +164,7 @@
         limits: catalog.ScalingLimits,
         serving: tuple[runners.Runner, ...],
     ) -> tuple[capacity_plan.BootingRunners, ...]:
-        """Return what was promised lately and does not serve yet."""
+        """Return the runners that were ordered and don't serve yet."""
         now = trio.current_time()
         found = []
         for (name, zone, is_reclaimable), last_order in self._orders.items():
@@ -185,20 +186,21 @@
     def _update_target(
         self, service: catalog.Service, state: capacity_plan.ServiceState
     ) -> capacity_plan.CapacityTarget:
-        """Return the runners to aim for; they fall only after a while."""
+        """Return the current target; it falls only after a delay."""
         now = trio.current_time()
         slots = service.engine.slots if service.engine else 1
         measured = self._measure_demand(service.name)
         forecast = self._forecast_demand(service.name, measured, state.limits)
         forecast_count = forecast.count_required(slots)
-        # Who takes a request now and then is no whole engine.
+        # A rate-limited runner provides only part of its capacity.
         lost_to_limits = self._count_lost_to_limits(
             service.name, state, measured
         )
         count = measured.count_required(slots) + lost_to_limits
         desired = measured.count_desired(slots) + lost_to_limits
         if not self._parts.estimates.find(service.name).is_learnt:
-            # What is only assumed of engines keeps what runs and buys nothing.
+            # Before the prefill speed is known, an assumed speed must not cause
+            # orders of additional runners.
             count = min(count, len(state.runners))
             desired = min(desired, len(state.runners))
             forecast_count = 0
@@ -213,7 +215,8 @@
             )
             count = max(count, math.ceil(_WARMUP_FRACTION * initial_count))
             desired = max(desired, initial_count)
-        # What was foreseen and is not there a boot later was no wave.
+        # A forecast that demand has not confirmed after one boot time is
+        # dropped.
         held_forecast = self._forecasts.setdefault(
             service.name, delayed_decrease.DelayedDecrease(state.limits.boot_s)
         )
@@ -237,7 +240,7 @@
         state: capacity_plan.ServiceState,
         measured: capacity_plan.ServiceDemand,
     ) -> int:
-        """Return how many engines those with a limit fall short of."""
+        """Return how many runners' worth of capacity rate limits take away."""
         known_limits = [
             self._parts.limits.find_limit(one) for one in state.runners
         ]
@@ -271,7 +274,7 @@
         measured: capacity_plan.ServiceDemand,
         limits: catalog.ScalingLimits,
     ) -> capacity_plan.ServiceDemand:
-        """Return the need by the time that what is ordered now serves."""
+        """Return the demand expected when runners ordered now will serve."""
         trend = self._trends.setdefault(service, demand_trend.DemandTrend())
         trend.add_rate(trio.current_time(), measured.tokens_per_s)
         rate = trend.forecast_rate(demand.MEMORY_S + limits.boot_s)
--- a/packages/daemon/src/martenquay_daemon/duties/capacity_order.py
+++ b/packages/daemon/src/martenquay_daemon/duties/capacity_order.py
@@ -1,4 +1,4 @@
-"""Remember the last order of one kind of runners in one zone."""
+"""Track the last order of runners of one kind in one zone."""
 
 from __future__ import annotations
 
@@ -9,29 +9,29 @@
 
 __all__ = ["CapacityOrder"]
 
-# A refused order is tried again after this, not in a tight loop.
+# Delay before a refused order is repeated.
 _REFUSED_RETRY_S = 1.5
-# An order whose runners have not come is sent again so long after they
-# should serve: its answer may have been lost, or they were reclaimed.
+# Time past the boot time after which an order is repeated: the answer may have
+# been lost, or the runners were reclaimed.
 _BOOT_OVERDUE_S = 2.5
-# The platform takes a zone back as a whole. When so many of those that served
-# there have gone since an order, what it promised is not to be relied on.
+# If at least this fraction of a zone's runners has gone since the order, the
+# platform reclaimed the zone and the order's runners won't come.
 _RECLAIMED_FRACTION = 0.5
 _HTTP_OK = 200
 
 
 @dataclasses.dataclass
 class CapacityOrder:
-    """The last order of one kind in one zone.
+    """The last order of runners of one kind in one zone.
 
     Attributes:
-        wanted: How many were wanted.
-        sent_at: When it was sent, in trio's time.
-        status: How it was answered; 0 if it was not.
-        serving: How many serve now.
-        served: How many served when it was sent.
-        fewest: The fewest that have served since.
-        is_met: As many as were wanted have served since.
+        wanted: The number of runners ordered.
+        sent_at: When the order was sent, in trio's time.
+        status: HTTP status of the answer; 0 if there is none.
+        serving: Runners that serve now.
+        serving_when_sent: Runners that served when the order was sent.
+        min_serving: Minimum of `serving` since then.
+        is_fulfilled: At least `wanted` runners have served since then.
     """
 
     wanted: int = -1
@@ -43,7 +43,7 @@
     is_fulfilled: bool = False
 
     def note_sent(self, wanted: int) -> None:
-        """Note an order before its answer is known."""
+        """Record an order that is about to be sent."""
         self.wanted = wanted
         self.sent_at = trio.current_time()
         self.status = 0
@@ -51,29 +51,30 @@
         self.is_fulfilled = self.serving >= wanted
 
     def note_serving(self, serving: int) -> None:
-        """Note how many serve now."""
+        """Record how many runners serve now."""
         self.serving = serving
         self.min_serving = min(self.min_serving, serving)
         self.is_fulfilled = self.is_fulfilled or serving >= self.wanted
 
     def count_booting(self, now: float, boot_s: float) -> int:
-        """Return how many of this order are still to come."""
+        """Return how many ordered runners don't serve yet."""
         is_overdue = now - self.sent_at > boot_s + _BOOT_OVERDUE_S
         if self.status != _HTTP_OK or self.is_fulfilled or is_overdue:
             return 0
         if self._is_zone_reclaimed():
             return 0
-        # Those that went by themselves are no part of what was promised.
+        # Runners that stopped since are not replaced by this order.
         return max(0, self.wanted - self.serving - self._count_lost())
 
     def is_due(self, now: float, wanted: int, boot_s: float) -> bool:
-        """Tell whether an order for so many has to be sent now."""
+        """Return whether an order of `wanted` runners must be sent now."""
         age_s = now - self.sent_at
         if self.status != _HTTP_OK:
             return wanted != self.serving and age_s > _REFUSED_RETRY_S
         if self.wanted != wanted:
             return True
-        # Those that came and went were taken back.
+        # Runners that served and are gone were reclaimed: reorder without
+        # waiting for the boot time.
         is_reclaimed = self.is_fulfilled or self._is_zone_reclaimed()
         retry_after_s = (
             _REFUSED_RETRY_S if is_reclaimed else boot_s + _BOOT_OVERDUE_S
@@ -84,6 +85,6 @@
         return self.serving_when_sent - self.min_serving
 
     def _is_zone_reclaimed(self) -> bool:
-        """Tell whether the zone was taken back after the order."""
+        """Return whether the platform reclaimed the zone since the order."""
         lost = self._count_lost()
         return lost > 0 and lost >= _RECLAIMED_FRACTION * self.serving_when_sent
--- a/packages/daemon/src/martenquay_daemon/duties/capacity_plan.py
+++ b/packages/daemon/src/martenquay_daemon/duties/capacity_plan.py
@@ -1,10 +1,9 @@
-"""Decide how many runners of a service to have, and of which kind.
+"""Plan how many reclaimable and on-demand runners a service needs per zone.
 
-Reclaimable runners cost a fraction of the others, and a whole zone of them
-can be taken back at once. So they are spread evenly over the zones, as many
-as leave enough when one zone's are gone. On-demand runners stand in only for
-what is missing: until the first reclaimable ones serve, and while none are
-to be had.
+Reclaimable runners are cheap, but the platform may take back all those of a
+zone at once. They are spread evenly over the zones, with enough of them to
+lose any one zone. On-demand runners replace reclaimable ones that don't serve
+yet or can't be had.
 """
 
 from __future__ import annotations
@@ -28,33 +27,26 @@
     "plan_reclaimable",
 ]
 
-# The part of an engine's learnt reading speed at which first tokens still
-# come within their target: prompts of 300 ms queue behind each other, and
-# arrivals come in clumps. With 0.5, engines that read 23,000 tokens a second
-# cost a fifth more (0.178 in place of 0.147 of a day's worth) and served as
-# many.
+# Fraction of the estimated prefill speed to plan with; above it, queueing
+# delays the first token.
 _PREFILL_UTILIZATION = 0.65
-# The part of an engine's slots that may be in use on average: of the engines
-# that have to be there at any price, and of those worth having of the cheap
-# kind. With 0.5 for both, runners cost a fifth more on a day on which cheap
-# ones were refused, and nobody was served better: those that there are serve
-# on until their zone goes.
+# Fraction of the slots in use to plan with: for required runners, and for
+# desired ones, which are cheaper.
 _REQUIRED_SLOT_UTILIZATION = 0.65
 _DESIRED_SLOT_UTILIZATION = 0.5
-# A backlog of prompts should be read within this time beside what comes in;
-# as long as a runner takes to boot, so that one more is there when it pays.
+# Time to process queued prompts; about as long as a runner takes to boot.
 _BACKLOG_DRAIN_S = 4.0
 
 
 @dataclasses.dataclass(frozen=True)
 class ServiceDemand:
-    """What callers ask of a service, over all daemons.
+    """Demand for a service over all daemons.
 
     Attributes:
-        tokens_per_s: Prompt tokens that engines have to read.
-        requests: Requests running or waiting at engines.
-        read_tokens_per_s: What one engine reads in a second.
-        unread_tokens: Prompt tokens that wait at engines.
+        tokens_per_s: Prompt tokens that arrive.
+        requests: Requests running or queued at runners.
+        read_tokens_per_s: Prefill speed of one runner.
+        unread_tokens: Prompt tokens queued at runners.
     """
 
     tokens_per_s: float
@@ -65,11 +57,11 @@
     def count_lost_to_limits(
         self, limits: Sequence[float], tokens: float
     ) -> int:
-        """Return how many engines runners in need fall short of.
+        """Return how many runners' worth of capacity rate limits take away.
 
         Args:
-            limits: The requests a second that each of them takes.
-            tokens: That an engine has to read for a request.
+            limits: The limit of each limited runner, in requests per second.
+            tokens: Mean prompt tokens of a request.
         """
         if tokens <= 0:
             return 0
@@ -78,13 +70,13 @@
         return round(len(fractions) - sum(fractions))
 
     def count_required(self, slots: int) -> int:
-        """Return the engines that take what comes in."""
+        """Return the runners that the arriving load needs."""
         return self._count_runners(
             slots * _REQUIRED_SLOT_UTILIZATION, self.tokens_per_s
         )
 
     def count_desired(self, slots: int) -> int:
-        """Return the engines that take the backlog as well."""
+        """Return the runners that arriving load and backlog need."""
         backlog_per_s = self.unread_tokens / _BACKLOG_DRAIN_S
         tokens_per_s = self.tokens_per_s + backlog_per_s
         return self._count_runners(
@@ -101,13 +93,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class CapacityTarget:
-    """How many runners to aim for.
+    """How many runners a service should have.
 
     Attributes:
-        needed: Without these, first tokens are late; on-demand runners make
-            up for what is missing.
-        comfortable: What is worth having of the cheap kind, which takes up
-            clumps of arrivals and what a wave of reclaims leaves.
+        required: Minimum; missing ones are replaced by on-demand runners.
+        desired: Number of reclaimable runners, with headroom for bursts and
+            reclaims.
     """
 
     required: int
@@ -116,12 +107,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class BootingRunners:
-    """Runners that the platform has promised and that do not serve yet.
+    """Runners that the platform granted and that don't serve yet.
 
     Attributes:
         zone: Their availability zone.
-        is_reclaimable: Of which kind they are.
-        count: How many.
+        is_reclaimable: Whether they are reclaimable or on demand.
+        count: How many there are.
     """
 
     zone: str
@@ -131,14 +122,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class ServiceState:
-    """The runners of a service as they are.
+    """The current runners of a service.
 
     Attributes:
-        limits: What may be ordered.
-        zones: Availability zones in which it may run.
-        runners: Runners that are not leaving.
-        booting: Runners that were ordered and are still to come.
-        is_dry: The platform has just refused reclaimable runners.
+        limits: Limits on orders.
+        zones: Availability zones in which the service may run.
+        runners: Runners that are not draining.
+        booting: Runners that were ordered and don't serve yet.
+        is_out_of_reclaimable: The platform refused reclaimable runners
+            recently.
     """
 
     limits: catalog.ScalingLimits
@@ -155,7 +147,7 @@
         )
 
     def count_expected(self, zone: str, *, is_reclaimable: bool) -> int:
-        """Return the runners of one kind that serve in a zone or boot there."""
+        """Return the runners of one kind that serve or boot in a zone."""
         return self.count_serving(zone, is_reclaimable=is_reclaimable) + sum(
             one.count
             for one in self.booting
@@ -163,13 +155,13 @@
         )
 
     def count_after_zone_loss(self, *, is_booting_counted: bool) -> int:
-        """Return the reclaimable runners left when a zone's are taken back.
+        """Return the reclaimable runners left if the largest zone is reclaimed.
 
-        While the platform has none to give, it takes back those of the other
-        zones as well, at times within a second: then none is certain.
+        A platform that is out of reclaimable runners may take back several
+        zones at once; then the result is 0.
 
         Args:
-            is_booting_counted: Count those that boot as well.
+            is_booting_counted: Count booting runners as well.
         """
         if self.is_out_of_reclaimable:
             return 0
@@ -182,12 +174,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class ZoneOrder:
-    """What is wanted in a zone.
+    """The number of runners of one kind to have in a zone.
 
     Attributes:
         zone: The availability zone.
-        is_reclaimable: Of the cheap kind that may be taken back.
-        wanted: How many.
+        is_reclaimable: Whether they are reclaimable or on demand.
+        wanted: How many there should be.
     """
 
     zone: str
@@ -198,14 +190,14 @@
 def plan_reclaimable(
     state: ServiceState, target: CapacityTarget
 ) -> list[ZoneOrder]:
-    """Return the reclaimable runners wanted in each zone to meet the target.
+    """Return the reclaimable runners to have in each zone.
 
-    It should also be met when the zone with the most of them loses them, for
-    reclaims come in waves and a runner takes long to boot.
+    The target is still met if the platform reclaims all runners of the
+    largest zone.
 
     Args:
-        state: The runners as they are.
-        target: Engines that the callers' load takes.
+        state: The current runners.
+        target: How many runners the service should have.
     """
     limits = state.limits
     other_zones = max(1, len(state.zones) - 1)
@@ -222,12 +214,11 @@
 def plan_on_demand(
     state: ServiceState, target: CapacityTarget
 ) -> list[ZoneOrder]:
-    """Return the on-demand runners wanted in each zone for what is missing.
+    """Return the on-demand runners to have in each zone.
 
     Args:
-        state: The runners as they are, and those that the platform has
-            promised.
-        target: Engines that the callers' load takes.
+        state: The current runners, with those that the platform granted.
+        target: How many runners the service should have.
     """
     chosen = _choose_on_demand(state, _count_on_demand(state, target.required))
     return [ZoneOrder(zone, False, chosen.get(zone, 0)) for zone in state.zones]
@@ -236,8 +227,9 @@
 def _count_on_demand(state: ServiceState, required: int) -> int:
     """Return how many on-demand runners to have.
 
-    None is bought for what boots already, for it would come no sooner. None
-    is given up before what boots serves.
+    Booting reclaimable runners cause no purchase, since an on-demand runner
+    would not serve sooner; but no on-demand runner is given up until they
+    serve.
     """
     least = max(
         0, required - state.count_after_zone_loss(is_booting_counted=True)
@@ -252,9 +244,9 @@
 
 
 def _choose_on_demand(state: ServiceState, missing: int) -> dict[str, int]:
-    """Spread on-demand runners: where they serve or boot, then by price.
+    """Spread on-demand runners, first to zones that have some, then by price.
 
-    None takes the place of a reclaimable runner that serves or boots.
+    They never displace a reclaimable runner that serves or boots.
     """
 
     def has_room(zone: str) -> bool:
--- a/packages/daemon/src/martenquay_daemon/duties/delayed_decrease.py
+++ b/packages/daemon/src/martenquay_daemon/duties/delayed_decrease.py
@@ -1,4 +1,4 @@
-"""Follow a number that rises at once and falls only after a while."""
+"""Delay decreases of a value by a hold time; increases apply at once."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 @dataclasses.dataclass
 class DelayedDecrease:
-    """A number that rises at once and falls only after a while.
+    """A value that rises at once and falls only after a hold time.
 
     Attributes:
-        hold_s: For how long a lower number has to be seen.
-        count: The number to go by.
-        lower_since: Since when lower ones have been seen.
-        lower: The highest of these.
+        hold_s: How long inputs must stay lower before the value falls.
+        count: The current value.
+        lower_since: When inputs became lower than the value; None if not.
+        highest_lower: The highest input since then.
     """
 
     hold_s: float
@@ -24,7 +24,7 @@
     highest_lower: int = 0
 
     def update(self, now: float, count: int) -> int:
-        """Take the newest figure; return the one to go by."""
+        """Add an input and return the current value."""
         if count >= self.count:
             self.count = count
             self.lower_since = None
--- a/packages/daemon/src/martenquay_daemon/duties/demand_trend.py
+++ b/packages/daemon/src/martenquay_daemon/duties/demand_trend.py
@@ -1,4 +1,4 @@
-"""Foresee what callers bring by the time that a runner has booted."""
+"""Forecast a service's prompt token rate for when new runners will serve."""
 
 from __future__ import annotations
 
@@ -7,41 +7,35 @@
 
 __all__ = ["DemandTrend"]
 
-# The slope is taken over so long: with 2 s arrivals in clumps pass for waves
-# more often, with 4 s a rise is believed a second later.
+# A shorter window mistakes bursts for trends, a longer one reacts later.
 _TREND_WINDOW_S = 3.0
-# Arrivals come in clumps, which make the rate jump from look to look. A slope
-# is taken for a rise by what it has beyond so many standard errors of that: of
-# steady demand a fleet of six then holds 3% more than it takes in place of 33%,
-# and on a wave a large one lacks 9% in place of 15% (drawn arrivals).
+# A rise counts only beyond this many standard errors, or bursts of arrivals
+# would be extrapolated.
 _SIGNIFICANT_ERRORS = 1.25
-# Jumps are remembered over so many looks.
 _VARIANCE_SAMPLES = 20
-# A zone that is heard again brings its whole demand at once, which is no rise.
+# Bound on the forecast: a zone that reconnects adds its whole demand at once,
+# which is no trend.
 _MAX_GROWTH = 2.0
 
 
 class DemandTrend:
-    """The newest rates of one service and where they lead.
+    """Extrapolates a rising rate; a falling rate is returned as it is.
 
-    A rate that fades over its memory is behind a steady rise by just that
-    memory, and a runner serves one boot later. So on a rise the rate is taken
-    on by its slope for both: with a wave of two fifths over 40 s the fading
-    rate was 31 to 41% below what callers brought when the runners served, and
-    3% below with the slope (two days' arrivals, rates of 8 s, boots of 4 s).
-    A falling rate is not taken on: runners are given up late on purpose.
+    The rate is an exponential average that lags behind a steady rise by its
+    memory, and ordered runners serve only after their boot time. Extrapolating
+    the slope over both makes up for the lag.
     """
 
     def __init__(self) -> None:
         self._rates: collections.deque[tuple[float, float]] = (
             collections.deque()
         )
-        # The mean square by which one change of the rate differs from the last.
+        # Mean square of the difference between successive changes of the rate.
         self._change_variance = 0.0
         self._last_change = 0.0
 
     def add_rate(self, now: float, rate: float) -> None:
-        """Note the rate now, in tokens a second."""
+        """Add the current rate, in tokens per second."""
         if self._rates:
             self._update_variance(rate - self._rates[-1][1])
         self._rates.append((now, rate))
@@ -49,11 +43,11 @@
             self._rates.popleft()
 
     def forecast_rate(self, horizon_s: float) -> float:
-        """Return the rate to expect.
+        """Return the expected rate, in tokens per second.
 
         Args:
-            horizon_s: How far to look beyond the rate as noted: its memory and
-                the time until what is ordered serves.
+            horizon_s: Memory of the averaged rate plus the time until ordered
+                runners serve.
         """
         if not self._rates:
             return 0.0
@@ -73,10 +67,10 @@
         ) / _VARIANCE_SAMPLES
 
     def _find_standard_error(self) -> float:
-        """Return the standard error of the change over all that is kept.
+        """Return the standard error of the change over the window.
 
-        A wave's changes from look to look are alike, so what they differ by is
-        chance; two looks' chances make up one difference.
+        Successive changes of a trend are alike, so their differences are noise;
+        each difference holds the noise of two samples.
         """
         changes = len(self._rates) - 1
         return math.sqrt(changes * self._change_variance / 2)
--- a/packages/daemon/src/martenquay_daemon/duties/lease.py
+++ b/packages/daemon/src/martenquay_daemon/duties/lease.py
@@ -1,11 +1,11 @@
-"""Hold the lease under which one daemon acts for all.
-
-The lease is a topic of the platform's log. Each record is appended on the
-condition that the topic still ends where the writer knows it to end, so of
-two daemons that want the lease only one gets it. The fence is the place of
-the record by which it was taken, so it rises with each change of holder. The
-holder counts its time from before it sent the record, everybody else from
-when they read it, or from when the holder told them what is left of it.
+"""Acquire and renew the lease that lets one daemon act for the fleet.
+
+The lease is a topic of the platform's log. A record is appended only if the
+topic still ends where the writer last saw it, so only one of several candidates
+succeeds. The fencing token ("fence") is derived from the offset of the record
+that acquired the lease, so it grows with each holder. The holder counts the
+lease from before it sent the record; other daemons count it from when they
+read the record, or from the remaining time that the holder gossips.
 """
 
 from __future__ import annotations
@@ -29,9 +29,10 @@
 
 _LOG = logs.create_log("lease")
 _RETRY_DELAY_S = 0.2
-# Candidates try one after the other, so that the log is asked once.
+# Delay per rank between candidates, so that they don't all append at once.
 _ACQUIRE_STAGGER_S = 0.15
-# Before it looks into the log, each waits so long for each one before it.
+# Delay per rank before a candidate reads the log, so that most hear of the new
+# holder by gossip instead.
 _READ_STAGGER_S = 0.1
 _MAX_RANK = 30
 _START_JITTER_S = 1.0
@@ -46,10 +47,10 @@
     """Times of a lease.
 
     Attributes:
-        length_s: For which the holder may act after it wrote a record.
-        renew_s: Between two records of the holder.
-        margin_s: The holder stops this long before, and a successor waits
-            this much longer, for clocks that run apart and late timers.
+        length_s: How long the holder may act after it wrote a record.
+        renew_s: Interval between two renewals.
+        margin_s: The holder stops this much earlier and a successor waits this
+            much longer, to allow for clock drift and late timers.
     """
 
     length_s: float
@@ -58,10 +59,10 @@
 
 
 class Lease:
-    """One daemon's side of the lease.
+    """One daemon's view of the lease.
 
     Attributes:
-        fence: The fence while it is held here, else 0.
+        fence: The fencing token while the lease is held here, else 0.
     """
 
     def __init__(
@@ -81,7 +82,7 @@
         self._view = fleet
         self._topic = lease_topic.LeaseTopic(log, topic, member, instance)
         self._valid_until = -math.inf
-        # The topic's end that belongs to that time.
+        # Offset of the topic's end when `_valid_until` was last extended.
         self._valid_end_offset = 0
         self._gossiped_by = ""
         self._gossiped_free_at = -math.inf
@@ -89,19 +90,19 @@
         self._is_stopping = False
 
     def is_held(self, needed_s: float = 0.0) -> bool:
-        """Tell whether this daemon may act for so long from now on."""
+        """Return whether the lease is held here for at least `needed_s`."""
         now = trio.current_time()
         return self.fence > 0 and now + needed_s < self._valid_until
 
     def is_next(self) -> bool:
-        """Tell whether nobody is known to hold it and this daemon is first."""
+        """Return whether the lease seems free and this daemon ranks first."""
         is_free = (
             not self.fence and self._gossiped_free_at <= trio.current_time()
         )
         return is_free and not self._is_stopping and self._find_rank() == 0
 
     def create_status(self) -> messages.LeaseStatus | None:
-        """Return what to tell candidates; None if it is not held here."""
+        """Return the status to gossip; None if the lease is not held here."""
         if not self.is_held():
             return None
         left_s = self._valid_until - trio.current_time()
@@ -116,10 +117,11 @@
         *,
         is_leaving: bool,
     ) -> None:
-        """Take what another daemon tells of the lease."""
+        """Process the lease status that another daemon gossips."""
         if status is None:
             if member == self._gossiped_by and is_leaving:
-                # It has released the lease, or is about to.
+                # A draining holder releases the lease, so candidates need not
+                # wait for it to expire.
                 self._gossiped_free_at = -math.inf
                 self._topic.is_end_gossiped = False
             return
@@ -127,14 +129,15 @@
             return
         if status.end > self._topic.end or self._topic.is_end_gossiped:
             self._topic.skip_to(status.end, status.fence)
-        # A slow way of the news only makes this later than it need be.
+        # Slow gossip only makes this time later than necessary.
         left_s = status.left_ms / _MS_PER_S + 2 * self._timing.margin_s
         self._gossiped_by = member
         self._gossiped_free_at = trio.current_time() + left_s
 
     async def run(self) -> None:
-        """Take, keep and lose the lease until cancelled."""
-        # Daemons that start together do not know of each other yet.
+        """Acquire, renew and lose the lease until cancelled."""
+        # Daemons that start together don't know each other's rank yet; without
+        # jitter all would append at once.
         score = rendezvous.score_candidate(self._topic_name, self._instance)
         await trio.sleep(
             score % _JITTER_STEPS / _JITTER_STEPS * _START_JITTER_S
@@ -146,7 +149,7 @@
                 await self._wait_to_acquire()
 
     async def release(self) -> None:
-        """Give the lease up before a planned stop."""
+        """Release the lease before a planned stop."""
         self._is_stopping = True
         if not self.is_held():
             return
@@ -155,7 +158,7 @@
         await self._topic.append(_Kind.RELEASED, fence)
 
     async def _renew(self) -> None:
-        """Renew once and wait until it is time for the next."""
+        """Renew the lease once and wait until the next renewal is due."""
         started = trio.current_time()
         if started >= self._valid_until:
             self._drop("it ran out before it could be renewed")
@@ -177,12 +180,13 @@
         if gossiped_left_s > 0:
             await trio.sleep(min(gossiped_left_s, _CHECK_INTERVAL_S))
             return
-        # Most daemons hear of the new holder before their turn to look.
+        # Most candidates hear of a new holder by gossip during this delay and
+        # need not read the log.
         await trio.sleep(min(self._find_rank(), _MAX_RANK) * _READ_STAGGER_S)
         if self._gossiped_free_at > trio.current_time():
             return
-        # What a holder has told is as good as reading it: if the topic has
-        # grown since, the record that takes the lease is not written.
+        # A gossiped end replaces a read: if the topic has grown since, the
+        # conditional append fails.
         if not self._topic.is_end_gossiped and not await self._topic.read():
             await trio.sleep(_CHECK_INTERVAL_S)
             return
@@ -215,10 +219,10 @@
         )
 
     def _extend_validity(self) -> None:
-        """Count the lease from the sending of the last record, if it is ours.
+        """Count the validity from when the last record was sent, if it is ours.
 
-        The record may be one whose answer was lost and that was done late;
-        then an earlier time than that of the last call counts.
+        The last record may be an earlier call's, whose answer was lost and
+        which took effect late; then that call's send time counts.
         """
         last = self._topic.last
         if self.fence and last is not None and last.member == self._member:
@@ -234,12 +238,12 @@
         self._valid_until = -math.inf
 
     def _find_free_at(self) -> float:
-        """Return when the lease can be taken, in trio's time."""
+        """Return when the lease may be acquired, in trio's time."""
         topic = self._topic
         wait_s = self._timing.length_s + self._timing.margin_s
         if topic.end == 0:
             return -math.inf
-        # This instance may have held it just before it started anew.
+        # An earlier process of this instance may have held the lease.
         own_free_at = self._started_at + wait_s
         if topic.is_end_gossiped:
             return max(own_free_at, self._gossiped_free_at)
@@ -248,7 +252,7 @@
         return max(own_free_at, topic.changed_at + wait_s)
 
     def _find_rank(self) -> int:
-        """Return this daemon's place among those that may want the lease."""
+        """Return this daemon's rank among the candidates for the lease."""
         if not self._view.is_candidate:
             return _MAX_RANK
         key = f"{self._topic_name} {self._topic.end}"
@@ -268,7 +272,7 @@
 ) -> Lease:
     """Return a lease that is not held yet.
 
-    It is renewed three times in its length; a sixth of it is kept as margin.
+    It is renewed three times per length; a sixth of the length is the margin.
     """
     timing = LeaseTiming(length_s, length_s / 3, length_s / 6)
     return Lease(log, topic, member, instance, timing, fleet)
--- a/packages/daemon/src/martenquay_daemon/duties/lease_topic.py
+++ b/packages/daemon/src/martenquay_daemon/duties/lease_topic.py
@@ -1,4 +1,4 @@
-"""Read and write the topic of the platform's log that holds the lease."""
+"""Read and append the records of the lease topic in the platform's log."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 __all__ = ["LeaseRecord", "LeaseTopic", "RecordKind"]
 
 _LOG = logs.create_log("lease")
-# A record that was done late is at most a few calls old.
+# Enough for appends whose answer was lost, which are a few calls old at most.
 _MAX_SENT_TIMES = 50
 
 
@@ -34,13 +34,13 @@
     """One record of the topic.
 
     Attributes:
-        kind: What it does.
+        kind: What the record does to the lease.
         member: The daemon that wrote it.
         instance: That daemon's instance.
-        fence: The holder's fence; 0 in a record that takes the lease, whose
-            place is the fence.
-        number: Counts the member's records: a late one must not count as a
-            new one.
+        fence: The holder's fencing token; 0 in a record that acquires the
+            lease, whose offset determines the token.
+        number: Sequence number of the member's records, which tells a late
+            append from a new one.
     """
 
     kind: RecordKind
@@ -51,14 +51,15 @@
 
 
 class LeaseTopic:
-    """What one daemon knows of the topic.
+    """One daemon's knowledge of the topic.
 
     Attributes:
-        end: The offset up to which it is known.
-        last: The last record; None if its content is not known.
-        fence: The fence of the last holder.
-        changed_at: When the last change was learnt, in trio's time.
-        is_told: The end was told by another daemon and not read here.
+        end: The offset up to which the topic is known.
+        last: The last record; None if its content is unknown.
+        fence: The last holder's fencing token.
+        changed_at: When this daemon learnt of the last change, in trio's time.
+        is_end_gossiped: `end` comes from another daemon's gossip and was not
+            read here.
     """
 
     def __init__(
@@ -77,11 +78,11 @@
         self._sent_at: dict[int, float] = {}
 
     def find_sent_at(self, number: int) -> float:
-        """Return when an own record was sent first, in trio's time."""
+        """Return when an own record was sent, in trio's time."""
         return self._sent_at.get(number, -math.inf)
 
     def skip_to(self, end: int, fence: int) -> None:
-        """Take the topic's end from another daemon."""
+        """Adopt the topic's end from another daemon's gossip."""
         self.end = end
         self.last = None
         self.fence = fence
@@ -89,7 +90,7 @@
         self.is_end_gossiped = True
 
     async def append(self, kind: RecordKind, fence: int) -> bool:
-        """Write a record if the topic still ends where it is known to."""
+        """Append a record if the topic still ends at `end`; return success."""
         record = self._create_record(kind, fence)
         written = await self._log.append(
             self._name,
@@ -108,7 +109,7 @@
                 return False
 
     async def read(self) -> bool:
-        """Read to the topic's end; tell whether the log answered."""
+        """Read to the end of the topic; return whether the log answered."""
         while True:
             page = await self._log.read(self._name, self.end)
             match page:
@@ -143,8 +144,8 @@
         )
 
     def _skip_record(self, offset: int) -> None:
-        # Else it would be read for ever, and nobody could take the lease. It
-        # may be a holder's: what it did is not known.
+        # Without skipping it, no daemon could ever acquire the lease. It may be
+        # a holder's record, so its effect is unknown.
         self.end = offset + 1
         self.last = None
         self.changed_at = trio.current_time()
--- a/packages/daemon/src/martenquay_daemon/duties/parts.py
+++ b/packages/daemon/src/martenquay_daemon/duties/parts.py
@@ -1,4 +1,4 @@
-"""Build the duties that one daemon at a time has for the platform."""
+"""Build the tasks that only the lease holder carries out."""
 
 from __future__ import annotations
 
@@ -27,23 +27,23 @@
 
 @dataclasses.dataclass(frozen=True)
 class DutySources:
-    """What duties decide with.
+    """Dependencies of the duties' tasks.
 
     Attributes:
-        ports: The platform.
-        settings: As read at the start.
-        lease: The right to the duties.
+        ports: Connections to the platform.
+        settings: The settings read at the start.
+        lease: The lease that permits the duties.
         store: The catalog.
-        directory: The runners.
-        meter: What callers bring to this daemon.
-        ledger: What runs at runners.
-        estimates: How fast they are.
-        usage: Requests begun.
-        fleet: What other daemons tell.
-        limits: What runners in need say that they take.
-        roster: Who announced themselves.
-        links: Where daemons are linked to.
-        rollouts: Orders of versions.
+        directory: The known runners.
+        meter: Prompt tokens that callers send to this daemon.
+        ledger: Requests in progress at runners.
+        estimates: Prefill speed of each service's engines.
+        usage: Requests started, by window and team.
+        fleet: What other daemons gossip.
+        limits: Rate limits that runners reported.
+        roster: Announced daemons.
+        links: Connections to other daemons.
+        rollouts: Rollout orders and their state.
     """
 
     ports: gateway_ports.GatewayPorts
@@ -65,11 +65,11 @@
 def list_tasks(
     sources: DutySources, cloud: port_types.CloudPort
 ) -> dict[str, Callable[[], Awaitable[None]]]:
-    """Return the duties' tasks by name.
+    """Return the tasks to run, by name.
 
     Args:
-        sources: What they decide with.
-        cloud: Takes reports and orders.
+        sources: Dependencies of the tasks.
+        cloud: Accepts usage reports and orders of runners.
     """
     return {
         "lease": sources.lease.run,
--- a/packages/daemon/src/martenquay_daemon/duties/usage_counts.py
+++ b/packages/daemon/src/martenquay_daemon/duties/usage_counts.py
@@ -1,4 +1,4 @@
-"""Count the requests that began to run, by window of true time and team."""
+"""Count started requests by team and usage window of wall-clock time."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 __all__ = ["UsageCounts", "WindowCounts"]
 
-# By window number and team.
+# Requests by window number and team.
 WindowCounts = dict[int, dict[str, int]]
 
-# Windows are kept until their report is overdue anyway.
+# Longer than any report may be delayed.
 _KEPT_WINDOWS = 5
 
 
 class UsageCounts:
-    """Counts of this daemon."""
+    """Started requests of this daemon."""
 
     def __init__(
         self, window_s: float, read_clock: Callable[[], float] = time.time
@@ -28,15 +28,15 @@
         self._counts: WindowCounts = {}
 
     def find_window(self) -> int:
-        """Return the number of the window that is now."""
+        """Return the number of the current window."""
         return int(self._read_clock() // self._window_s)
 
     def find_age_s(self, window: int) -> float:
-        """Return the seconds since a window closed; negative before."""
+        """Return the seconds since a window ended; negative before."""
         return self._read_clock() - (window + 1) * self._window_s
 
     def note_begin(self, team: str) -> int:
-        """Count one request; return its window."""
+        """Count one started request; return its window."""
         window = self.find_window()
         teams = self._counts.setdefault(window, {})
         teams[team] = teams.get(team, 0) + 1
@@ -44,13 +44,13 @@
         return window
 
     def take_back(self, team: str, window: int) -> None:
-        """Take one request back that did not run after all."""
+        """Subtract a request that turned out not to have run."""
         teams = self._counts.get(window)
         if teams is not None and teams.get(team, 0) > 0:
             teams[team] -= 1
 
     def list_counts(self) -> WindowCounts:
-        """Return all windows that are still kept."""
+        """Return the counts of all windows kept."""
         return self._counts
 
     def _drop_old(self, window: int) -> None:
--- a/packages/daemon/src/martenquay_daemon/duties/usage_reporter.py
+++ b/packages/daemon/src/martenquay_daemon/duties/usage_reporter.py
@@ -1,7 +1,7 @@
-"""Report each usage window once, and the same again if in doubt.
+"""Report the usage of each window to the platform exactly once.
 
-What is reported is first written to the log. A successor finds it there and
-repeats it to the letter.
+Reports are written to the log before they are sent, so that a successor that
+doesn't know whether a report arrived repeats the same figures.
 """
 
 from __future__ import annotations
@@ -24,14 +24,15 @@
 
 _LOG = logs.create_log("usage")
 _POLL_INTERVAL_S = 0.25
-# A call takes a few ms when the cloud is well; the lease has to last for it.
+# The lease must stay valid this long for a call to start.
 _MIN_LEASE_S = 0.5
-# Daemons tell their counts four times a second; one more round for the last
-# requests of the window.
+# Covers the gossip interval, so that the last requests of a window are
+# included.
 _GOSSIP_DELAY_S = 0.8
-# So long before a report is due it goes out without silent daemons' counts.
+# This long before the deadline a report is sent without the counts of daemons
+# that are silent.
 _DEADLINE_MARGIN_S = 4.0
-# Windows older than this beyond their due time are nobody's any more.
+# A window this long past its deadline is not reported any more.
 _EXPIRY_S = 8.0
 _HTTP_OK = 200
 
@@ -43,17 +44,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class ReportDeadline:
-    """When reports are due.
+    """Deadline of usage reports.
 
     Attributes:
-        late_s: A report is due so long after its window's end.
+        after_window_s: Time from the end of a window to its deadline.
     """
 
     after_window_s: float
 
 
 class UsageReporter:
-    """Report usage while this daemon holds the lease."""
+    """Sends usage reports while this daemon holds the lease."""
 
     def __init__(
         self,
@@ -80,13 +81,14 @@
         self._fence = 0
 
     async def run(self) -> None:
-        """Report until cancelled."""
+        """Send reports until cancelled."""
         while True:
             await trio.sleep(_POLL_INTERVAL_S)
             if not self._lease.is_held(_MIN_LEASE_S):
                 continue
             if self._fence != self._lease.fence:
-                # Somebody else may have written since this daemon last read.
+                # Another holder may have logged reports that must be repeated
+                # unchanged.
                 if not await self._read_log():
                     continue
                 self._fence = self._lease.fence
@@ -151,7 +153,7 @@
                 _LOG.write(f"Window {window}: {answer.error.message}.")
 
     async def _log_report(self, window: int) -> bool:
-        """Write the report to the log unless another one is there."""
+        """Write the report to the log unless the log has grown."""
         counts = view.merge_counts(
             self._counts.list_counts(), self._view.sum_started(window), window
         )
@@ -173,7 +175,7 @@
         return False
 
     async def _read_log(self) -> bool:
-        """Read what is written; the first report of a window counts."""
+        """Read logged reports; the first one of a window counts."""
         while True:
             page = await self._log.read(self._topic, self._end_offset)
             match page:
@@ -189,7 +191,8 @@
                 try:
                     report = msgspec.msgpack.decode(payload, type=_Report)
                 except msgspec.MsgspecError as error:
-                    # Else it would be read for ever, and nothing reported.
+                    # An unreadable record must be skipped, or no report would
+                    # ever be sent.
                     _LOG.write(f"Record {offset} cannot be read: {error}.")
                     continue
                 self._logged_counts.setdefault(report.window, report.counts)
--- a/packages/daemon/src/martenquay_daemon/rollouts/__init__.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/__init__.py
@@ -1,1 +1,1 @@
-"""Move a service's requests to a new version of its runners, or back."""
+"""Roll services out to new runner versions and roll them back."""
--- a/packages/daemon/src/martenquay_daemon/rollouts/controller.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/controller.py
@@ -1,4 +1,4 @@
-"""Lead each order to its end while this daemon holds the lease."""
+"""Advance rollouts from canary to completion or rollback, as lease holder."""
 
 from __future__ import annotations
 
@@ -25,28 +25,28 @@
 __all__ = ["RolloutController", "RolloutParts"]
 
 _LOG = logs.create_log("rollouts")
-# A bad version goes on getting its share until it is rolled back, and the
-# users allow 5 s after its 50th bad answer.
+# A bad version keeps getting requests until it is rolled back, so this bounds
+# how many it fails.
 _RECONCILE_INTERVAL_S = 0.25
-# A log call takes 4 ms; the lease has to outlast it.
+# The lease must stay valid this long for a log call to start.
 _MIN_LEASE_S = 0.5
 _MS_PER_S = 1000
 
 
 @dataclasses.dataclass(frozen=True)
 class RolloutParts:
-    """What a keeper decides with.
+    """Dependencies of `RolloutController`.
 
     Attributes:
-        log: Where steps and status are written.
-        topics: Their topics.
-        codec: Writes the status for operators.
-        follower: Follows the steps.
-        lease: The right to decide.
-        orders: Orders and steps.
-        trials: What was answered.
-        directory: The runners.
-        ledger: What runs there.
+        log: The log that holds steps and status.
+        topics: Names of their topics.
+        codec: Encodes the status for operators.
+        follower: Reads the steps' topic.
+        lease: The lease that permits decisions.
+        orders: Known orders and steps.
+        trials: Results of canary trials.
+        directory: The known runners.
+        ledger: Requests in progress at runners.
     """
 
     log: ports.LogPort
@@ -61,7 +61,7 @@
 
 
 class RolloutController:
-    """Try, judge, switch or roll back, and tell operators."""
+    """Decides and logs the steps of rollouts and publishes their status."""
 
     def __init__(
         self,
@@ -71,23 +71,23 @@
         self._parts = parts
         self._read_wall_clock_s = read_wall_clock_s
         self._fence = 0
-        # Orders that this daemon has followed from their first step on.
+        # Orders whose first step this daemon wrote.
         self._started_here: set[tuple[str, int]] = set()
         self._published: dict[str, tuple[int, rollouts.RolloutState]] = {}
 
     async def run(self) -> None:
-        """Lead orders until cancelled."""
+        """Reconcile all orders until cancelled."""
         while True:
             await trio.sleep(_RECONCILE_INTERVAL_S)
             await self.reconcile()
 
     async def reconcile(self) -> None:
-        """Look at each order once."""
+        """Advance each order by at most one step."""
         parts = self._parts
         if not parts.orders.list_all() or not parts.lease.is_held(_MIN_LEASE_S):
             return
         if self._fence != parts.lease.fence:
-            # Somebody else may have decided since this daemon last read.
+            # Another holder may have written steps since this daemon last read.
             if not await parts.follower.read_now():
                 return
             self._fence = parts.lease.fence
@@ -119,7 +119,7 @@
         name = rollout.order.service
         version = rollout.order.version
         usable = parts.directory.list_usable(name)
-        # Those that leave still have requests.
+        # Draining runners still have requests.
         old = [
             one
             for one in parts.directory.list_all(name)
@@ -141,8 +141,9 @@
     ) -> float:
         """Return the time since the order.
 
-        Who has followed it all along goes by the steady clock; the time of
-        day, which may jump, serves only who took over.
+        The monotonic clock is used if this daemon has followed the order from
+        the start. After a takeover the wall clock, which may jump, is used as
+        well.
         """
         monotonic_s = trio.current_time() - rollout.seen_at
         if (step.service, step.order) in self._started_here:
@@ -168,7 +169,7 @@
             self._list_refused(rollout, phase),
             why,
         )
-        # Only behind what this daemon has read: a successor may have decided.
+        # A conditional append fails if a successor has written a step since.
         written = await parts.log.append(
             parts.topics.rollouts,
             [records.encode_step(parts.log, step)],
@@ -189,7 +190,7 @@
                     service=service,
                     order=rollout.offset,
                 )
-                # It may have been done all the same.
+                # The append may have succeeded although its answer was lost.
                 await parts.follower.read_now()
 
     def _list_refused(
@@ -209,7 +210,7 @@
     async def _publish_status(
         self, rollout: registry.Rollout, step: registry.Step
     ) -> None:
-        """Tell operators, once in this daemon's term for each state."""
+        """Publish the state to operators, once per state and term."""
         parts = self._parts
         service = rollout.order.service
         published_state = (rollout.offset, step.phase.state)
@@ -241,7 +242,7 @@
         )
 
     async def _is_published(self, key: str, value: bytes) -> bool:
-        """Tell whether operators have been told the same before."""
+        """Return whether the status topic already holds this record."""
         found = await self._parts.log.read_newest(self._parts.topics.status)
         match found:
             case Result(tag="ok", ok=snapshot):
--- a/packages/daemon/src/martenquay_daemon/rollouts/parts.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/parts.py
@@ -1,4 +1,4 @@
-"""Build what moves services to new versions."""
+"""Build the rollout state that each daemon keeps."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 
 __all__ = ["RolloutState", "create_rollout_state"]
 
-# The log answers some daemon of each zone at least twice a second.
+# Log reads succeed more often than this while the log is reachable.
 _LOG_CONTACT_S = 2.5
 
 
 @dataclasses.dataclass(frozen=True)
 class RolloutState:
-    """What every daemon keeps of orders and versions.
+    """The rollout objects of one daemon.
 
     Attributes:
-        orders: Orders and steps.
-        order_sink: Takes orders from the operators' topic.
-        follower: Follows the steps.
-        trials: What versions on trial answered.
+        orders: Known orders and steps.
+        order_sink: Receives orders from the operators' topic.
+        follower: Reads the steps' topic.
+        trials: Results of canary trials.
         versions: Chooses runners by version.
     """
 
@@ -48,7 +48,7 @@
     rng: random.Random,
     count_daemons: Callable[[], int],
 ) -> RolloutState:
-    """Return the parts, connected to each other."""
+    """Return the rollout objects, connected to each other."""
     orders = registry.RolloutRegistry()
     return RolloutState(
         orders,
--- a/packages/daemon/src/martenquay_daemon/rollouts/plan.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/plan.py
@@ -1,4 +1,4 @@
-"""Decide the next step of an order from its age and what is known of it."""
+"""Decide the phase of a rollout from its age and its canary trial."""
 
 from __future__ import annotations
 
@@ -12,29 +12,26 @@
 
 __all__ = ["RolloutProgress", "decide_phase"]
 
-# Parts of an order's time. A version that turns bad after some seconds shows
-# it only to those who wait, and to call a version good by mistake exposes all
-# callers: so the trial takes most of the time. Of versions that fail 5 s after
-# their first answer, in an order of 12 s at 65 to 400 requests a second, 55 of
-# 72 got more requests than the users allow with 0.72, and 39 of 96 with this.
+# Fraction of the order's duration for the canary phase. It is long, since a
+# version may turn bad late and switching exposes all callers.
 _CANARY_FRACTION = 0.84
-# The old runners stop at once when the order is completed, so what they have
-# has to end before that; and it has to be told before the time is over.
+# Fraction of the duration by which a rollout ends; the rest is for the log and
+# for telling operators.
 _COMPLETION_FRACTION = 0.94
 
 
 @dataclasses.dataclass(frozen=True)
 class RolloutProgress:
-    """What is known of an open order.
+    """Facts about an open rollout.
 
     Attributes:
-        phase: What holds now.
-        elapsed_s: Since the order.
-        duration_s: Within which it is to be decided.
-        verdict: What the answers say.
+        phase: The current phase.
+        elapsed_s: Time since the order.
+        duration_s: Time within which the order is to be decided.
+        verdict: Comparison of the new version with the old ones.
         has_old: Runners of other versions serve.
-        has_new: Runners of its version serve.
-        old_requests: Requests that runners of other versions have not ended.
+        has_new: Runners of the order's version serve.
+        old_requests: Requests in progress at runners of other versions.
     """
 
     phase: registry.Phase
@@ -47,7 +44,7 @@
 
 
 def decide_phase(progress: RolloutProgress) -> tuple[registry.Phase, str]:
-    """Return the phase that is to hold, and why."""
+    """Return the phase to enter or stay in, and the reason."""
     if progress.phase.is_final:
         return progress.phase, ""
     if progress.verdict.is_bad:
--- a/packages/daemon/src/martenquay_daemon/rollouts/records.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/records.py
@@ -1,4 +1,4 @@
-"""Write steps into their topic of the platform's log and read them."""
+"""Encode and decode rollout steps, and register records read from the log."""
 
 from __future__ import annotations
 
@@ -46,12 +46,12 @@
         self._registry = rollouts
 
     def replace_all(self, snapshot: ports.Snapshot) -> None:
-        """Take the newest step of each service; a missing one holds on."""
+        """Register each service's newest step; missing ones stay."""
         for record in snapshot.records:
             self.apply_change(record)
 
     def apply_change(self, record: ports.KeyedRecord) -> None:
-        """Take one step."""
+        """Register one step."""
         if record.value is None:
             return
         try:
@@ -83,12 +83,12 @@
         self._registry = rollouts
 
     def replace_all(self, snapshot: ports.Snapshot) -> None:
-        """Take the newest records; a missing one changes nothing."""
+        """Register the newest orders; missing ones stay."""
         for record in snapshot.records:
             self.apply_change(record)
 
     def apply_change(self, record: ports.KeyedRecord) -> None:
-        """Take the record if it is an order."""
+        """Register the record if it is a rollout order."""
         if record.value is None:
             return
         try:
--- a/packages/daemon/src/martenquay_daemon/rollouts/registry.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/registry.py
@@ -1,8 +1,8 @@
-"""Remember each service's newest order and how far it has come.
+"""Keep each service's newest rollout order and its furthest step.
 
-Orders come from the operators' topic and steps from the daemons' own. Both are
-folded so that any order of reading ends alike: a newer order replaces an older
-one, and the steps of one order only go forward.
+Orders come from the operators' topic, steps from the daemons' topic. The result
+does not depend on the sequence in which they are read: a newer order replaces
+an older one, and the steps of an order only move forward.
 """
 
 from __future__ import annotations
@@ -18,17 +18,16 @@
 __all__ = ["Phase", "Rollout", "RolloutRegistry", "Step"]
 
 _LOG = logs.create_log("rollouts")
-# Who starts reads all orders; who runs hears of a new one from others within a
-# second or two, or as soon as a cut is over.
+# Gossip of an order stops after this time; by then each daemon has read it.
 _GOSSIP_PERIOD_S = 60.0
 
 
 class Phase(enum.Enum):
-    """How far an order has come."""
+    """How far a rollout has come."""
 
-    # Nothing is decided: the new version gets a small share.
+    # The new version gets a small share of the requests.
     CANARY = "canary"
-    # The new version is good and gets all; the old one ends what it has.
+    # The new version gets all requests; the old one finishes its own.
     SWITCHING = "switching"
     COMPLETED = "completed"
     ROLLED_BACK = "rolled_back"
@@ -40,13 +39,13 @@
 
     @property
     def rank(self) -> int:
-        """A step of the same or a lower rank changes nothing."""
+        """Position of the phase; steps never move to a lower or equal rank."""
         ranks = {Phase.CANARY: 0, Phase.SWITCHING: 1}
         return ranks.get(self, 2)
 
     @property
     def state(self) -> rollouts.RolloutState:
-        """What operators are told."""
+        """The state that operators see."""
         match self:
             case Phase.COMPLETED:
                 return rollouts.RolloutState.COMPLETED
@@ -58,17 +57,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class Step:
-    """One step of an order, as it lies in the log.
+    """One step of a rollout, as stored in the log.
 
     Attributes:
         service: The service.
-        order: The offset of the operator's order.
-        version: That it names.
-        phase: What holds from now on.
+        order: Offset of the operator's order.
+        version: The version that the order names.
+        phase: The phase that begins with this step.
         started_ms: When the order was first seen, in ms since 1970.
-        refused: Versions that get nothing: those rolled back, and those of
+        refused: Versions that get no requests: those rolled back, and those of
             orders that were replaced before they were decided.
-        why: The reason, for people.
+        why: The reason, for operators.
     """
 
     service: str
@@ -98,16 +97,16 @@
 
     @property
     def phase(self) -> Phase:
-        """What holds now."""
+        """The current phase."""
         return Phase.CANARY if self.step is None else self.step.phase
 
 
 class RolloutRegistry:
-    """Orders and steps by service."""
+    """Rollout orders and steps by service."""
 
     def __init__(self) -> None:
         self._rollouts: dict[str, Rollout] = {}
-        # Steps may be read before their order is.
+        # A step may be read before its order.
         self._steps: dict[str, Step] = {}
 
     def find(self, service: str) -> Rollout | None:
@@ -119,7 +118,7 @@
         return list(self._rollouts.values())
 
     def has_open(self) -> bool:
-        """Tell whether an order is still to be decided."""
+        """Return whether any order is undecided."""
         return any(not one.phase.is_final for one in self.list_all())
 
     def list_recent(self) -> list[Rollout]:
@@ -128,16 +127,16 @@
         return [one for one in self.list_all() if one.seen_at > oldest]
 
     def find_last_step(self, service: str) -> Step | None:
-        """Return a service's furthest step, of whichever order."""
+        """Return a service's furthest step, of any order."""
         return self._steps.get(service)
 
     def find_refused(self, service: str) -> set[str]:
-        """Return the versions of a service that get nothing."""
+        """Return the versions of a service that get no requests."""
         step = self._steps.get(service)
         return set() if step is None else set(step.refused)
 
     def apply_order(self, offset: int, order: rollouts.RolloutOrder) -> None:
-        """Take an operator's order; an older one changes nothing."""
+        """Register an operator's order; ignore it if it is older."""
         known = self._rollouts.get(order.service)
         if known is not None and known.offset >= offset:
             return
@@ -156,7 +155,7 @@
             rollout.step = step
 
     def apply_step(self, step: Step) -> bool:
-        """Take a step; tell whether it leads on."""
+        """Register a step; return whether it moves the rollout forward."""
         known = self._steps.get(step.service)
         if known is not None and not _supersedes(known, step):
             return False
--- a/packages/daemon/src/martenquay_daemon/rollouts/tallies.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/tallies.py
@@ -1,4 +1,4 @@
-"""Count what a new version and the old one answer, over all daemons."""
+"""Count results of canary trials, by route and version, over all daemons."""
 
 from __future__ import annotations
 
@@ -7,23 +7,23 @@
 
 __all__ = ["OutcomeTally", "RouteTally", "TallyTable", "Trial"]
 
-# What took no time that could be measured.
+# Keeps the logarithm of a zero latency finite.
 _MIN_LATENCY_S = 0.001
 
 
 @dataclasses.dataclass(frozen=True)
 class OutcomeTally:
-    """What runners of one version, or of all others, answered.
+    """Results of the new version's runners, or of all others.
 
-    Times are counted by their logarithms: a version that is several times
-    slower is so for short answers and long ones.
+    Latencies are summed as logarithms, since a slow version is slower by a
+    factor, for short answers and for long ones.
 
     Attributes:
         answers: Requests that were answered or broke off.
-        failures: Of these, those that failed.
-        timed: Good answers whose time was taken.
-        log_sum: Sum of the logarithms of their times in seconds.
-        log_squares: Sum of the squares of these.
+        failures: Failed requests among them.
+        timed: Successful answers with a latency.
+        log_sum: Sum of the logarithms of their latencies in seconds.
+        log_squares: Sum of the squared logarithms.
     """
 
     answers: int = 0
@@ -33,7 +33,7 @@
     log_squares: float = 0.0
 
     def add(self, other: OutcomeTally) -> OutcomeTally:
-        """Return both together."""
+        """Return the sum of both."""
         return OutcomeTally(
             self.answers + other.answers,
             self.failures + other.failures,
@@ -43,10 +43,10 @@
         )
 
     def note(self, latency_s: float | None) -> OutcomeTally:
-        """Return it with one answer more.
+        """Return the tally with one more answer.
 
         Args:
-            latency_s: Until its first event, or its end; None if it failed.
+            latency_s: Time to the first event or the end; None for a failure.
         """
         if latency_s is None:
             return self.add(OutcomeTally(1, 1))
@@ -58,35 +58,35 @@
 
 @dataclasses.dataclass(frozen=True)
 class RouteTally:
-    """What was answered on one route.
+    """Results on one route.
 
     Attributes:
-        old: By runners of the versions before.
-        new: By those of the version on trial.
+        old: Results of runners of other versions.
+        new: Results of runners of the new version.
     """
 
     old: OutcomeTally = OutcomeTally()
     new: OutcomeTally = OutcomeTally()
 
     def add(self, other: RouteTally) -> RouteTally:
-        """Return both together."""
+        """Return the sum of both."""
         return RouteTally(self.old.add(other.old), self.new.add(other.new))
 
 
 @dataclasses.dataclass(frozen=True)
 class Trial:
-    """What is known of one order's version.
+    """Results of one order's canary trial.
 
     Attributes:
-        order: The order's offset.
-        routes: By route.
+        order: Offset of the order.
+        routes: Results by route.
     """
 
     order: int
     routes: dict[str, RouteTally] = dataclasses.field(default_factory=dict)
 
     def add(self, other: Trial) -> Trial:
-        """Return both together; of another order nothing is taken."""
+        """Return the sum of both; another order's trial is ignored."""
         if other.order != self.order:
             return self
         routes = dict(self.routes)
@@ -95,7 +95,7 @@
         return Trial(self.order, routes)
 
     def find_total(self) -> RouteTally:
-        """Return all routes together."""
+        """Return the sum over all routes."""
         total = RouteTally()
         for tally in self.routes.values():
             total = total.add(tally)
@@ -103,7 +103,7 @@
 
 
 class TallyTable:
-    """Trials by service: this daemon's own and what others have told."""
+    """Canary trials by service: own results and those gossiped."""
 
     def __init__(self) -> None:
         self._own: dict[str, Trial] = {}
@@ -118,14 +118,14 @@
         *,
         is_new: bool,
     ) -> None:
-        """Note one answer.
+        """Count one answer.
 
         Args:
-            service: Whose runner gave it.
-            order: The offset of the order that is open.
+            service: The service whose runner answered.
+            order: Offset of the open order.
             route: The request's route.
-            latency_s: Until its first event, or its end; None if it failed.
-            is_new: The runner has the version on trial.
+            latency_s: Time to the first event or the end; None for a failure.
+            is_new: The runner has the new version.
         """
         trial = self._own.get(service)
         if trial is None or trial.order != order:
@@ -139,22 +139,22 @@
         return self._own
 
     def forget(self, service: str) -> None:
-        """Drop what this daemon has counted of a decided order."""
+        """Drop this daemon's own results of a decided order."""
         self._own.pop(service, None)
 
     def replace_source(self, source: str, trials: dict[str, Trial]) -> None:
-        """Replace what one source has told of others; empty if it is gone."""
+        """Replace the trials that a source gossiped; drop them if empty."""
         if trials:
             self._others[source] = trials
         else:
             self._others.pop(source, None)
 
     def forget_sources(self) -> None:
-        """Forget all that was told of others."""
+        """Drop all gossiped trials."""
         self._others.clear()
 
     def find(self, service: str, order: int) -> Trial:
-        """Return what all daemons know of an order's version."""
+        """Return the results of all daemons for an order."""
         total = Trial(order)
         for trials in [self._own, *self._others.values()]:
             if service in trials:
--- a/packages/daemon/src/martenquay_daemon/rollouts/verdict.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/verdict.py
@@ -1,9 +1,9 @@
-"""Judge a version by what it and the old one answered in the same seconds.
+"""Compare the results of a new version with those of the old ones.
 
-Failures are weighed as they come, by the odds that the version fails more often
-by some part, against as often; times by the difference of their logarithms'
-means on each route. Both compare with the old version, so that overload, a
-greedy team or a cut, which befall both, do not speak against the new one.
+Failures are compared by the odds that the new version fails more often, and
+latencies by the difference of the mean logarithms on each route. Both compare
+answers of the same period, so that overload or an outage, which affect both
+versions, don't count against the new one.
 """
 
 from __future__ import annotations
@@ -17,38 +17,32 @@
 
 __all__ = ["Verdict", "judge_trial"]
 
-# A bad version fails by one of these parts more often than the old one; each is
-# as likely. Smaller ones need more answers than an order's time brings.
+# Increases of the failure rate to test for, with equal prior probability.
 _FAILURE_INCREASES = (0.05, 0.15, 0.5)
-# The odds, as a logarithm, at which a version is rolled back while it is
-# tried: one good version in a thousand.
+# Odds to roll back during the trial: one good version in a thousand.
 _ROLLBACK_LOG_ODDS = math.log(1000.0)
-# At the end fewer proofs are asked for: what fails visibly more often is not
-# given all requests. One good version in a hundred.
+# Odds to roll back at the end of the trial, where a switch would expose all
+# callers: one good version in a hundred.
 _DOUBT_LOG_ODDS = math.log(100.0)
-# One failure may befall any version.
 _MIN_FAILURES = 3
-# A version is slow that takes so many times as long on some route.
+# Factor by which the mean latency on some route must rise.
 _MIN_SLOWDOWN = 1.8
-# That far, in standard errors, the difference has to lie above none. All
-# routes are looked at twice a second: at 4 one good version in some thousand is
-# taken for slow.
+# High, since every route is tested many times per trial.
 _MIN_Z_SCORE = 4.0
-# With fewer times the standard error itself is not known.
+# With fewer samples the standard error is unreliable.
 _MIN_LATENCY_SAMPLES = 6
-# Answers that it takes to call a version good.
 _MIN_ANSWERS = 15
 
 
 @dataclasses.dataclass(frozen=True)
 class Verdict:
-    """What the answers say.
+    """Result of the comparison.
 
     Attributes:
-        is_bad: The version is surely worse than the old one.
-        is_doubtful: It may be worse; not what should get all requests.
-        has_enough: There are answers enough to call it good.
-        why: The figures, for people.
+        is_bad: The new version is certainly worse.
+        is_doubtful: It may be worse and must not get all requests.
+        has_enough: There are enough answers to accept it.
+        why: The figures, for operators.
     """
 
     is_bad: bool
@@ -58,7 +52,7 @@
 
 
 def judge_trial(trial: tallies.Trial) -> Verdict:
-    """Return what is to be said of a version."""
+    """Return the verdict on a new version."""
     total = trial.find_total()
     odds = _find_failure_log_odds(total)
     slow_route, z_score = _find_slowest_route(trial)
@@ -79,8 +73,8 @@
 
 
 def _find_failure_log_odds(total: tallies.RouteTally) -> float:
-    """Return the log odds that it fails more often, against equally often."""
-    # With few answers the old version's rate is not known to be 0.
+    """Return the log odds that the new version fails more often."""
+    # Pseudo-counts keep the rate above 0 while there are few answers.
     base_rate = (total.old.failures + 0.5) / (total.old.answers + 5.0)
     base_rate = min(base_rate, 0.8)
     odds = [
@@ -95,7 +89,7 @@
 def _find_log_likelihood_ratio(
     outcomes: tallies.OutcomeTally, base_rate: float, increase: float
 ) -> float:
-    """Return the log odds of failing so much more often than usual."""
+    """Return the log likelihood ratio of the raised to the base rate."""
     raised_rate = min(0.95, base_rate + increase)
     good = outcomes.answers - outcomes.failures
     return outcomes.failures * math.log(
@@ -104,7 +98,7 @@
 
 
 def _find_slowest_route(trial: tallies.Trial) -> tuple[str, float]:
-    """Return the route with the surest slowness, in standard errors."""
+    """Return the route with the most significant slowdown and its z-score."""
     z_scores = [
         (name, _find_slowdown_z_score(tally))
         for name, tally in trial.routes.items()
@@ -124,9 +118,9 @@
 
 
 def _find_log_mean(outcomes: tallies.OutcomeTally) -> tuple[float, float]:
-    """Return the mean of the logarithms and its standard error."""
+    """Return the mean log latency and its standard error."""
     mean = outcomes.log_sum / outcomes.timed
     variance = max(0.0, outcomes.log_squares / outcomes.timed - mean * mean)
-    # Times that are alike by chance must not look exact.
+    # Similar latencies by chance must not make the error vanish.
     variance = max(variance, 0.05)
     return mean, math.sqrt(variance / (outcomes.timed - 1))
--- a/packages/daemon/src/martenquay_daemon/rollouts/versions.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/versions.py
@@ -1,4 +1,4 @@
-"""Choose the versions of a service's runners that may get a request."""
+"""Choose the runners that may get a request by their software version."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 __all__ = ["VersionChooser"]
 
 _LOG = logs.create_log("rollouts")
-# Runners of a new version may be listed before their order is read. An order
-# is read within this time unless the log is away; after it the operators have
-# put the version there by other means, and it serves like the others.
+# A runner may be listed before the order that names its version is read. A
+# version still without an order after this time was deployed by other means and
+# serves.
 _UNORDERED_WAIT_S = 6.0
 
 
 class VersionChooser:
-    """Split runners by version, by what the orders say."""
+    """Selects runners by version, according to rollout orders."""
 
     def __init__(
         self,
@@ -39,20 +39,20 @@
         self._count_daemons = count_daemons
         self._rng = rng
         self._budgets: dict[tuple[str, int], share.CanaryBudget] = {}
-        # Versions by service: those in use, and since when others are seen.
+        # Serving versions by service, and when other versions were first seen.
         self._known_versions: dict[str, set[str]] = {}
         self._new_since: dict[tuple[str, str], float] = {}
-        # The order by service of which runners have been there to choose.
+        # By service, the order whose new version had runners to choose from.
         self._canary_orders: dict[str, int] = {}
 
     def choose(
         self, service: str, usable: list[runners.Runner]
     ) -> list[runners.Runner]:
-        """Return the runners that one attempt may go to.
+        """Return the runners that one attempt may be sent to.
 
         Args:
             service: The service.
-            usable: Its runners that may get work at all.
+            usable: Its runners that may get requests.
         """
         rollout = self._registry.find(service)
         if rollout is None or rollout.phase is not registry.Phase.CANARY:
@@ -67,16 +67,17 @@
         return new if new and budget.try_spend() else old
 
     def has_begun(self, service: str, order: int) -> bool:
-        """Tell whether this daemon has had runners of an order's version.
+        """Return whether this daemon has had runners of an order's version.
 
-        What the old ones answered before is of other seconds.
+        Answers of old runners from before then belong to another period and
+        must not be compared.
         """
         return self._canary_orders.get(service) == order
 
     def list_serving(
         self, service: str, usable: list[runners.Runner]
     ) -> list[runners.Runner]:
-        """Return the runners that carry a service's requests."""
+        """Return the runners that get a service's regular requests."""
         rollout = self._registry.find(service)
         if rollout is None:
             return self._list_known_versions(service, usable)
@@ -85,16 +86,17 @@
             case registry.Phase.CANARY:
                 return old or new
             case registry.Phase.ROLLED_BACK:
-                # What is bad gets nothing, also where nothing else is left.
+                # A rolled-back version gets no requests, even if no other
+                # runner is left.
                 return old
             case _:
-                # One that hears of the switch late finds the old ones gone.
+                # The old runners may be gone, or the new ones not listed yet.
                 return new or old
 
     def _split(
         self, service: str, usable: list[runners.Runner], version: str
     ) -> tuple[list[runners.Runner], list[runners.Runner]]:
-        """Return the runners of the other versions and of this one."""
+        """Return the runners of other accepted versions and of this one."""
         refused = self._registry.find_refused(service) - {version}
         old = [
             one
@@ -114,7 +116,7 @@
     def _list_known_versions(
         self, service: str, usable: list[runners.Runner]
     ) -> list[runners.Runner]:
-        """Return the runners of versions that need no order."""
+        """Return the runners whose version needs no order."""
         present = {one.software for one in usable}
         known = self._known_versions.setdefault(service, present)
         for version in present - known:
@@ -125,7 +127,7 @@
     def _is_wait_over(self, service: str, version: str) -> bool:
         now = trio.current_time()
         if not self._is_log_reachable():
-            # Its order may be there.
+            # While the log is unreachable the version's order may be unread.
             self._new_since[service, version] = now
         since = self._new_since.setdefault((service, version), now)
         if now - since < _UNORDERED_WAIT_S:
