--- a/packages/daemon/src/martenquay_daemon/duties/capacity_controller.py
+++ b/packages/daemon/src/martenquay_daemon/duties/capacity_controller.py
@@ -258,7 +258,7 @@
             return
         self._targets[service] = target
         _LOG.write(
-            f"Needs {target.required} engines, {target.desired} are comfort.",
+            f"Needs {target.required} engines, {target.desired} with headroom.",
             service=service,
             tokens_per_s=round(measured.tokens_per_s),
             read_tokens_per_s=round(measured.read_tokens_per_s),
@@ -330,7 +330,7 @@
             case _:
                 last_order.status = 0
         _LOG.write(
-            f"Ordered {wanted} in {order.zone}, {serving} serve.",
+            f"Ordered {wanted} runners in zone {order.zone}, {serving} serve.",
             service=service,
             zone=order.zone,
             reclaimable=order.is_reclaimable,
--- a/packages/daemon/src/martenquay_daemon/duties/lease.py
+++ b/packages/daemon/src/martenquay_daemon/duties/lease.py
@@ -161,13 +161,13 @@
         """Renew the lease once and wait until the next renewal is due."""
         started = trio.current_time()
         if started >= self._valid_until:
-            self._drop("it ran out before it could be renewed")
+            self._drop("it expired before it could be renewed")
             return
         if not await self._topic.append(_Kind.RENEWED, self.fence):
             await self._topic.read()
             last = self._topic.last
             if last is not None and last.member != self._member:
-                self._drop(f"{last.member} has it")
+                self._drop(f"{last.member} holds it")
             await trio.sleep(_RETRY_DELAY_S)
         self._extend_validity()
         await trio.sleep_until(started + self._timing.renew_s)
@@ -213,7 +213,7 @@
         self.fence = self._topic.fence
         self._extend_validity()
         _LOG.write(
-            f"Taken with fence {self.fence}.",
+            f"Lease acquired with fence {self.fence}.",
             fence=self.fence,
             told_by=gossiped_by,
         )
@@ -233,7 +233,9 @@
             self._valid_end_offset = self._topic.end
 
     def _drop(self, reason: str) -> None:
-        _LOG.write(f"Fence {self.fence} ends: {reason}.", fence=self.fence)
+        _LOG.write(
+            f"Lease with fence {self.fence} ended: {reason}.", fence=self.fence
+        )
         self.fence = 0
         self._valid_until = -math.inf
 
--- a/packages/daemon/src/martenquay_daemon/duties/lease_topic.py
+++ b/packages/daemon/src/martenquay_daemon/duties/lease_topic.py
@@ -105,7 +105,9 @@
                 return False
             case _:
                 message = written.error.message
-                _LOG.write(f"A record may not be written: {message}.")
+                _LOG.write(
+                    f"Lease record may not have been written: {message}."
+                )
                 return False
 
     async def read(self) -> bool:
@@ -116,7 +118,7 @@
                 case Result(tag="ok", ok=found):
                     pass
                 case _:
-                    _LOG.write(f"Not read: {page.error.message}.")
+                    _LOG.write(f"Lease topic not read: {page.error.message}.")
                     return False
             self.is_end_gossiped = False
             if found.is_lost:
@@ -126,7 +128,10 @@
                 try:
                     record = msgspec.msgpack.decode(payload, type=LeaseRecord)
                 except msgspec.MsgspecError as error:
-                    _LOG.write(f"Record {offset} cannot be read: {error}.")
+                    _LOG.write(
+                        f"Skipped lease record {offset}, which cannot be "
+                        f"decoded: {error}."
+                    )
                     self._skip_record(offset)
                 else:
                     self._apply_record(record, offset)
--- a/packages/daemon/src/martenquay_daemon/duties/usage_reporter.py
+++ b/packages/daemon/src/martenquay_daemon/duties/usage_reporter.py
@@ -141,16 +141,22 @@
             case Result(tag="ok", ok=status) if status == _HTTP_OK:
                 self._accepted_windows.add(window)
                 _LOG.write(
-                    f"Window {window} is reported.",
+                    f"Usage of window {window} was reported.",
                     window=window,
                     requests=sum(report.counts.values()),
                     age_s=round(self._counts.find_age_s(window), 3),
                     fence=self._fence,
                 )
             case Result(tag="ok", ok=status):
-                _LOG.write(f"Window {window} was answered with {status}.")
+                _LOG.write(
+                    f"Usage report of window {window} was refused with status "
+                    f"{status}."
+                )
             case _:
-                _LOG.write(f"Window {window}: {answer.error.message}.")
+                _LOG.write(
+                    f"Usage report of window {window} failed: "
+                    f"{answer.error.message}."
+                )
 
     async def _log_report(self, window: int) -> bool:
         """Write the report to the log unless the log has grown."""
@@ -170,7 +176,10 @@
                 await self._read_log()
             case _:
                 message = written.error.message
-                _LOG.write(f"Window {window} may not be written: {message}.")
+                _LOG.write(
+                    f"Usage report of window {window} may not have been "
+                    f"written: {message}."
+                )
                 await self._read_log()
         return False
 
@@ -182,7 +191,7 @@
                 case Result(tag="ok", ok=found):
                     pass
                 case _:
-                    _LOG.write(f"Not read: {page.error.message}.")
+                    _LOG.write(f"Usage topic not read: {page.error.message}.")
                     return False
             if found.is_lost:
                 self._end_offset = found.start
@@ -193,7 +202,10 @@
                 except msgspec.MsgspecError as error:
                     # An unreadable record must be skipped, or no report would
                     # ever be sent.
-                    _LOG.write(f"Record {offset} cannot be read: {error}.")
+                    _LOG.write(
+                        f"Skipped usage record {offset}, which cannot be "
+                        f"decoded: {error}."
+                    )
                     continue
                 self._logged_counts.setdefault(report.window, report.counts)
             self._end_offset = max(
--- a/packages/daemon/src/martenquay_daemon/rollouts/controller.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/controller.py
@@ -185,7 +185,7 @@
                 await parts.follower.read_now()
             case _:
                 _LOG.write(
-                    f"{service}: {phase.value} is not written yet: "
+                    f"{service}: step {phase.value} may not have been written: "
                     f"{written.error.message}.",
                     service=service,
                     order=rollout.offset,
@@ -229,11 +229,11 @@
         written = await parts.log.append(parts.topics.status, [payload])
         if written.is_error():
             message = written.error.message
-            _LOG.write(f"{service}: the status is not told yet: {message}.")
+            _LOG.write(f"{service}: status not published: {message}.")
             return
         self._published[service] = published_state
         _LOG.write(
-            f"{service}: operators are told {step.phase.state.value}.",
+            f"{service}: published status {step.phase.state.value}.",
             service=service,
             version=rollout.order.version,
             order=rollout.offset,
--- a/packages/daemon/src/martenquay_daemon/rollouts/records.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/records.py
@@ -58,7 +58,10 @@
             found = msgspec.json.decode(record.value, type=_StepRecord)
             phase = registry.Phase(found.phase)
         except ValueError as error:
-            _LOG.write(f"A record of {record.key} is no step: {error}.")
+            _LOG.write(
+                f"Skipped a rollout step of {record.key}, which cannot be "
+                f"decoded: {error}."
+            )
             return
         self._registry.apply_step(
             registry.Step(
@@ -94,7 +97,10 @@
         try:
             order = self._codec.decode_rollout(record.key, record.value)
         except ValueError as error:
-            _LOG.write(f"Order {record.key} cannot be read: {error}.")
+            _LOG.write(
+                f"Skipped rollout order {record.key}, which cannot be "
+                f"decoded: {error}."
+            )
             return
         if order is not None:
             self._registry.apply_order(record.offset, order)
