--- a/tests/rollout_days.py
+++ b/tests/rollout_days.py
@@ -1,4 +1,4 @@
-"""Play an order to its end over drawn answers of an old and a new version."""
+"""Simulate rollouts over drawn answers of an old and a new version."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 _ROUTES = ("r-long", "r-short", "r-chat")
 _STEP_S = 0.25
 _BOOT_S = 4.0
-# Sums of others are so old when the keeper reads them.
+# Age of the gossiped tallies when the controller reads them.
 _GOSSIP_DELAY_S = 0.5
-# How answers of one route differ in time: half of them by a factor of two.
+# Standard deviation of the log latencies.
 _LATENCY_SIGMA = 0.8
 _MEDIAN_LATENCY_S = 0.2
 _BASE_FAILURE_RATE = 0.01
@@ -31,13 +31,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Version:
-    """How a new version answers.
+    """How the new version differs from the old one.
 
     Attributes:
-        failures: The part of its answers that are failures beside the usual.
-        slowness: How many times as long it takes.
-        from_s: It is so from this time after its first answer on.
-        routes: The routes on which it is so.
+        failures: Fraction of answers that fail in addition to the base rate.
+        slowness: Factor on the latency.
+        from_s: Time from its first answer until it differs.
+        routes: Routes on which it differs.
     """
 
     failures: float = 0.0
@@ -53,18 +53,18 @@
 
 @dataclasses.dataclass(frozen=True)
 class RolloutDay:
-    """An order and what surrounds it.
+    """An order and its surroundings.
 
     Attributes:
         version: The new version.
-        daemons: How many share the requests.
-        requests_per_s: Over all daemons.
-        duration_s: Of the order.
-        seed: Of all that is drawn.
-        crash_at_s: When something befalls both versions alike; None for
-            never.
-        crash_failures: The part of all answers that fail for 2 s then.
-        restart_at_s: When all daemons start anew; None for never.
+        daemons: Number of daemons that share the requests.
+        requests_per_s: Request rate over all daemons.
+        duration_s: Duration of the order.
+        seed: Seed of all draws.
+        crash_at_s: Start of 2 s in which both versions fail and are slow; None
+            for never.
+        crash_failures: Fraction of answers that fail in addition then.
+        restart_at_s: When all daemons restart; None for never.
     """
 
     version: Version
@@ -79,15 +79,15 @@
 
 @dataclasses.dataclass
 class RolloutOutcome:
-    """What became of an order.
+    """Outcome of a simulated rollout.
 
     Attributes:
-        phase: How it ended.
-        decided_s: When it was decided for good.
-        exposed: Requests that the new version got within the order's time.
-        requests: All requests within the order's time.
-        bad_answers: Failed or slow answers that it gave.
-        why: What the keeper said.
+        phase: The last phase.
+        decided_s: When the last phase began.
+        canary_requests: Requests sent to the new version while the order ran.
+        requests: All requests while the order ran.
+        bad_answers: Failed or slow answers of the new version.
+        why: The controller's reason.
     """
 
     phase: registry.Phase = registry.Phase.CANARY
@@ -98,12 +98,12 @@
     why: str = ""
 
     def find_excess(self) -> float:
-        """Return by how much the users' bound on exposure is exceeded."""
+        """Return the requests beyond the bound on canary requests."""
         return max(0.0, self.canary_requests - 0.1 * self.requests - 50)
 
 
 def play_day(scenario: RolloutDay) -> RolloutOutcome:
-    """Play an order; needs a running clock, of which no time is taken."""
+    """Simulate a rollout; needs a trio clock but takes no time of it."""
     return _Simulation(scenario).run()
 
 
--- a/tests/test_duties/__init__.py
+++ b/tests/test_duties/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the duties family."""
+"""Tests of the duties package."""
--- a/tests/test_duties/test_capacity.py
+++ b/tests/test_duties/test_capacity.py
@@ -1,4 +1,4 @@
-"""Enough runners serve when a zone is reclaimed, and the cheap ones first."""
+"""Guard against too few runners after a reclaim, and against dear ones."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     booting: tuple[capacity_plan.BootingRunners, ...] = (),
     **limits,
 ) -> capacity_plan.ServiceState:
-    """Return a state with a runner in each zone that is named."""
+    """Return a state with one runner per zone letter given."""
     kinds = [(zone, True) for zone in reclaimable]
     kinds += [(zone, False) for zone in on_demand]
     found = tuple(
@@ -45,12 +45,14 @@
         on_demand = capacity_plan.plan_on_demand(state, target)
         return [o.wanted for o in reclaimable], [o.wanted for o in on_demand]
 
-    def test_reclaimable_ones_are_spread_so_that_one_zone_may_go(self) -> None:
+    def test_reclaimable_runners_are_spread_to_survive_the_loss_of_a_zone(
+        self,
+    ) -> None:
         reclaimable, on_demand = self._plan(_build_state("aabbcc"), 4)
         self.assertEqual([2, 2, 2], reclaimable)
         self.assertEqual([0, 0, 0], on_demand)
 
-    def test_on_demand_ones_stay_until_the_others_serve(self) -> None:
+    def test_on_demand_runners_stay_until_reclaimable_ones_serve(self) -> None:
         _, on_demand = self._plan(_build_state("", "abc"), 3)
         self.assertEqual([1, 1, 1], on_demand)
         _, on_demand = self._plan(_build_state("a", "abc"), 3)
@@ -58,24 +60,24 @@
         _, on_demand = self._plan(_build_state("aabbcc", "abc"), 3)
         self.assertEqual(0, sum(on_demand))
 
-    def test_after_a_reclaim_the_next_one_is_provided_for(self) -> None:
+    def test_after_a_reclaim_on_demand_runners_cover_the_next_one(self) -> None:
         _, on_demand = self._plan(_build_state("bbcc"), 3)
         self.assertEqual(1, sum(on_demand))
         _, on_demand = self._plan(_build_state("cc"), 3)
         self.assertEqual(3, sum(on_demand))
 
-    def test_one_that_serves_is_kept_before_a_cheaper_one_is_bought(
+    def test_a_serving_on_demand_runner_is_kept_before_a_cheaper_zone(
         self,
     ) -> None:
         _, on_demand = self._plan(_build_state("bbcc", "b"), 3)
         self.assertEqual([0, 1, 0], on_demand)
 
-    def test_only_cheap_runners_are_had_for_comfort(self) -> None:
+    def test_headroom_uses_reclaimable_runners_only(self) -> None:
         reclaimable, on_demand = self._plan(_build_state("abc"), 2, 4)
         self.assertEqual([2, 2, 2], reclaimable)
         self.assertEqual([0, 0, 0], on_demand)
 
-    def test_what_boots_is_neither_bought_again_nor_counted_as_serving(
+    def test_booting_runners_are_neither_reordered_nor_counted_as_serving(
         self,
     ) -> None:
         booting = (capacity_plan.BootingRunners("a", True, 2),)
@@ -84,7 +86,7 @@
         _, on_demand = self._plan(_build_state("bbcc", "b", booting), 3)
         self.assertEqual([0, 1, 0], on_demand)
 
-    def test_while_none_are_to_be_had_those_that_serve_are_not_certain(
+    def test_without_reclaimable_supply_serving_ones_do_not_count(
         self,
     ) -> None:
         state = _build_state("bbbccc")
@@ -92,7 +94,7 @@
         exhausted = dataclasses.replace(state, is_out_of_reclaimable=True)
         self.assertEqual(3, sum(self._plan(exhausted, 3)[1]))
 
-    def test_an_on_demand_one_that_boots_stays_where_it_was_ordered(
+    def test_a_booting_on_demand_runner_stays_in_its_zone(
         self,
     ) -> None:
         booting = (capacity_plan.BootingRunners("b", False, 1),)
@@ -125,7 +127,7 @@
             self.assertLessEqual(order.wanted, max(0, most - reclaimable_count))
 
     @given(st.lists(st.sampled_from("abc"), max_size=9), st.integers(1, 20))
-    def test_no_runner_that_serves_is_given_up_for_a_dearer_one(
+    def test_no_reclaimable_runner_is_displaced_by_an_on_demand_one(
         self, reclaimable: list[str], required: int
     ) -> None:
         state = _build_state("".join(reclaimable))
@@ -137,16 +139,16 @@
                 self.assertLessEqual(serving + order.wanted, most)
 
 
-class NeedTest(testtools.TestCase):
-    def test_the_larger_of_reading_and_slots_decides(self) -> None:
+class ServiceDemandTest(testtools.TestCase):
+    def test_the_larger_of_prefill_and_slot_demand_counts(self) -> None:
         prefill_bound = capacity_plan.ServiceDemand(45_000.0, 1, 30_000.0)
         slot_bound = capacity_plan.ServiceDemand(10.0, 200, 30_000.0)
         self.assertEqual(3, prefill_bound.count_required(128))
         self.assertEqual(4, slot_bound.count_desired(128))
 
-    def test_engines_that_name_a_limit_are_parts_of_engines(self) -> None:
+    def test_rate_limited_runners_count_as_fractions(self) -> None:
         service_demand = capacity_plan.ServiceDemand(45_000.0, 1, 30_000.0)
-        # One engine reads 19,500 tokens a second, so 10 requests of 1,950.
+        # One engine takes 19,500 tokens or 10 requests of 1,950 a second.
         self.assertEqual(0, service_demand.count_lost_to_limits([], 1950.0))
         self.assertEqual(0, service_demand.count_lost_to_limits([50.0], 1950.0))
         self.assertEqual(1, service_demand.count_lost_to_limits([1.0], 1950.0))
@@ -155,12 +157,14 @@
         )
         self.assertEqual(0, service_demand.count_lost_to_limits([0.0], 0.0))
 
-    def test_cheap_runners_leave_more_slots_free_than_dear_ones(self) -> None:
+    def test_desired_runners_leave_more_slots_free_than_required_ones(
+        self,
+    ) -> None:
         service_demand = capacity_plan.ServiceDemand(10.0, 240, 30_000.0)
         self.assertEqual(3, service_demand.count_required(128))
         self.assertEqual(4, service_demand.count_desired(128))
 
-    def test_a_backlog_takes_runners_beside_what_comes_in(self) -> None:
+    def test_a_backlog_needs_runners_in_addition_to_arrivals(self) -> None:
         service_demand = capacity_plan.ServiceDemand(
             15_000.0, 1, 30_000.0, unread_tokens=60_000
         )
--- a/tests/test_duties/test_capacity_controller.py
+++ b/tests/test_duties/test_capacity_controller.py
@@ -1,4 +1,4 @@
-"""Orders follow what serves, are not repeated in a loop, and need the lease."""
+"""Guard against missing, repeated and unleased orders of runners."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 _ENGINE = catalog.EngineTraits(slots=128, kv_tokens=260_000)
 
 
-class CapacityKeeperTest(clocked.ClockedTestCase):
+class CapacityControllerTest(clocked.ClockedTestCase):
     def _build(self) -> capacity_controller.CapacityController:
         self.cloud = cloud.MemoryCloud()
         self.records = builders.FakeRecords()
@@ -95,7 +95,7 @@
         ]
         return found[-1] if found else None
 
-    def test_cheap_runners_come_first_and_dear_ones_go_after(self) -> None:
+    def test_on_demand_runners_go_once_reclaimable_ones_serve(self) -> None:
         async def scenario() -> None:
             await trio.sleep(4.0)
             self.assertEqual(3, self._find_last_order("a", is_reclaimable=True))
@@ -124,7 +124,7 @@
 
         self._run(scenario)
 
-    def test_what_was_ordered_and_does_not_come_is_ordered_again(self) -> None:
+    def test_an_order_whose_runners_do_not_come_is_repeated(self) -> None:
         async def scenario() -> None:
             await trio.sleep(20.0)
             orders = [
@@ -137,7 +137,7 @@
         self._run(scenario)
 
     async def _lose_two_zones(self) -> None:
-        """Have nine reclaimable runners serve, then take those of a and b."""
+        """Start nine reclaimable runners, then drain those of zones a and b."""
         await trio.sleep(4.0)
         for number, zone in enumerate("aaabbbccc", 10):
             self._put_runner(number, zone, is_reclaimable=True)
@@ -160,7 +160,7 @@
             if order.is_reclaimable == is_reclaimable
         ]
 
-    def test_lost_zones_bring_on_demand_runners_if_none_are_to_be_had(
+    def test_lost_zones_are_replaced_on_demand_without_reclaimable_supply(
         self,
     ) -> None:
         async def scenario() -> None:
@@ -172,7 +172,7 @@
 
         self._run(scenario)
 
-    def test_lost_zones_are_ordered_in_again_at_once_and_nothing_dearer(
+    def test_lost_zones_are_reordered_at_once_and_not_on_demand(
         self,
     ) -> None:
         async def scenario() -> None:
@@ -185,7 +185,7 @@
 
         self._run(scenario)
 
-    def test_a_zone_without_any_runner_left_is_still_ordered_in(self) -> None:
+    def test_a_zone_without_any_runner_stays_orderable(self) -> None:
         async def scenario() -> None:
             await self._lose_two_zones()
             for number in (1, 2, 3, 4, 5, 10, 11, 12):
@@ -198,7 +198,7 @@
 
         self._run(scenario)
 
-    def test_on_demand_runners_that_boot_are_not_ordered_elsewhere(
+    def test_booting_on_demand_runners_are_not_ordered_again(
         self,
     ) -> None:
         async def scenario() -> None:
@@ -206,7 +206,7 @@
             self.cloud.has_reclaimable = False
             await trio.sleep(1.0)
             self.cloud.received.clear()
-            # Meanwhile the entries of those that left lapse.
+            # The entries of the drained runners expire.
             for number in (1, 2, 3, 4, 5, 10, 11, 12, 13, 14, 15):
                 self.directory.apply_change(
                     ports.KeyedRecord(99, f"r-{number}", None)
@@ -216,15 +216,10 @@
 
         self._run(scenario)
 
-    def test_what_is_promised_in_a_zone_that_is_taken_back_is_not_relied_on(
+    def test_an_order_in_a_reclaimed_zone_does_not_count(
         self,
     ) -> None:
-        """More had been ordered in a zone, and then all of it went.
-
-        The order counted as booting until it was 2.5 s overdue, with all that
-        the zone had lost: for 6 s no on-demand runner was bought, the other
-        zones went too, and callers found no runner at all for three seconds.
-        """
+        """A pending order there would delay on-demand runners for seconds."""
 
         async def scenario() -> None:
             await trio.sleep(4.0)
@@ -256,19 +251,19 @@
         await self._send_prompts(seconds, rate)
 
     async def _send_prompts(self, seconds: float, tokens_per_s: float) -> None:
-        """Have callers bring prompts for engines to read."""
+        """Have callers send prompts."""
         for _ in range(int(seconds * 10)):
             self.meter.note("model", round(tokens_per_s / 10))
             await trio.sleep(0.1)
 
     def _report_prefill_speed(self, tokens_per_s: float) -> None:
-        """Have results show how fast engines read."""
+        """Report first events that show the engines' prefill speed."""
         for number in range(100):
             own = 500 + 90 * number
             result = model.FirstEvent(own, own, 0.05 + own / tokens_per_s)
             self.estimates.note_first_event("model", result)
 
-    def test_an_engine_that_takes_little_is_made_up_for(self) -> None:
+    def test_rate_limited_runners_are_compensated(self) -> None:
         async def find_most(*limited: int) -> int:
             for number in limited:
                 runner = self.directory.find(f"r-{number}")
@@ -281,21 +276,23 @@
         async def scenario() -> None:
             await self._send_prompts_at_known_speed(30.0, 35_000.0)
             before = await find_most()
-            # Engines read 13,000 tokens a second: the two take a tenth of it.
+            # Engines prefill 13,000 tokens a second; the limits are a tenth.
             self.assertGreater(await find_most(1, 2), before)
 
         self._run(scenario)
 
-    def test_what_is_only_assumed_of_engines_buys_none(self) -> None:
+    def test_an_assumed_prefill_speed_orders_no_additional_runners(
+        self,
+    ) -> None:
         async def scenario() -> None:
             await self._send_prompts(25.0, 200_000.0)
             wanted = [o.wanted for o in self.cloud.list_orders()]
-            # Five serve: with one zone's gone, two more than that remain.
+            # Five serve; three per zone keep six when one zone is lost.
             self.assertEqual(3, max(wanted))
 
         self._run(scenario)
 
-    def test_fast_engines_are_not_bought_as_if_they_were_slow(self) -> None:
+    def test_faster_engines_need_fewer_runners(self) -> None:
         async def find_most(tokens_per_s: float) -> int:
             self.cloud.received.clear()
             for _ in range(5):
--- a/tests/test_duties/test_demand_trend.py
+++ b/tests/test_duties/test_demand_trend.py
@@ -1,4 +1,4 @@
-"""What is ordered now serves a boot later, so a rise is taken on."""
+"""Guard against forecasts that lag behind a rise or follow bursts."""
 
 from __future__ import annotations
 
@@ -13,7 +13,6 @@
 _BOOT_S = 4.0
 _HORIZON_S = demand.MEMORY_S + _BOOT_S
 _POLL_S = 0.5
-# A wave as operators see it in the day's traffic.
 _MEAN_TOKENS_PER_S = 200_000.0
 _RELATIVE_AMPLITUDE = 0.42
 _PERIOD_S = 40.0
@@ -28,7 +27,7 @@
 
 
 def _draw_poisson(rng: random.Random, mean: float) -> int:
-    """Return how many independent events fall into a span."""
+    """Return a draw of the Poisson distribution."""
     count = 0
     left = rng.expovariate(1.0)
     while left < mean:
@@ -39,7 +38,7 @@
 
 class DemandTrendTest(testtools.TestCase):
     def _forecast_wave(self, until_s: float) -> tuple[float, float]:
-        """Follow the wave; return the fading rate and what is expected."""
+        """Return the averaged rate and the forecast on a sine wave."""
         trend = demand_trend.DemandTrend()
         averaged = _MEAN_TOKENS_PER_S
         at_s = -2 * _PERIOD_S
@@ -50,19 +49,15 @@
             trend.add_rate(at_s, averaged)
         return averaged, trend.forecast_rate(_HORIZON_S)
 
-    def test_on_the_rise_of_a_wave_it_leads_where_the_rate_lags(self) -> None:
+    def test_a_rising_wave_is_forecast_where_the_average_lags(self) -> None:
         for at_s in (0.0, 2.0, 4.0, 6.0):
             averaged, expected = self._forecast_wave(at_s)
             coming = _find_wave_rate(at_s + _BOOT_S)
             self.assertLess(averaged, 0.8 * coming, at_s)
             self.assertLess(abs(expected / coming - 1), 0.2, at_s)
 
-    def test_clumps_of_arrivals_are_no_rise_at_any_size(self) -> None:
-        """Steady demand of 45,000 to 450,000 tokens a second, in clumps.
-
-        In a fleet of six, clumps that passed for rises kept a third more
-        engines than the demand took, and nobody was served better.
-        """
+    def test_bursts_of_arrivals_are_not_extrapolated(self) -> None:
+        """Forecasts of steady demand in bursts would keep too many runners."""
         for rate in (45_000.0, 150_000.0, 450_000.0):
             held = []
             for seed in range(6):
@@ -72,7 +67,7 @@
     def _forecast_steady_demand(
         self, rate: float, rng: random.Random
     ) -> list[float]:
-        """Return what is expected over a minute, each held for a boot."""
+        """Return the forecasts over a minute, each held for a boot time."""
         trend = demand_trend.DemandTrend()
         averaged = rate
         expected = []
@@ -80,7 +75,7 @@
             rate * _POLL_S / (_REQUESTS_PER_BURST * _PROMPT_TOKENS)
         )
         for step in range(200):
-            # Prompts differ by as much as their mean.
+            # The length of a prompt is exponentially distributed.
             tokens = sum(
                 rng.gammavariate(_REQUESTS_PER_BURST, _PROMPT_TOKENS)
                 for _ in range(_draw_poisson(rng, bursts_per_poll))
@@ -95,17 +90,17 @@
             for number in range(80, 200)
         ]
 
-    def test_a_fall_is_not_taken_on(self) -> None:
+    def test_a_fall_is_not_extrapolated(self) -> None:
         averaged, expected = self._forecast_wave(20.0)
         self.assertEqual(averaged, expected)
 
-    def test_a_zone_that_is_heard_again_is_no_rise(self) -> None:
+    def test_a_reconnected_zone_is_extrapolated_within_a_bound(self) -> None:
         trend = demand_trend.DemandTrend()
         trend.add_rate(0.0, 100_000.0)
         trend.add_rate(0.5, 200_000.0)
         self.assertLessEqual(trend.forecast_rate(_HORIZON_S), 400_000.0)
 
-    def test_without_any_rate_nothing_is_expected(self) -> None:
+    def test_without_samples_the_forecast_is_zero(self) -> None:
         self.assertEqual(
             0.0, demand_trend.DemandTrend().forecast_rate(_HORIZON_S)
         )
--- a/tests/test_duties/test_lease.py
+++ b/tests/test_duties/test_lease.py
@@ -1,4 +1,4 @@
-"""At any moment one daemon at most may act, and its fence only rises."""
+"""Guard against two lease holders at a time and against fences that fall."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     from collections.abc import AsyncIterator
 
 _LENGTH_S = 3.0
-# Not of the encoding, of another form, and with a kind that is not known.
+# Invalid encoding, another structure, an unknown kind, invalid text.
 _UNREADABLE = (
     b"\xc1",
     msgspec.msgpack.encode({"kind": 0}),
@@ -31,10 +31,10 @@
 
 
 class _DisconnectableLog:
-    """One daemon's way to a log.
+    """One daemon's connection to the log.
 
     Attributes:
-        is_cut: Its calls no longer get there.
+        is_disconnected: Calls fail.
     """
 
     def __init__(self, store: log.MemoryLog) -> None:
@@ -42,13 +42,13 @@
         self._store = store
 
     async def read(self, topic: str, start: int, *, wait_s: float = 0.0):
-        """Read unless it is cut off."""
+        """Read unless disconnected."""
         if self.is_disconnected:
             return await _fail_call()
         return await self._store.read(topic, start, wait_s=wait_s)
 
     async def append(self, topic: str, payloads: list[bytes], **options):
-        """Append unless it is cut off."""
+        """Append unless disconnected."""
         if self.is_disconnected:
             return await _fail_call()
         return await self._store.append(topic, payloads, **options)
@@ -60,7 +60,7 @@
 
 
 async def _gossip_status(first: lease.Lease, second: lease.Lease) -> None:
-    """Hand on the first one's news as digests do."""
+    """Pass the first one's status to the second as digests do."""
     while True:
         status = first.create_status()
         second.apply_status("entry-1.aa", status, is_leaving=False)
@@ -119,7 +119,7 @@
     ) -> None:
         async def scenario() -> None:
             store = log.MemoryLog()
-            # Longer than the time over which starting daemons are spread.
+            # Longer than the jitter at the start, so that appends overlap.
             store.faults.append_s = 1.2
             leases = [self._create(store, f"entry-{n}")[0] for n in range(6)]
             async with trio.open_nursery() as nursery:
@@ -178,14 +178,14 @@
                 ended_at = trio.current_time()
                 await self._wait_until_held(second)
                 gap_s = trio.current_time() - ended_at
-                # The margin of both sides, and the turn.
+                # The margin of both sides and the successor's staggered append.
                 self.assertGreaterEqual(gap_s, _LENGTH_S / 3)
                 self.assertLess(gap_s, _LENGTH_S / 3 + 0.5)
                 self.assertGreater(second.fence, first.fence)
 
         self.run_clocked(scenario)
 
-    def test_a_holder_that_renews_unheard_keeps_the_lease(self) -> None:
+    def test_a_holder_whose_gossip_is_lost_keeps_the_lease(self) -> None:
         async def scenario() -> None:
             store = log.MemoryLog()
             first, _ = self._create(store, "entry-1")
@@ -201,7 +201,7 @@
 
         self.run_clocked(scenario)
 
-    def test_news_never_move_the_topic_of_the_holder(self) -> None:
+    def test_gossip_never_moves_the_holders_topic_end(self) -> None:
         async def scenario() -> None:
             store = log.MemoryLog()
             first, _ = self._create(store, "entry-1")
@@ -213,7 +213,7 @@
 
         self.run_clocked(scenario)
 
-    def test_a_renewal_that_is_done_late_extends_nothing(self) -> None:
+    def test_a_late_renewal_extends_nothing(self) -> None:
         async def scenario() -> None:
             store = log.MemoryLog()
             one, _ = self._create(store, "entry-1")
@@ -263,7 +263,7 @@
 
         self.run_clocked(scenario)
 
-    def test_a_daemon_that_starts_anew_waits_its_old_lease_out(self) -> None:
+    def test_a_restarted_daemon_waits_for_its_old_lease_to_expire(self) -> None:
         async def scenario() -> None:
             store = log.MemoryLog()
             first, _ = self._create(store, "entry-1")
@@ -276,7 +276,7 @@
 
         self.run_clocked(scenario)
 
-    def test_records_that_cannot_be_read_are_passed_over(self) -> None:
+    def test_unreadable_records_are_skipped(self) -> None:
         async def scenario() -> None:
             store = log.MemoryLog()
             await store.append("lease", list(_UNREADABLE))
@@ -284,10 +284,11 @@
             one, _ = self._create(store, "entry-1")
             with mock.patch.object(lease_topic, "_LOG") as log_mock:
                 async with _hold_lease(one):
-                    # Somebody may have taken it by one of them.
+                    # An unreadable record may have acquired the lease.
                     self.assertGreater(trio.current_time() - read_at, _LENGTH_S)
                     self.assertEqual(len(_UNREADABLE) + 1, one.fence)
-                    # Nor does one that comes later end it.
+                    # An unreadable record that comes later does not end the
+                    # lease.
                     await store.append("lease", [_UNREADABLE[0]])
                     for _ in range(200):
                         await trio.sleep(0.1)
@@ -296,7 +297,7 @@
 
         self.run_clocked(scenario)
 
-    def test_after_a_release_and_what_cannot_be_read_it_is_waited_for(
+    def test_an_unreadable_record_after_a_release_is_waited_for(
         self,
     ) -> None:
         async def scenario() -> None:
@@ -305,7 +306,7 @@
             async with _hold_lease(first):
                 await first.release()
             second, _ = self._create(store, "entry-2")
-            # So that its own first wait is over.
+            # Let the wait for a lease of an earlier process pass.
             await trio.sleep(10.0)
             await store.append("lease", [_UNREADABLE[0]])
             read_at = trio.current_time()
@@ -332,7 +333,7 @@
 
 @contextlib.asynccontextmanager
 async def _hold_lease(one: lease.Lease) -> AsyncIterator[trio.Nursery]:
-    """Run a lease from when it is held to the end of the block."""
+    """Run a lease and enter the block once it is held."""
     async with trio.open_nursery() as nursery:
         nursery.start_soon(one.run)
         while not one.is_held():
--- a/tests/test_duties/test_usage_reporter.py
+++ b/tests/test_duties/test_usage_reporter.py
@@ -1,4 +1,4 @@
-"""Each window is reported once; a successor repeats it to the letter."""
+"""Guard against usage that is reported twice with different figures."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class _Daemon:
-    """One daemon's usage duty."""
+    """The usage reporter of one daemon, with its lease."""
 
     def __init__(
         self, name: str, store: log.MemoryLog, platform: cloud.MemoryCloud
@@ -40,7 +40,7 @@
         )
 
     async def run(self) -> None:
-        """Run the lease and the reports until cancelled."""
+        """Run the lease and the reporter until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.lease.run)
             nursery.start_soon(self.reporter.run)
@@ -122,7 +122,7 @@
 
         self.run_clocked(scenario)
 
-    def test_a_report_that_was_written_late_is_the_one_that_counts(
+    def test_lost_append_answers_do_not_repeat_a_report(
         self,
     ) -> None:
         async def scenario() -> None:
@@ -140,7 +140,7 @@
 
         self.run_clocked(scenario)
 
-    def test_records_that_cannot_be_read_are_passed_over(self) -> None:
+    def test_unreadable_records_are_skipped(self) -> None:
         async def scenario() -> None:
             store = log.MemoryLog()
             platform = cloud.MemoryCloud()
@@ -156,7 +156,7 @@
                     await trio.sleep(2 * _WINDOW_S + 2.0)
                     nursery.cancel_scope.cancel()
             found = {r.window: r.counts for r in platform.list_reports()}
-            # What can be read behind them counts, and more is reported.
+            # The readable record after them counts, and reports go on.
             self.assertEqual({"drivers": 7}, found[window])
             self.assertIn(window + 1, found)
             lines = [call.args[0] for call in log_mock.write.call_args_list]
--- a/tests/test_rollouts/__init__.py
+++ b/tests/test_rollouts/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the roll-outs family."""
+"""Tests of the rollouts package."""
--- a/tests/test_rollouts/test_controller.py
+++ b/tests/test_rollouts/test_controller.py
@@ -1,4 +1,4 @@
-"""One daemon decides; whoever follows it goes on where it stood."""
+"""Guard against rollouts that are decided twice or stall on a failover."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class _Daemon:
-    """One daemon's part in orders."""
+    """The rollout controller of one daemon, with its lease and followers."""
 
     def __init__(self, name: str, platform: log.MemoryLog) -> None:
         self.log = platform
@@ -83,14 +83,14 @@
             nursery.start_soon(self.controller.run)
 
     def record_answers(self, count: int, *, failures: int = 0) -> None:
-        """Have the new version answer, and the old one as often."""
+        """Record answers of the new version, and as many of the old one."""
         for number in range(count):
             took_s = None if number < failures else 0.2
             self.trials.note("model", 0, "r", took_s, is_new=True)
             self.trials.note("model", 0, "r", 0.2, is_new=False)
 
 
-class RolloutKeeperTest(clocked.ClockedTestCase):
+class RolloutControllerTest(clocked.ClockedTestCase):
     def _run(self, scenario) -> None:
         async def run() -> None:
             self.log = log.MemoryLog()
@@ -105,7 +105,7 @@
         self.log.put(_TOPICS.catalog, "rollout/model", value)
 
     async def _follow_order(self, nursery: trio.Nursery) -> _Daemon:
-        """Have one daemon follow an order; return it while it is tried."""
+        """Return a daemon that follows an order, in its canary phase."""
         one = _Daemon("entry-1", self.log)
         nursery.start_soon(one.run)
         self._order()
@@ -140,7 +140,7 @@
 
         self._run(scenario)
 
-    def test_what_runs_at_old_runners_delays_the_end(self) -> None:
+    def test_requests_at_old_runners_delay_completion(self) -> None:
         async def scenario(nursery: trio.Nursery) -> None:
             one = await self._follow_order(nursery)
             one.record_answers(40)
@@ -156,7 +156,7 @@
 
         self._run(scenario)
 
-    def test_a_successor_goes_on_where_the_holder_stood(self) -> None:
+    def test_a_successor_resumes_the_rollout(self) -> None:
         async def scenario(nursery: trio.Nursery) -> None:
             first = _Daemon("entry-1", self.log)
             with trio.CancelScope() as scope:
@@ -164,19 +164,20 @@
                     inner.start_soon(first.run)
                     self._order()
                     await trio.sleep(8.0)
-                    # It is gone without a word, and what it counted as well.
+                    # The holder stops without releasing the lease; its tallies
+                    # are lost.
                     scope.cancel()
             second = _Daemon("entry-2", self.log)
             second.record_answers(40)
             nursery.start_soon(second.run)
-            # The lease has to run out first.
+            # The lease must expire first.
             await trio.sleep(6.0)
             statuses = await self._list_status()
             self.assertEqual(["v2 in_progress", "v2 completed"], statuses)
 
         self._run(scenario)
 
-    def test_what_was_decided_is_told_by_a_successor_and_not_undone(
+    def test_a_successor_publishes_and_keeps_the_decision(
         self,
     ) -> None:
         async def scenario(nursery: trio.Nursery) -> None:
@@ -189,7 +190,7 @@
                     first.record_answers(20, failures=20)
                     while first.registry.has_open():
                         await trio.sleep(0.01)
-                    # Between the decision and the word to operators.
+                    # Stop between the decision and its publication.
                     scope.cancel()
             self.assertEqual(["v2 in_progress"], await self._list_status())
             second = _Daemon("entry-2", self.log)
@@ -209,7 +210,7 @@
             await trio.sleep(3.0)
             self._order("v3", 6.0)
             await trio.sleep(8.0)
-            # Nobody has seen any runner of it.
+            # No runner of v3 was ever listed.
             statuses = await self._list_status()
             self.assertEqual(
                 ["v2 in_progress", "v3 in_progress", "v3 rolled_back"], statuses
@@ -218,7 +219,7 @@
 
         self._run(scenario)
 
-    def test_lost_answers_of_the_log_decide_nothing_twice(self) -> None:
+    def test_lost_append_answers_do_not_repeat_a_step(self) -> None:
         async def scenario(nursery: trio.Nursery) -> None:
             one = await self._follow_order(nursery)
             one.record_answers(20, failures=20)
--- a/tests/test_rollouts/test_judging.py
+++ b/tests/test_rollouts/test_judging.py
@@ -1,4 +1,4 @@
-"""A version is judged by the old one's answers in the same seconds."""
+"""Guard against wrong verdicts on good and bad versions."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 _FLEETS = (6, 70, 195)
 
 
-class PlayedOrdersTest(clocked.ClockedTestCase):
-    def _play(self, version: rollout_days.Version, **changes) -> list:
+class SimulatedRolloutsTest(clocked.ClockedTestCase):
+    def _simulate(self, version: rollout_days.Version, **changes) -> list:
         played = []
 
         async def scenario() -> None:
@@ -33,23 +33,27 @@
     def _expect_end(
         self, phase: registry.Phase, version: rollout_days.Version, **changes
     ) -> None:
-        for one in self._play(version, **changes):
+        for one in self._simulate(version, **changes):
             self.assertIs(phase, one.phase, one.why)
             if version.is_bad:
                 self.assertEqual(0.0, one.find_excess(), one)
 
-    def test_good_versions_go_through(self) -> None:
+    def test_good_versions_complete(self) -> None:
         good = rollout_days.Version()
         for rate in (20.0, 65.0, 200.0):
             self._expect_end(
                 registry.Phase.COMPLETED, good, requests_per_s=rate
             )
 
-    def test_good_versions_go_through_beside_trouble_of_both(self) -> None:
+    def test_good_versions_complete_despite_failures_of_both_versions(
+        self,
+    ) -> None:
         good = rollout_days.Version()
         self._expect_end(registry.Phase.COMPLETED, good, crash_at_s=6.0)
 
-    def test_good_versions_go_through_a_restart_of_all(self) -> None:
+    def test_good_versions_complete_despite_a_restart_of_all_daemons(
+        self,
+    ) -> None:
         good = rollout_days.Version()
         self._expect_end(registry.Phase.COMPLETED, good, restart_at_s=6.0)
 
@@ -93,11 +97,11 @@
         late = self._decide(elapsed_s=10.5)
         self.assertIs(registry.Phase.SWITCHING, late)
 
-    def test_what_nobody_has_seen_serve_is_rolled_back(self) -> None:
+    def test_a_version_without_runners_is_rolled_back(self) -> None:
         phase = self._decide(elapsed_s=11.5, has_new=False)
         self.assertIs(registry.Phase.ROLLED_BACK, phase)
 
-    def test_completed_is_said_once_the_old_runners_have_nothing_left(
+    def test_a_rollout_completes_once_old_runners_are_idle(
         self,
     ) -> None:
         phase = registry.Phase.SWITCHING
@@ -107,7 +111,7 @@
         late = self._decide(phase=phase, elapsed_s=11.5)
         self.assertIs(registry.Phase.COMPLETED, late)
 
-    def test_no_time_at_all_is_no_time_to_judge(self) -> None:
+    def test_an_order_without_duration_is_rolled_back(self) -> None:
         few = verdict.judge_trial(tallies.Trial(1))
         phase = self._decide(elapsed_s=0.0, duration_s=0.0, verdict=few)
         self.assertIs(registry.Phase.ROLLED_BACK, phase)
@@ -124,7 +128,7 @@
             table.note("model", 7, route, took_s, is_new=is_new)
         return table
 
-    def test_what_is_told_adds_up_to_what_was_counted(self) -> None:
+    def test_gossiped_tallies_add_up_to_the_counted_ones(self) -> None:
         tables = [self._draw(seed) for seed in range(8)]
         raw = [trial_lines.write_trials(one.list_own()) for one in tables]
         gossiped = [trial_lines.read_trials(lines) for lines in raw]
@@ -145,8 +149,9 @@
         table.note("model", 8, "r-1", 0.1, is_new=True)
         self.assertEqual(1, table.find("model", 8).find_total().new.answers)
 
-    def test_a_fleet_of_400_tells_it_within_its_bytes(self) -> None:
-        # 5 KB/s are for all control; a digest goes out twice a second.
+    def test_gossiped_tallies_stay_within_the_bandwidth(self) -> None:
+        # A digest is sent twice a second, and all control traffic shares 5
+        # KB/s.
         raw = trial_lines.write_trials(self._draw(1).list_own())
         size = len(msgspec.msgpack.encode(raw))
         self.assertLess(2 * size, 500)
--- a/tests/test_rollouts/test_registry.py
+++ b/tests/test_rollouts/test_registry.py
@@ -1,4 +1,4 @@
-"""Orders and steps end alike in whatever order they are read."""
+"""Guard against a rollout state that depends on the reading sequence."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
     return registry.Step(order=order, phase=phase, **(fields | changes))
 
 
-class RolloutBookTest(clocked.ClockedTestCase):
-    def test_any_order_of_reading_ends_alike(self) -> None:
+class RolloutRegistryTest(clocked.ClockedTestCase):
+    def test_the_reading_sequence_does_not_matter(self) -> None:
         messages = [
             (3, _order("v3")),
             (8, _order("v8")),
@@ -53,7 +53,7 @@
 
         self.run_clocked(scenario)
 
-    def test_no_step_leads_back_and_the_first_end_counts(self) -> None:
+    def test_no_step_moves_back_and_the_first_final_phase_stays(self) -> None:
         async def scenario() -> None:
             found = registry.RolloutRegistry()
             found.apply_order(3, _order("v3"))
@@ -66,7 +66,7 @@
 
         self.run_clocked(scenario)
 
-    def test_the_same_order_again_begins_anew(self) -> None:
+    def test_a_repeated_order_starts_over(self) -> None:
         async def scenario() -> None:
             found = registry.RolloutRegistry()
             found.apply_order(3, _order("v2"))
@@ -93,7 +93,7 @@
 
         self.run_clocked(scenario)
 
-    def test_what_cannot_be_read_harms_nothing_else(self) -> None:
+    def test_unreadable_records_are_skipped(self) -> None:
         async def scenario() -> None:
             rng = random.Random(1)
             found = registry.RolloutRegistry()
--- a/tests/test_rollouts/test_versions.py
+++ b/tests/test_rollouts/test_versions.py
@@ -1,4 +1,4 @@
-"""Requests go to versions that orders let them go to, in bounded parts."""
+"""Guard against requests to versions that no order permits."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from tests import clocked
 from tests import serving_builders as builders
 
-# What the users allow a version that is not judged: this part of the requests
-# since the order, and so many more.
+# Bound on requests to an undecided version: a fraction of the requests since
+# the order, and some more.
 _ALLOWED_FRACTION = 0.1
 _ALLOWED_EXTRA = 50
 
@@ -93,12 +93,12 @@
             for phase in (registry.Phase.SWITCHING, registry.Phase.COMPLETED):
                 self._create_chooser(phase)
                 self.assertEqual({"v2"}, self._choose("v1", "v2"))
-                # Its runners may be listed late.
+                # The new version's runners may be listed late.
                 self.assertEqual({"v1"}, self._choose("v1"))
 
         self.run_clocked(scenario)
 
-    def test_what_was_rolled_back_gets_nothing_though_it_is_all_there_is(
+    def test_a_rolled_back_version_gets_nothing_even_if_alone(
         self,
     ) -> None:
         async def scenario() -> None:
@@ -126,7 +126,7 @@
 
 
 class CanaryShareTest(clocked.ClockedTestCase):
-    def test_the_users_bound_holds_over_any_number_of_daemons(self) -> None:
+    def test_the_bound_holds_for_any_number_of_daemons(self) -> None:
         for daemons in (1, 6, 25, 70, 195, 400):
             for seed in range(20):
                 rng = random.Random(seed)
@@ -136,7 +136,7 @@
                 canary_requests = 0
                 for sent in range(1, 3000):
                     if sent == 700:
-                        # All of them start anew and know nothing.
+                        # All daemons restart and lose their state.
                         budgets = [
                             share.CanaryBudget(rng, daemons)
                             for _ in range(daemons)
@@ -149,7 +149,7 @@
                         canary_requests, bound, (daemons, seed, sent)
                     )
 
-    def test_a_daemon_that_sends_little_takes_its_part_too(self) -> None:
+    def test_a_daemon_with_few_requests_sends_canaries_too(self) -> None:
         rng = random.Random(1)
         canary_requests = 0
         for _ in range(400):
@@ -157,6 +157,6 @@
             for _ in range(5):
                 one.earn()
                 canary_requests += one.try_spend()
-        # 400 daemons with 5 requests each: 0.08 of them, and 20.
+        # 400 daemons with 5 requests each: 0.08 of 2,000, and 20 more.
         self.assertGreater(canary_requests, 120)
         self.assertLess(canary_requests, 250)
