--- a/packages/daemon/src/martenquay_daemon/rollouts/tallies.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/tallies.py
@@ -42,7 +42,7 @@
             self.log_squares + other.log_squares,
         )
 
-    def note(self, latency_s: float | None) -> OutcomeTally:
+    def with_answer(self, latency_s: float | None) -> OutcomeTally:
         """Return the tally with one more answer.
 
         Args:
@@ -130,7 +130,7 @@
         trial = self._own.get(service)
         if trial is None or trial.order != order:
             trial = Trial(order)
-        outcome = OutcomeTally().note(latency_s)
+        outcome = OutcomeTally().with_answer(latency_s)
         tally = RouteTally(new=outcome) if is_new else RouteTally(old=outcome)
         self._own[service] = trial.add(Trial(order, {route: tally}))
 
--- a/packages/daemon/src/martenquay_daemon/rollouts/versions.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/versions.py
@@ -7,7 +7,7 @@
 import trio
 
 from martenquay_core import logs
-from martenquay_daemon.rollouts import registry, share
+from martenquay_daemon.rollouts import canary_budget, registry
 
 if TYPE_CHECKING:
     import random
@@ -38,7 +38,7 @@
         self._is_log_reachable = is_log_reachable
         self._count_daemons = count_daemons
         self._rng = rng
-        self._budgets: dict[tuple[str, int], share.CanaryBudget] = {}
+        self._budgets: dict[tuple[str, int], canary_budget.CanaryBudget] = {}
         # Serving versions by service, and when other versions were first seen.
         self._known_versions: dict[str, set[str]] = {}
         self._new_since: dict[tuple[str, str], float] = {}
@@ -105,10 +105,12 @@
         ]
         return old, [one for one in usable if one.software == version]
 
-    def _find_budget(self, service: str, order: int) -> share.CanaryBudget:
+    def _find_budget(
+        self, service: str, order: int
+    ) -> canary_budget.CanaryBudget:
         key = (service, order)
         if key not in self._budgets:
-            self._budgets[key] = share.CanaryBudget(
+            self._budgets[key] = canary_budget.CanaryBudget(
                 self._rng, self._count_daemons()
             )
         return self._budgets[key]
--- a/tests/test_rollouts/test_versions.py
+++ b/tests/test_rollouts/test_versions.py
@@ -7,7 +7,7 @@
 import trio
 
 from martenquay_core.serving import rollouts, runners
-from martenquay_daemon.rollouts import registry, share, versions
+from martenquay_daemon.rollouts import canary_budget, registry, versions
 from tests import clocked
 from tests import serving_builders as builders
 
@@ -131,14 +131,15 @@
             for seed in range(20):
                 rng = random.Random(seed)
                 budgets = [
-                    share.CanaryBudget(rng, daemons) for _ in range(daemons)
+                    canary_budget.CanaryBudget(rng, daemons)
+                    for _ in range(daemons)
                 ]
                 canary_requests = 0
                 for sent in range(1, 3000):
                     if sent == 700:
                         # All daemons restart and lose their state.
                         budgets = [
-                            share.CanaryBudget(rng, daemons)
+                            canary_budget.CanaryBudget(rng, daemons)
                             for _ in range(daemons)
                         ]
                     one = rng.choice(budgets)
@@ -153,7 +154,7 @@
         rng = random.Random(1)
         canary_requests = 0
         for _ in range(400):
-            one = share.CanaryBudget(rng, 400)
+            one = canary_budget.CanaryBudget(rng, 400)
             for _ in range(5):
                 one.earn()
                 canary_requests += one.try_spend()
