--- a/packages/daemon/src/martenquay_daemon/forwarding/trial_notes.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/trial_notes.py
@@ -41,7 +41,7 @@
         if rollout is None or rollout.phase.is_final:
             self._trials.forget(current.service)
             return
-        if not self._chooser.has_begun(current.service, rollout.offset):
+        if not self._chooser.has_seen_canary(current.service, rollout.offset):
             return
         if not _tells_of_version(current, result):
             return
--- a/packages/daemon/src/martenquay_daemon/rollouts/versions.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/versions.py
@@ -66,7 +66,7 @@
             return new
         return new if new and budget.try_spend() else old
 
-    def has_begun(self, service: str, order: int) -> bool:
+    def has_seen_canary(self, service: str, order: int) -> bool:
         """Return whether this daemon has had runners of an order's version.
 
         Answers of old runners from before then belong to another period and
--- a/tests/rollout_days.py
+++ b/tests/rollout_days.py
@@ -158,7 +158,7 @@
         self._outcome.canary_requests += is_new
         if not is_new:
             self._old_requests_end_at.append(now + 2.0 * self._rng.random())
-        if self._choosers[number].has_begun(_SERVICE, 7):
+        if self._choosers[number].has_seen_canary(_SERVICE, 7):
             table = self._tables[number]
             table.note(_SERVICE, 7, route, latency_s, is_new=is_new)
 
