--- a/bench/rollouts.py
+++ b/bench/rollouts.py
@@ -79,7 +79,7 @@
     )
     played = [
         rollout_days.play_day(
-            rollout_days.RolloutDay(
+            rollout_days.RolloutScenario(
                 version,
                 daemons=daemons,
                 requests_per_s=rate,
--- a/tests/rollout_days.py
+++ b/tests/rollout_days.py
@@ -15,7 +15,7 @@
 )
 from tests import serving_builders as builders
 
-__all__ = ["RolloutOutcome", "RolloutDay", "Version", "play_day"]
+__all__ = ["RolloutOutcome", "RolloutScenario", "Version", "play_day"]
 
 _SERVICE = "model"
 _ROUTES = ("r-long", "r-short", "r-chat")
@@ -52,7 +52,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class RolloutDay:
+class RolloutScenario:
     """An order and its surroundings.
 
     Attributes:
@@ -102,13 +102,13 @@
         return max(0.0, self.canary_requests - 0.1 * self.requests - 50)
 
 
-def play_day(scenario: RolloutDay) -> RolloutOutcome:
+def play_day(scenario: RolloutScenario) -> RolloutOutcome:
     """Simulate a rollout; needs a trio clock but takes no time of it."""
     return _Simulation(scenario).run()
 
 
 class _Simulation:
-    def __init__(self, scenario: RolloutDay) -> None:
+    def __init__(self, scenario: RolloutScenario) -> None:
         self._scenario = scenario
         self._rng = random.Random(scenario.seed)
         self._outcome = RolloutOutcome()
--- a/tests/test_rollouts/test_judging.py
+++ b/tests/test_rollouts/test_judging.py
@@ -22,7 +22,7 @@
         async def scenario() -> None:
             for seed in _SEEDS:
                 for daemons in _FLEETS:
-                    day = rollout_days.RolloutDay(
+                    day = rollout_days.RolloutScenario(
                         version, daemons=daemons, seed=seed, **changes
                     )
                     played.append(rollout_days.play_day(day))
