--- a/bench/rollouts.py
+++ b/bench/rollouts.py
@@ -78,7 +78,7 @@
         else registry.Phase.COMPLETED
     )
     played = [
-        rollout_days.play_day(
+        rollout_days.simulate_rollout(
             rollout_days.RolloutScenario(
                 version,
                 daemons=daemons,
--- a/tests/rollout_days.py
+++ b/tests/rollout_days.py
@@ -15,7 +15,7 @@
 )
 from tests import serving_builders as builders
 
-__all__ = ["RolloutOutcome", "RolloutScenario", "Version", "play_day"]
+__all__ = ["RolloutOutcome", "RolloutScenario", "Version", "simulate_rollout"]
 
 _SERVICE = "model"
 _ROUTES = ("r-long", "r-short", "r-chat")
@@ -102,7 +102,7 @@
         return max(0.0, self.canary_requests - 0.1 * self.requests - 50)
 
 
-def play_day(scenario: RolloutScenario) -> RolloutOutcome:
+def simulate_rollout(scenario: RolloutScenario) -> RolloutOutcome:
     """Simulate a rollout; needs a trio clock but takes no time of it."""
     return _Simulation(scenario).run()
 
--- a/tests/test_rollouts/test_judging.py
+++ b/tests/test_rollouts/test_judging.py
@@ -25,7 +25,7 @@
                     day = rollout_days.RolloutScenario(
                         version, daemons=daemons, seed=seed, **changes
                     )
-                    played.append(rollout_days.play_day(day))
+                    played.append(rollout_days.simulate_rollout(day))
 
         self.run_clocked(scenario)
         return played
