--- a/bench/rollouts.py
+++ b/bench/rollouts.py
@@ -13,7 +13,7 @@
 import trio
 import trio.testing
 from absl import app, flags
-from tests import rollout_days
+from tests import rollout_simulation
 
 from bench import figures
 from martenquay_daemon.rollouts import registry
@@ -22,20 +22,20 @@
 _DAEMONS = (6, 25, 70, 195)
 _RATES = (20.0, 65.0, 200.0, 400.0)
 _VERSIONS = {
-    "good": rollout_days.Version(),
-    "fails 0.05": rollout_days.Version(failures=0.05),
-    "fails 0.1": rollout_days.Version(failures=0.1),
-    "fails 0.2": rollout_days.Version(failures=0.2),
-    "fails 0.5": rollout_days.Version(failures=0.5),
-    "fails always": rollout_days.Version(failures=0.99),
-    "slow 3 times": rollout_days.Version(slowness=3.0),
-    "slow 8 times": rollout_days.Version(slowness=8.0),
-    "fails 0.5 after 3 s": rollout_days.Version(failures=0.5, from_s=3.0),
-    "fails 0.5 after 5 s": rollout_days.Version(failures=0.5, from_s=5.0),
-    "fails 0.5 on a route": rollout_days.Version(
+    "good": rollout_simulation.Version(),
+    "fails 0.05": rollout_simulation.Version(failures=0.05),
+    "fails 0.1": rollout_simulation.Version(failures=0.1),
+    "fails 0.2": rollout_simulation.Version(failures=0.2),
+    "fails 0.5": rollout_simulation.Version(failures=0.5),
+    "fails always": rollout_simulation.Version(failures=0.99),
+    "slow 3 times": rollout_simulation.Version(slowness=3.0),
+    "slow 8 times": rollout_simulation.Version(slowness=8.0),
+    "fails 0.5 after 3 s": rollout_simulation.Version(failures=0.5, from_s=3.0),
+    "fails 0.5 after 5 s": rollout_simulation.Version(failures=0.5, from_s=5.0),
+    "fails 0.5 on a route": rollout_simulation.Version(
         failures=0.5, routes=("r-chat",)
     ),
-    "slow 5 times on a route": rollout_days.Version(
+    "slow 5 times on a route": rollout_simulation.Version(
         slowness=5.0, routes=("r-chat",)
     ),
 }
@@ -78,8 +78,8 @@
         else registry.Phase.COMPLETED
     )
     played = [
-        rollout_days.simulate_rollout(
-            rollout_days.RolloutScenario(
+        rollout_simulation.simulate_rollout(
+            rollout_simulation.RolloutScenario(
                 version,
                 daemons=daemons,
                 requests_per_s=rate,
--- a/tests/test_rollouts/test_judging.py
+++ b/tests/test_rollouts/test_judging.py
@@ -9,29 +9,32 @@
 
 from martenquay_daemon.fleet import trial_lines
 from martenquay_daemon.rollouts import plan, registry, tallies, verdict
-from tests import clocked, rollout_days
+from tests import clocked, rollout_simulation
 
 _SEEDS = range(12)
 _FLEETS = (6, 70, 195)
 
 
 class SimulatedRolloutsTest(clocked.ClockedTestCase):
-    def _simulate(self, version: rollout_days.Version, **changes) -> list:
+    def _simulate(self, version: rollout_simulation.Version, **changes) -> list:
         played = []
 
         async def scenario() -> None:
             for seed in _SEEDS:
                 for daemons in _FLEETS:
-                    day = rollout_days.RolloutScenario(
+                    day = rollout_simulation.RolloutScenario(
                         version, daemons=daemons, seed=seed, **changes
                     )
-                    played.append(rollout_days.simulate_rollout(day))
+                    played.append(rollout_simulation.simulate_rollout(day))
 
         self.run_clocked(scenario)
         return played
 
     def _expect_end(
-        self, phase: registry.Phase, version: rollout_days.Version, **changes
+        self,
+        phase: registry.Phase,
+        version: rollout_simulation.Version,
+        **changes,
     ) -> None:
         for one in self._simulate(version, **changes):
             self.assertIs(phase, one.phase, one.why)
@@ -39,7 +42,7 @@
                 self.assertEqual(0.0, one.find_excess(), one)
 
     def test_good_versions_complete(self) -> None:
-        good = rollout_days.Version()
+        good = rollout_simulation.Version()
         for rate in (20.0, 65.0, 200.0):
             self._expect_end(
                 registry.Phase.COMPLETED, good, requests_per_s=rate
@@ -48,31 +51,31 @@
     def test_good_versions_complete_despite_failures_of_both_versions(
         self,
     ) -> None:
-        good = rollout_days.Version()
+        good = rollout_simulation.Version()
         self._expect_end(registry.Phase.COMPLETED, good, crash_at_s=6.0)
 
     def test_good_versions_complete_despite_a_restart_of_all_daemons(
         self,
     ) -> None:
-        good = rollout_days.Version()
+        good = rollout_simulation.Version()
         self._expect_end(registry.Phase.COMPLETED, good, restart_at_s=6.0)
 
     def test_versions_that_fail_are_rolled_back(self) -> None:
         for failures in (0.2, 0.5, 0.99):
-            bad = rollout_days.Version(failures=failures)
+            bad = rollout_simulation.Version(failures=failures)
             self._expect_end(registry.Phase.ROLLED_BACK, bad)
 
     def test_versions_that_fail_on_one_route_are_rolled_back(self) -> None:
-        bad = rollout_days.Version(failures=0.5, routes=("r-chat",))
+        bad = rollout_simulation.Version(failures=0.5, routes=("r-chat",))
         self._expect_end(registry.Phase.ROLLED_BACK, bad)
 
     def test_slow_versions_are_rolled_back(self) -> None:
         for slowness in (3.0, 8.0):
-            bad = rollout_days.Version(slowness=slowness)
+            bad = rollout_simulation.Version(slowness=slowness)
             self._expect_end(registry.Phase.ROLLED_BACK, bad)
 
     def test_versions_that_turn_bad_later_are_rolled_back(self) -> None:
-        bad = rollout_days.Version(failures=0.5, from_s=3.0)
+        bad = rollout_simulation.Version(failures=0.5, from_s=3.0)
         self._expect_end(registry.Phase.ROLLED_BACK, bad)
 
 
