--- a/packages/daemon/src/martenquay_daemon/duties/capacity_controller.py
+++ b/packages/daemon/src/martenquay_daemon/duties/capacity_controller.py
@@ -36,6 +36,7 @@
 # The first capacity plan waits until the directory has listed the runners; from
 # a partial list it would order too few.
 _START_DELAY_S = 3.4
+# Remaining lease time needed to start a call, so that it ends within the lease.
 _MIN_LEASE_S = 0.5
 # A refusal counts as a shortage until the refused order has been retried.
 _REFUSAL_VALID_S = 2.5
--- a/packages/daemon/src/martenquay_daemon/duties/usage_reporter.py
+++ b/packages/daemon/src/martenquay_daemon/duties/usage_reporter.py
@@ -1,4 +1,4 @@
-"""Report the usage of each window to the platform exactly once.
+"""Report each window's usage to the platform, unchanged if repeated.
 
 Reports are written to the log before they are sent, so that a successor that
 doesn't know whether a report arrived repeats the same figures.
@@ -24,7 +24,7 @@
 
 _LOG = logs.create_log("usage")
 _POLL_INTERVAL_S = 0.25
-# The lease must stay valid this long for a call to start.
+# Remaining lease time needed to start a call, so that it ends within the lease.
 _MIN_LEASE_S = 0.5
 # Covers the gossip interval, so that the last requests of a window are
 # included.
--- a/packages/daemon/src/martenquay_daemon/rollouts/controller.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/controller.py
@@ -28,7 +28,8 @@
 # A bad version keeps getting requests until it is rolled back, so this bounds
 # how many it fails.
 _RECONCILE_INTERVAL_S = 0.25
-# The lease must stay valid this long for a log call to start.
+# Remaining lease time needed to start a log call, so that it ends within the
+# lease.
 _MIN_LEASE_S = 0.5
 _MS_PER_S = 1000
 
--- a/tests/test_duties/test_capacity.py
+++ b/tests/test_duties/test_capacity.py
@@ -1,4 +1,4 @@
-"""Guard against too few runners after a reclaim, and against dear ones."""
+"""Guard against too few runners after a reclaim and needless on-demand ones."""
 
 from __future__ import annotations
 
--- a/tests/test_duties/test_capacity_controller.py
+++ b/tests/test_duties/test_capacity_controller.py
@@ -276,7 +276,8 @@
         async def scenario() -> None:
             await self._send_prompts_at_known_speed(30.0, 35_000.0)
             before = await find_most()
-            # Engines prefill 13,000 tokens a second; the limits are a tenth.
+            # Engines prefill 13,000 tokens a second; the two limited ones
+            # accept a tenth of it.
             self.assertGreater(await find_most(1, 2), before)
 
         self._run(scenario)
--- a/tests/test_rollouts/test_controller.py
+++ b/tests/test_rollouts/test_controller.py
@@ -85,8 +85,8 @@
     def record_answers(self, count: int, *, failures: int = 0) -> None:
         """Record answers of the new version, and as many of the old one."""
         for number in range(count):
-            took_s = None if number < failures else 0.2
-            self.trials.note("model", 0, "r", took_s, is_new=True)
+            latency_s = None if number < failures else 0.2
+            self.trials.note("model", 0, "r", latency_s, is_new=True)
             self.trials.note("model", 0, "r", 0.2, is_new=False)
 
 
--- a/tests/test_rollouts/test_judging.py
+++ b/tests/test_rollouts/test_judging.py
@@ -125,10 +125,10 @@
         rng = random.Random(seed)
         table = tallies.TallyTable()
         for _ in range(30):
-            took_s = None if rng.random() < 0.2 else rng.random()
+            latency_s = None if rng.random() < 0.2 else rng.random()
             route = rng.choice(["r-1", "r-2"])
             is_new = rng.random() < 0.5
-            table.note("model", 7, route, took_s, is_new=is_new)
+            table.note("model", 7, route, latency_s, is_new=is_new)
         return table
 
     def test_gossiped_tallies_add_up_to_the_counted_ones(self) -> None:
