--- a/packages/daemon/src/martenquay_daemon/duties/lease.py
+++ b/packages/daemon/src/martenquay_daemon/duties/lease.py
@@ -1,11 +1,11 @@
-"""Hold the lease under which one daemon acts for all.
-
-The lease is a topic of the platform's log. Each record is appended on the
-condition that the topic still ends where the writer knows it to end, so of
-two daemons that want the lease only one gets it. The fence is the place of
-the record by which it was taken, so it rises with each change of holder. The
-holder counts its time from before it sent the record, everybody else from
-when they read it, or from when the holder told them what is left of it.
+"""Acquire and renew the lease that lets one daemon act for the fleet.
+
+The lease is a topic of the platform's log. A record is appended only if the
+topic still ends where the writer last saw it, so only one of several candidates
+succeeds. The fencing token ("fence") is derived from the offset of the record
+that acquired the lease, so it grows with each holder. The holder counts the
+lease from before it sent the record; other daemons count it from when they
+read the record, or from the remaining time that the holder gossips.
 """
 
 from __future__ import annotations
@@ -25,31 +25,32 @@
     from martenquay_core.serving import ports
     from martenquay_daemon.fleet import view
 
-__all__ = ["Lease", "LeaseTerms", "create_lease"]
+__all__ = ["Lease", "LeaseTiming", "create_lease"]
 
 _LOG = logs.create_log("lease")
-_POLL_S = 0.2
-# Candidates try one after the other, so that the log is asked once.
-_TURN_S = 0.15
-# Before it looks into the log, each waits so long for each one before it.
-_LOOK_S = 0.1
-_MOST_TURNS = 30
-_START_SPREAD_S = 1.0
-_STEPS = 1000
-_WATCH_S = 0.5
-_MS = 1000
+_RETRY_DELAY_S = 0.2
+# Delay per rank between candidates, so that they don't all append at once.
+_ACQUIRE_STAGGER_S = 0.15
+# Delay per rank before a candidate reads the log, so that most hear of the new
+# holder by gossip instead.
+_READ_STAGGER_S = 0.1
+_MAX_RANK = 30
+_START_JITTER_S = 1.0
+_JITTER_STEPS = 1000
+_CHECK_INTERVAL_S = 0.5
+_MS_PER_S = 1000
 _Kind = lease_topic.RecordKind
 
 
 @dataclasses.dataclass(frozen=True)
-class LeaseTerms:
+class LeaseTiming:
     """Times of a lease.
 
     Attributes:
-        length_s: For which the holder may act after it wrote a record.
-        renew_s: Between two records of the holder.
-        margin_s: The holder stops this long before, and a successor waits
-            this much longer, for clocks that run apart and late timers.
+        length_s: How long the holder may act after it wrote a record.
+        renew_s: Interval between two renewals.
+        margin_s: The holder stops this much earlier and a successor waits this
+            much longer, to allow for clock drift and late timers.
     """
 
     length_s: float
@@ -58,10 +59,10 @@
 
 
 class Lease:
-    """One daemon's side of the lease.
+    """One daemon's view of the lease.
 
     Attributes:
-        fence: The fence while it is held here, else 0.
+        fence: The fencing token while the lease is held here, else 0.
     """
 
     def __init__(
@@ -70,129 +71,136 @@
         topic: str,
         member: str,
         instance: str,
-        terms: LeaseTerms,
+        timing: LeaseTiming,
         fleet: view.FleetView,
     ) -> None:
         self.fence = 0
-        self._name = topic
+        self._topic_name = topic
         self._member = member
         self._instance = instance
-        self._terms = terms
+        self._timing = timing
         self._view = fleet
         self._topic = lease_topic.LeaseTopic(log, topic, member, instance)
         self._valid_until = -math.inf
-        # The topic's end that belongs to that time.
-        self._valid_end = 0
-        self._told_by = ""
-        self._told_free_at = -math.inf
+        # Offset of the topic's end when `_valid_until` was last extended.
+        self._valid_end_offset = 0
+        self._gossiped_by = ""
+        self._gossiped_free_at = -math.inf
         self._started_at = trio.current_time()
         self._is_stopping = False
 
     def is_held(self, needed_s: float = 0.0) -> bool:
-        """Tell whether this daemon may act for so long from now on."""
+        """Return whether the lease is held here for at least `needed_s`."""
         now = trio.current_time()
         return self.fence > 0 and now + needed_s < self._valid_until
 
     def is_next(self) -> bool:
-        """Tell whether nobody is known to hold it and this daemon is first."""
-        is_free = not self.fence and self._told_free_at <= trio.current_time()
+        """Return whether the lease seems free and this daemon ranks first."""
+        is_free = (
+            not self.fence and self._gossiped_free_at <= trio.current_time()
+        )
         return is_free and not self._is_stopping and self._find_rank() == 0
 
     def create_status(self) -> messages.LeaseStatus | None:
-        """Return what to tell candidates; None if it is not held here."""
+        """Return the status to gossip; None if the lease is not held here."""
         if not self.is_held():
             return None
         left_s = self._valid_until - trio.current_time()
         return messages.LeaseStatus(
-            self.fence, self._valid_end, int(left_s * _MS)
+            self.fence, self._valid_end_offset, int(left_s * _MS_PER_S)
         )
 
     def apply_status(
         self,
         member: str,
-        news: messages.LeaseStatus | None,
+        status: messages.LeaseStatus | None,
         *,
         is_leaving: bool,
     ) -> None:
-        """Take what another daemon tells of the lease."""
-        if news is None:
-            if member == self._told_by and is_leaving:
-                # It has released the lease, or is about to.
-                self._told_free_at = -math.inf
-                self._topic.is_told = False
+        """Process the lease status that another daemon gossips."""
+        if status is None:
+            if member == self._gossiped_by and is_leaving:
+                # A draining holder releases the lease, so candidates need not
+                # wait for it to expire.
+                self._gossiped_free_at = -math.inf
+                self._topic.is_end_gossiped = False
             return
-        if self.fence or news.end < self._topic.end:
+        if self.fence or status.end < self._topic.end:
             return
-        if news.end > self._topic.end or self._topic.is_told:
-            self._topic.skip_to(news.end, news.fence)
-        # A slow way of the news only makes this later than it need be.
-        left_s = news.left_ms / _MS + 2 * self._terms.margin_s
-        self._told_by = member
-        self._told_free_at = trio.current_time() + left_s
+        if status.end > self._topic.end or self._topic.is_end_gossiped:
+            self._topic.skip_to(status.end, status.fence)
+        # Slow gossip only makes this time later than necessary.
+        left_s = status.left_ms / _MS_PER_S + 2 * self._timing.margin_s
+        self._gossiped_by = member
+        self._gossiped_free_at = trio.current_time() + left_s
 
     async def run(self) -> None:
-        """Take, keep and lose the lease until cancelled."""
-        # Daemons that start together do not know of each other yet.
-        score = rendezvous.score_candidate(self._name, self._instance)
-        await trio.sleep(score % _STEPS / _STEPS * _START_SPREAD_S)
+        """Acquire, renew and lose the lease until cancelled."""
+        # Daemons that start together don't know each other's rank yet; without
+        # jitter all would append at once.
+        score = rendezvous.score_candidate(self._topic_name, self._instance)
+        await trio.sleep(
+            score % _JITTER_STEPS / _JITTER_STEPS * _START_JITTER_S
+        )
         while True:
             if self.fence:
-                await self._keep()
+                await self._renew()
             else:
-                await self._wait_for_turn()
+                await self._wait_to_acquire()
 
     async def release(self) -> None:
-        """Give the lease up before a planned stop."""
+        """Release the lease before a planned stop."""
         self._is_stopping = True
         if not self.is_held():
             return
         fence = self.fence
-        self._lose("given up for a planned stop")
+        self._drop("given up for a planned stop")
         await self._topic.append(_Kind.RELEASED, fence)
 
-    async def _keep(self) -> None:
-        """Renew once and wait until it is time for the next."""
+    async def _renew(self) -> None:
+        """Renew the lease once and wait until the next renewal is due."""
         started = trio.current_time()
         if started >= self._valid_until:
-            self._lose("it ran out before it could be renewed")
+            self._drop("it expired before it could be renewed")
             return
         if not await self._topic.append(_Kind.RENEWED, self.fence):
             await self._topic.read()
             last = self._topic.last
             if last is not None and last.member != self._member:
-                self._lose(f"{last.member} has it")
-            await trio.sleep(_POLL_S)
-        self._extend()
-        await trio.sleep_until(started + self._terms.renew_s)
+                self._drop(f"{last.member} holds it")
+            await trio.sleep(_RETRY_DELAY_S)
+        self._extend_validity()
+        await trio.sleep_until(started + self._timing.renew_s)
 
-    async def _wait_for_turn(self) -> None:
+    async def _wait_to_acquire(self) -> None:
         if self._is_stopping:
-            await trio.sleep(_WATCH_S)
+            await trio.sleep(_CHECK_INTERVAL_S)
             return
-        told_left_s = self._told_free_at - trio.current_time()
-        if told_left_s > 0:
-            await trio.sleep(min(told_left_s, _WATCH_S))
+        gossiped_left_s = self._gossiped_free_at - trio.current_time()
+        if gossiped_left_s > 0:
+            await trio.sleep(min(gossiped_left_s, _CHECK_INTERVAL_S))
             return
-        # Most daemons hear of the new holder before their turn to look.
-        await trio.sleep(min(self._find_rank(), _MOST_TURNS) * _LOOK_S)
-        if self._told_free_at > trio.current_time():
+        # Most candidates hear of a new holder by gossip during this delay and
+        # need not read the log.
+        await trio.sleep(min(self._find_rank(), _MAX_RANK) * _READ_STAGGER_S)
+        if self._gossiped_free_at > trio.current_time():
             return
-        # What a holder has told is as good as reading it: if the topic has
-        # grown since, the record that takes the lease is not written.
-        if not self._topic.is_told and not await self._topic.read():
-            await trio.sleep(_WATCH_S)
+        # A gossiped end replaces a read: if the topic has grown since, the
+        # conditional append fails.
+        if not self._topic.is_end_gossiped and not await self._topic.read():
+            await trio.sleep(_CHECK_INTERVAL_S)
             return
         now = trio.current_time()
-        free_at = self._find_free()
+        free_at = self._find_free_at()
         if now < free_at:
-            await trio.sleep(min(free_at - now, _WATCH_S))
+            await trio.sleep(min(free_at - now, _CHECK_INTERVAL_S))
             return
-        await trio.sleep(self._find_rank() * _TURN_S)
-        if self._told_free_at <= trio.current_time():
-            await self._take()
+        await trio.sleep(self._find_rank() * _ACQUIRE_STAGGER_S)
+        if self._gossiped_free_at <= trio.current_time():
+            await self._try_acquire()
 
-    async def _take(self) -> None:
-        told_by = self._told_by
+    async def _try_acquire(self) -> None:
+        gossiped_by = self._gossiped_by
         if not await self._topic.append(_Kind.TAKEN, 0):
             await self._topic.read()
         last = self._topic.last
@@ -203,51 +211,53 @@
         ):
             return
         self.fence = self._topic.fence
-        self._extend()
+        self._extend_validity()
         _LOG.write(
-            f"Taken with fence {self.fence}.",
+            f"Lease acquired with fence {self.fence}.",
             fence=self.fence,
-            told_by=told_by,
+            told_by=gossiped_by,
         )
 
-    def _extend(self) -> None:
-        """Count the lease from the sending of the last record, if it is ours.
+    def _extend_validity(self) -> None:
+        """Count the validity from when the last record was sent, if it is ours.
 
-        The record may be one whose answer was lost and that was done late;
-        then an earlier time than that of the last call counts.
+        The last record may be an earlier call's, whose answer was lost and
+        which took effect late; then that call's send time counts.
         """
         last = self._topic.last
         if self.fence and last is not None and last.member == self._member:
-            sent_at = self._topic.find_sent(last.number)
+            sent_at = self._topic.find_sent_at(last.number)
             self._valid_until = (
-                sent_at + self._terms.length_s - self._terms.margin_s
+                sent_at + self._timing.length_s - self._timing.margin_s
             )
-            self._valid_end = self._topic.end
+            self._valid_end_offset = self._topic.end
 
-    def _lose(self, reason: str) -> None:
-        _LOG.write(f"Fence {self.fence} ends: {reason}.", fence=self.fence)
+    def _drop(self, reason: str) -> None:
+        _LOG.write(
+            f"Lease with fence {self.fence} ended: {reason}.", fence=self.fence
+        )
         self.fence = 0
         self._valid_until = -math.inf
 
-    def _find_free(self) -> float:
-        """Return when the lease can be taken, in trio's time."""
+    def _find_free_at(self) -> float:
+        """Return when the lease may be acquired, in trio's time."""
         topic = self._topic
-        wait_s = self._terms.length_s + self._terms.margin_s
+        wait_s = self._timing.length_s + self._timing.margin_s
         if topic.end == 0:
             return -math.inf
-        # This instance may have held it just before it started anew.
-        own_free = self._started_at + wait_s
-        if topic.is_told:
-            return max(own_free, self._told_free_at)
+        # An earlier process of this instance may have held the lease.
+        own_free_at = self._started_at + wait_s
+        if topic.is_end_gossiped:
+            return max(own_free_at, self._gossiped_free_at)
         if topic.last is not None and topic.last.kind is _Kind.RELEASED:
-            return own_free
-        return max(own_free, topic.changed_at + wait_s)
+            return own_free_at
+        return max(own_free_at, topic.changed_at + wait_s)
 
     def _find_rank(self) -> int:
-        """Return this daemon's place among those that may want the lease."""
+        """Return this daemon's rank among the candidates for the lease."""
         if not self._view.is_candidate:
-            return _MOST_TURNS
-        key = f"{self._name} {self._topic.end}"
+            return _MAX_RANK
+        key = f"{self._topic_name} {self._topic.end}"
         ranked = rendezvous.rank_candidates(
             key, [*self._view.list_candidates(), self._instance]
         )
@@ -264,7 +274,7 @@
 ) -> Lease:
     """Return a lease that is not held yet.
 
-    It is renewed three times in its length; a sixth of it is kept as margin.
+    It is renewed three times per length; a sixth of the length is the margin.
     """
-    terms = LeaseTerms(length_s, length_s / 3, length_s / 6)
-    return Lease(log, topic, member, instance, terms, fleet)
+    timing = LeaseTiming(length_s, length_s / 3, length_s / 6)
+    return Lease(log, topic, member, instance, timing, fleet)
--- a/packages/daemon/src/martenquay_daemon/duties/lease_topic.py
+++ b/packages/daemon/src/martenquay_daemon/duties/lease_topic.py
@@ -1,4 +1,4 @@
-"""Read and write the topic of the platform's log that holds the lease."""
+"""Read and append the records of the lease topic in the platform's log."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 __all__ = ["LeaseRecord", "LeaseTopic", "RecordKind"]
 
 _LOG = logs.create_log("lease")
-# A record that was done late is at most a few calls old.
-_REMEMBERED = 50
+# Enough for appends whose answer was lost, which are a few calls old at most.
+_MAX_SENT_TIMES = 50
 
 
 class RecordKind(enum.IntEnum):
@@ -34,13 +34,13 @@
     """One record of the topic.
 
     Attributes:
-        kind: What it does.
+        kind: What the record does to the lease.
         member: The daemon that wrote it.
         instance: That daemon's instance.
-        fence: The holder's fence; 0 in a record that takes the lease, whose
-            place is the fence.
-        number: Counts the member's records: a late one must not count as a
-            new one.
+        fence: The holder's fencing token; 0 in a record that acquires the
+            lease, whose offset determines the token.
+        number: Sequence number of the member's records, which tells a late
+            append from a new one.
     """
 
     kind: RecordKind
@@ -51,14 +51,15 @@
 
 
 class LeaseTopic:
-    """What one daemon knows of the topic.
+    """One daemon's knowledge of the topic.
 
     Attributes:
-        end: The offset up to which it is known.
-        last: The last record; None if its content is not known.
-        fence: The fence of the last holder.
-        changed_at: When the last change was learnt, in trio's time.
-        is_told: The end was told by another daemon and not read here.
+        end: The offset up to which the topic is known.
+        last: The last record; None if its content is unknown.
+        fence: The last holder's fencing token.
+        changed_at: When this daemon learnt of the last change, in trio's time.
+        is_end_gossiped: `end` comes from another daemon's gossip and was not
+            read here.
     """
 
     def __init__(
@@ -68,28 +69,28 @@
         self.last: LeaseRecord | None = None
         self.fence = 0
         self.changed_at = -math.inf
-        self.is_told = False
+        self.is_end_gossiped = False
         self._log = log
         self._name = name
         self._member = member
         self._instance = instance
-        self._number = 0
+        self._last_number = 0
         self._sent_at: dict[int, float] = {}
 
-    def find_sent(self, number: int) -> float:
-        """Return when an own record was sent first, in trio's time."""
+    def find_sent_at(self, number: int) -> float:
+        """Return when an own record was sent, in trio's time."""
         return self._sent_at.get(number, -math.inf)
 
     def skip_to(self, end: int, fence: int) -> None:
-        """Take the topic's end from another daemon."""
+        """Adopt the topic's end from another daemon's gossip."""
         self.end = end
         self.last = None
         self.fence = fence
         self.changed_at = trio.current_time()
-        self.is_told = True
+        self.is_end_gossiped = True
 
     async def append(self, kind: RecordKind, fence: int) -> bool:
-        """Write a record if the topic still ends where it is known to."""
+        """Append a record if the topic still ends at `end`; return success."""
         record = self._create_record(kind, fence)
         written = await self._log.append(
             self._name,
@@ -98,26 +99,28 @@
         )
         match written:
             case Result(tag="ok", ok=done) if done.offset is not None:
-                self._note(record, done.offset)
+                self._apply_record(record, done.offset)
                 return True
             case Result(tag="ok"):
                 return False
             case _:
                 message = written.error.message
-                _LOG.write(f"A record may not be written: {message}.")
+                _LOG.write(
+                    f"Lease record may not have been written: {message}."
+                )
                 return False
 
     async def read(self) -> bool:
-        """Read to the topic's end; tell whether the log answered."""
+        """Read to the end of the topic; return whether the log answered."""
         while True:
             page = await self._log.read(self._name, self.end)
             match page:
                 case Result(tag="ok", ok=found):
                     pass
                 case _:
-                    _LOG.write(f"Not read: {page.error.message}.")
+                    _LOG.write(f"Lease topic not read: {page.error.message}.")
                     return False
-            self.is_told = False
+            self.is_end_gossiped = False
             if found.is_lost:
                 self.end = found.start
                 continue
@@ -125,34 +128,37 @@
                 try:
                     record = msgspec.msgpack.decode(payload, type=LeaseRecord)
                 except msgspec.MsgspecError as error:
-                    _LOG.write(f"Record {offset} cannot be read: {error}.")
-                    self._pass_over(offset)
+                    _LOG.write(
+                        f"Skipped lease record {offset}, which cannot be "
+                        f"decoded: {error}."
+                    )
+                    self._skip_record(offset)
                 else:
-                    self._note(record, offset)
+                    self._apply_record(record, offset)
             if self.end < found.end and not found.records:
                 self.end = found.end
             if self.end >= found.end:
                 return True
 
     def _create_record(self, kind: RecordKind, fence: int) -> LeaseRecord:
-        self._number += 1
-        self._sent_at[self._number] = trio.current_time()
-        self._sent_at.pop(self._number - _REMEMBERED, None)
+        self._last_number += 1
+        self._sent_at[self._last_number] = trio.current_time()
+        self._sent_at.pop(self._last_number - _MAX_SENT_TIMES, None)
         return LeaseRecord(
-            kind, self._member, self._instance, fence, self._number
+            kind, self._member, self._instance, fence, self._last_number
         )
 
-    def _pass_over(self, offset: int) -> None:
-        # Else it would be read for ever, and nobody could take the lease. It
-        # may be a holder's: what it did is not known.
+    def _skip_record(self, offset: int) -> None:
+        # Without skipping it, no daemon could ever acquire the lease. It may be
+        # a holder's record, so its effect is unknown.
         self.end = offset + 1
         self.last = None
         self.changed_at = trio.current_time()
 
-    def _note(self, record: LeaseRecord, offset: int) -> None:
+    def _apply_record(self, record: LeaseRecord, offset: int) -> None:
         is_taken = record.kind is RecordKind.TAKEN
         self.end = offset + 1
         self.last = record
         self.changed_at = trio.current_time()
         self.fence = offset + 1 if is_taken else record.fence
-        self.is_told = False
+        self.is_end_gossiped = False
--- a/tests/test_duties/test_capacity_controller.py
+++ b/tests/test_duties/test_capacity_controller.py
@@ -1,4 +1,4 @@
-"""Orders follow what serves, are not repeated in a loop, and need the lease."""
+"""Guard against missing, repeated and unleased orders of runners."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 _ENGINE = catalog.EngineTraits(slots=128, kv_tokens=260_000)
 
 
-class CapacityKeeperTest(clocked.ClockedTestCase):
+class CapacityControllerTest(clocked.ClockedTestCase):
     def _build(self) -> capacity_controller.CapacityController:
         self.cloud = cloud.MemoryCloud()
         self.records = builders.FakeRecords()
@@ -60,7 +60,7 @@
             )
         )
 
-    def _put(self, number: int, zone: str, **changes) -> None:
+    def _put_runner(self, number: int, zone: str, **changes) -> None:
         runner = builders.build_runner(
             id=f"r-{number}",
             service="model",
@@ -74,18 +74,20 @@
 
     def _run(self, scenario) -> None:
         async def run() -> None:
-            keeper = self._build()
+            controller = self._build()
             async with trio.open_nursery() as nursery:
                 for number, zone in enumerate("abcab", 1):
-                    self._put(number, zone)
+                    self._put_runner(number, zone)
                 nursery.start_soon(self.lease.run)
-                nursery.start_soon(keeper.run)
+                nursery.start_soon(controller.run)
                 await scenario()
                 nursery.cancel_scope.cancel()
 
         self.run_clocked(run)
 
-    def _find_last(self, zone: str, *, is_reclaimable: bool) -> int | None:
+    def _find_last_order(
+        self, zone: str, *, is_reclaimable: bool
+    ) -> int | None:
         found = [
             order.wanted
             for order in self.cloud.list_orders()
@@ -93,17 +95,17 @@
         ]
         return found[-1] if found else None
 
-    def test_cheap_runners_come_first_and_dear_ones_go_after(self) -> None:
+    def test_on_demand_runners_go_once_reclaimable_ones_serve(self) -> None:
         async def scenario() -> None:
             await trio.sleep(4.0)
-            self.assertEqual(3, self._find_last("a", is_reclaimable=True))
+            self.assertEqual(3, self._find_last_order("a", is_reclaimable=True))
             before = self.cloud.list_orders()
             self.assertEqual([], [o for o in before if o.wanted == 0])
             for number, zone in enumerate("aaabbbccc", 10):
-                self._put(number, zone, is_reclaimable=True)
+                self._put_runner(number, zone, is_reclaimable=True)
             await trio.sleep(2.0)
             for zone in "abc":
-                last = self._find_last(zone, is_reclaimable=False)
+                last = self._find_last_order(zone, is_reclaimable=False)
                 self.assertEqual(0, last)
 
         self._run(scenario)
@@ -122,7 +124,7 @@
 
         self._run(scenario)
 
-    def test_what_was_ordered_and_does_not_come_is_ordered_again(self) -> None:
+    def test_an_order_whose_runners_do_not_come_is_repeated(self) -> None:
         async def scenario() -> None:
             await trio.sleep(20.0)
             orders = [
@@ -135,15 +137,15 @@
         self._run(scenario)
 
     async def _lose_two_zones(self) -> None:
-        """Have nine reclaimable runners serve, then take those of a and b."""
+        """Start nine reclaimable runners, then drain those of zones a and b."""
         await trio.sleep(4.0)
         for number, zone in enumerate("aaabbbccc", 10):
-            self._put(number, zone, is_reclaimable=True)
+            self._put_runner(number, zone, is_reclaimable=True)
         await trio.sleep(6.0)
         for number in range(1, 6):
-            self._put(number, "abcab"[number - 1], is_leaving=True)
+            self._put_runner(number, "abcab"[number - 1], is_leaving=True)
         for number in range(10, 16):
-            self._put(
+            self._put_runner(
                 number,
                 "aaabbb"[number - 10],
                 is_reclaimable=True,
@@ -158,32 +160,32 @@
             if order.is_reclaimable == is_reclaimable
         ]
 
-    def test_lost_zones_bring_on_demand_runners_if_none_are_to_be_had(
+    def test_lost_zones_are_replaced_on_demand_without_reclaimable_supply(
         self,
     ) -> None:
         async def scenario() -> None:
             await self._lose_two_zones()
             self.cloud.has_reclaimable = False
             await trio.sleep(1.0)
-            dear = self._list_orders(is_reclaimable=False)
-            self.assertEqual(3, sum(wanted for _, wanted in dear))
+            on_demand = self._list_orders(is_reclaimable=False)
+            self.assertEqual(3, sum(wanted for _, wanted in on_demand))
 
         self._run(scenario)
 
-    def test_lost_zones_are_ordered_in_again_at_once_and_nothing_dearer(
+    def test_lost_zones_are_reordered_at_once_and_not_on_demand(
         self,
     ) -> None:
         async def scenario() -> None:
             await self._lose_two_zones()
             await trio.sleep(1.0)
-            cheap = self._list_orders(is_reclaimable=True)
-            self.assertEqual([("a", 3), ("b", 3)], cheap)
-            dear = self._list_orders(is_reclaimable=False)
-            self.assertEqual(0, sum(wanted for _, wanted in dear))
+            reclaimable = self._list_orders(is_reclaimable=True)
+            self.assertEqual([("a", 3), ("b", 3)], reclaimable)
+            on_demand = self._list_orders(is_reclaimable=False)
+            self.assertEqual(0, sum(wanted for _, wanted in on_demand))
 
         self._run(scenario)
 
-    def test_a_zone_without_any_runner_left_is_still_ordered_in(self) -> None:
+    def test_a_zone_without_any_runner_stays_orderable(self) -> None:
         async def scenario() -> None:
             await self._lose_two_zones()
             for number in (1, 2, 3, 4, 5, 10, 11, 12):
@@ -191,12 +193,12 @@
                     ports.KeyedRecord(99, f"r-{number}", None)
                 )
             await trio.sleep(1.0)
-            cheap = self._list_orders(is_reclaimable=True)
-            self.assertEqual([("a", 3), ("b", 3)], cheap)
+            reclaimable = self._list_orders(is_reclaimable=True)
+            self.assertEqual([("a", 3), ("b", 3)], reclaimable)
 
         self._run(scenario)
 
-    def test_on_demand_runners_that_boot_are_not_ordered_elsewhere(
+    def test_booting_on_demand_runners_are_not_ordered_again(
         self,
     ) -> None:
         async def scenario() -> None:
@@ -204,7 +206,7 @@
             self.cloud.has_reclaimable = False
             await trio.sleep(1.0)
             self.cloud.received.clear()
-            # Meanwhile the entries of those that left lapse.
+            # The entries of the drained runners expire.
             for number in (1, 2, 3, 4, 5, 10, 11, 12, 13, 14, 15):
                 self.directory.apply_change(
                     ports.KeyedRecord(99, f"r-{number}", None)
@@ -214,91 +216,93 @@
 
         self._run(scenario)
 
-    def test_what_is_promised_in_a_zone_that_is_taken_back_is_not_relied_on(
+    def test_an_order_in_a_reclaimed_zone_does_not_count(
         self,
     ) -> None:
-        """More had been ordered in a zone, and then all of it went.
-
-        The order counted as booting until it was 2.5 s overdue, with all that
-        the zone had lost: for 6 s no on-demand runner was bought, the other
-        zones went too, and callers found no runner at all for three seconds.
-        """
+        """A pending order there would delay on-demand runners for seconds."""
 
         async def scenario() -> None:
             await trio.sleep(4.0)
             for number, zone in enumerate("aaabbbccc", 10):
-                self._put(number, zone, is_reclaimable=True)
-            await self._teach_and_load(3.0, 20_000.0)
-            self._teach(20_000.0)
-            await self._load(1.5, 200_000.0)
-            risen = self._find_last("a", is_reclaimable=True)
+                self._put_runner(number, zone, is_reclaimable=True)
+            await self._send_prompts_at_known_speed(3.0, 20_000.0)
+            self._report_prefill_speed(20_000.0)
+            await self._send_prompts(1.5, 200_000.0)
+            risen = self._find_last_order("a", is_reclaimable=True)
             self.assertGreater(risen, 3)
             for number in range(1, 6):
-                self._put(number, "abcab"[number - 1], is_leaving=True)
+                self._put_runner(number, "abcab"[number - 1], is_leaving=True)
             for number in range(10, 13):
-                self._put(number, "a", is_reclaimable=True, is_leaving=True)
+                self._put_runner(
+                    number, "a", is_reclaimable=True, is_leaving=True
+                )
             self.cloud.has_reclaimable = False
             self.cloud.received.clear()
             await trio.sleep(3.0)
-            dear = self._list_orders(is_reclaimable=False)
-            self.assertGreater(sum(wanted for _, wanted in dear), 0)
+            on_demand = self._list_orders(is_reclaimable=False)
+            self.assertGreater(sum(wanted for _, wanted in on_demand), 0)
 
         self._run(scenario)
 
-    async def _teach_and_load(self, seconds: float, rate: float) -> None:
-        self._teach(20_000.0)
-        await self._load(seconds, rate)
+    async def _send_prompts_at_known_speed(
+        self, seconds: float, rate: float
+    ) -> None:
+        self._report_prefill_speed(20_000.0)
+        await self._send_prompts(seconds, rate)
 
-    async def _load(self, seconds: float, tokens_per_s: float) -> None:
-        """Have callers bring prompts for engines to read."""
+    async def _send_prompts(self, seconds: float, tokens_per_s: float) -> None:
+        """Have callers send prompts."""
         for _ in range(int(seconds * 10)):
             self.meter.note("model", round(tokens_per_s / 10))
             await trio.sleep(0.1)
 
-    def _teach(self, tokens_per_s: float) -> None:
-        """Have results show how fast engines read."""
+    def _report_prefill_speed(self, tokens_per_s: float) -> None:
+        """Report first events that show the engines' prefill speed."""
         for number in range(100):
             own = 500 + 90 * number
             result = model.FirstEvent(own, own, 0.05 + own / tokens_per_s)
             self.estimates.note_first_event("model", result)
 
-    def test_an_engine_that_takes_little_is_made_up_for(self) -> None:
+    def test_rate_limited_runners_are_compensated(self) -> None:
         async def find_most(*limited: int) -> int:
             for number in limited:
                 runner = self.directory.find(f"r-{number}")
-                told = signals.RunnerSignals(limit_per_s=0.1)
-                self.limits.note_answer(runner, told, trio.current_time())
+                signal = signals.RunnerSignals(limit_per_s=0.1)
+                self.limits.note_answer(runner, signal, trio.current_time())
             self.cloud.received.clear()
-            await self._teach_and_load(3.0, 35_000.0)
+            await self._send_prompts_at_known_speed(3.0, 35_000.0)
             return max(o.wanted for o in self.cloud.list_orders())
 
         async def scenario() -> None:
-            await self._teach_and_load(30.0, 35_000.0)
+            await self._send_prompts_at_known_speed(30.0, 35_000.0)
             before = await find_most()
-            # Engines read 13,000 tokens a second: the two take a tenth of it.
+            # Engines prefill 13,000 tokens a second; the two limited ones
+            # accept a tenth of it.
             self.assertGreater(await find_most(1, 2), before)
 
         self._run(scenario)
 
-    def test_what_is_only_assumed_of_engines_buys_none(self) -> None:
+    def test_an_assumed_prefill_speed_orders_no_additional_runners(
+        self,
+    ) -> None:
         async def scenario() -> None:
-            await self._load(25.0, 200_000.0)
+            await self._send_prompts(25.0, 200_000.0)
             wanted = [o.wanted for o in self.cloud.list_orders()]
-            # Five serve: with one zone's gone, two more than that remain.
+            # Five serve; three per zone keep six when one zone is lost.
             self.assertEqual(3, max(wanted))
 
         self._run(scenario)
 
-    def test_fast_engines_are_not_bought_as_if_they_were_slow(self) -> None:
+    def test_faster_engines_need_fewer_runners(self) -> None:
         async def find_most(tokens_per_s: float) -> int:
             self.cloud.received.clear()
             for _ in range(5):
-                self._teach(tokens_per_s)
-                await self._load(5.0, 120_000.0)
+                self._report_prefill_speed(tokens_per_s)
+                await self._send_prompts(5.0, 120_000.0)
             return max(o.wanted for o in self.cloud.list_orders())
 
         async def scenario() -> None:
-            await self._load(16.0, 1000.0)
+            await self._send_prompts(16.0, 1000.0)
             fast = await find_most(150_000.0)
             slow = await find_most(20_000.0)
             self.assertLess(fast, slow)
