--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -283,29 +283,29 @@
     Mutation(
         "a limit has few holders",
         f"{DAEMON}/backpressure/send_shares.py",
-        "    if place.rank < holders:",
-        "    if place.rank < daemons:",
+        "    if sender.rank < holders:",
+        "    if sender.rank < daemons:",
         f"{_BACKPRESSURE}.test_send_shares",
     ),
     Mutation(
         "a slot that was not used is gone",
         f"{DAEMON}/backpressure/runner_limits.py",
-        "    within_s = past_s % slot.period_s",
-        "    within_s = 0.0",
+        "    into_period_s = elapsed_s % slot.period_s",
+        "    into_period_s = 0.0",
         f"{_BACKPRESSURE}.test_runner_limits.RunnerLimitsTest",
     ),
     Mutation(
         "an overtaken answer ends no limit",
         f"{DAEMON}/backpressure/limit_reports.py",
-        "    if word.sent_at >= known.heard_at:",
-        "    if word.sent_at >= known.sent_at:",
+        "    if report.sent_at >= known.heard_at:",
+        "    if report.sent_at >= known.sent_at:",
         f"{_BACKPRESSURE}.test_limit_reports",
     ),
     Mutation(
         "the gate is asked at the sending",
         f"{DAEMON}/backpressure/runner_gate.py",
-        "        problem = self._find_problem(runner)",
-        '        problem = ""',
+        "        rejection = self._find_rejection(runner)",
+        '        rejection = ""',
         f"{_BACKPRESSURE}.test_runner_gate",
     ),
     Mutation(
@@ -318,8 +318,8 @@
     Mutation(
         "after a rest one request goes first",
         f"{DAEMON}/backpressure/runner_backoffs.py",
-        "max(rest.until, rest.tried_at + _TRIAL_S)",
-        "rest.until",
+        "max(backoff.until, backoff.probed_at + _PROBE_TIMEOUT_S)",
+        "backoff.until",
         f"{_BACKPRESSURE}.test_runner_backoffs",
     ),
     Mutation(
--- a/packages/daemon/src/martenquay_daemon/backpressure/limit_reports.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/limit_reports.py
@@ -11,17 +11,17 @@
 
 __all__ = [
     "LimitReport",
-    "choose_later_end",
+    "choose_later_lift",
     "merge_gossiped_report",
     "merge_report",
 ]
 
-# A word that comes back from the daemons that were told it seems younger by
+# A report that comes back from the daemons that were gossiped it seems younger by
 # the time of its way; taken for a new one it would never grow old.
-_ECHO_S = 0.5
-# What is told seems younger by the time of its way; it does not count as later
+_ECHO_WINDOW_S = 0.5
+# What is gossiped seems younger by the time of its way; it does not count as later
 # than what this daemon has heard itself for that.
-_WAY_S = 0.25
+_GOSSIP_LATENCY_S = 0.25
 
 
 @dataclasses.dataclass(frozen=True)
@@ -43,56 +43,60 @@
 
 
 def merge_report(
-    known: LimitReport | None, word: LimitReport
+    known: LimitReport | None, report: LimitReport
 ) -> LimitReport | None:
-    """Return the newest word of a runner; None if no limit was ever named."""
-    if known is not None and _is_later_process(known, word):
+    """Return the newest report of a runner; None if no limit was ever named."""
+    if known is not None and _is_newer_process(known, report):
         return known
-    if known is None or _is_later_process(word, known):
-        return None if word.limit_per_s is None else word
+    if known is None or _is_newer_process(report, known):
+        return None if report.limit_per_s is None else report
     if known.limit_per_s is None:
         # An answer that is older than the limit's end does not bring it back.
-        is_named_again = word.limit_per_s is not None
+        is_limited_again = report.limit_per_s is not None
         return (
-            word if is_named_again and word.sent_at >= known.sent_at else known
+            report
+            if is_limited_again and report.sent_at >= known.sent_at
+            else known
         )
-    if word.sent_at >= known.heard_at:
-        return word
-    if word.limit_per_s is None or word.sent_at < known.sent_at:
+    if report.sent_at >= known.heard_at:
+        return report
+    if report.limit_per_s is None or report.sent_at < known.sent_at:
         # It may have been made before the limit was named.
         return known
     return dataclasses.replace(
         known,
-        limit_per_s=min(known.limit_per_s, word.limit_per_s),
-        heard_at=word.heard_at,
+        limit_per_s=min(known.limit_per_s, report.limit_per_s),
+        heard_at=report.heard_at,
     )
 
 
-def choose_later_end(known: LimitReport, word: LimitReport) -> LimitReport:
+def choose_later_lift(known: LimitReport, report: LimitReport) -> LimitReport:
     """Return the later of two words that say that there is no limit."""
-    if _is_later_process(known, word) or word.sent_at < known.sent_at:
+    if _is_newer_process(known, report) or report.sent_at < known.sent_at:
         return known
-    return word
+    return report
 
 
 def merge_gossiped_report(
-    known: LimitReport | None, word: LimitReport
+    known: LimitReport | None, report: LimitReport
 ) -> LimitReport | None:
-    """Return the newest word, with one that another daemon has told."""
+    """Return the newest report, with one that another daemon has gossiped."""
     if (
         known is not None
-        and known.limit_per_s == word.limit_per_s
-        and known.born_ms == word.born_ms
-        and word.heard_at <= known.heard_at + _ECHO_S
+        and known.limit_per_s == report.limit_per_s
+        and known.born_ms == report.born_ms
+        and report.heard_at <= known.heard_at + _ECHO_WINDOW_S
     ):
         return known
-    told = dataclasses.replace(word, sent_at=word.sent_at - _WAY_S)
-    newest = merge_report(known, told)
+    gossiped = dataclasses.replace(
+        report, sent_at=report.sent_at - _GOSSIP_LATENCY_S
+    )
+    newest = merge_report(known, gossiped)
     # It is handed on as it was heard, or each hub would make it older.
-    return word if newest is told else newest
+    return report if newest is gossiped else newest
 
 
-def _is_later_process(one: LimitReport, other: LimitReport) -> bool:
+def _is_newer_process(one: LimitReport, other: LimitReport) -> bool:
     if one.born_ms is None or other.born_ms is None:
         return False
     return one.born_ms > other.born_ms
--- a/packages/daemon/src/martenquay_daemon/backpressure/observers.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/observers.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-__all__ = ["ignore_change", "ignore_notification"]
+__all__ = ["ignore_signal", "ignore_notification"]
 
 
-def ignore_change(signal: str, source: str) -> None:
+def ignore_signal(signal: str, source: str) -> None:
     """Take a change and do nothing."""
     del signal, source
 
--- a/packages/daemon/src/martenquay_daemon/backpressure/parts.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/parts.py
@@ -38,7 +38,7 @@
 
 def create_backpressure(
     instance: str,
-    known: roster.Roster,
+    daemon_roster: roster.Roster,
     leaving: drain_reports.DrainReports,
     observe: Callable[[str, str], None],
     notify_soon: Callable[[], None],
@@ -47,16 +47,16 @@
 
     Args:
         instance: This daemon's instance.
-        known: The instances that share what runners take.
+        daemon_roster: The instances that share what runners take.
         leaving: The directory's: it lists none of those that leave.
         observe: Told the kind and the source of each change.
         notify_soon: Has other daemons told of a change soon.
     """
-    order = send_order.SenderRanking(instance, known)
-    limits = runner_limits.RunnerLimits(order.find_place)
-    asked_rests = runner_backoffs.RunnerBackoffs()
-    for words in (limits, leaving, asked_rests):
-        words.observe = observe
+    ranking = send_order.SenderRanking(instance, daemon_roster)
+    limits = runner_limits.RunnerLimits(ranking.find_rank)
+    backoffs = runner_backoffs.RunnerBackoffs()
+    for state in (limits, leaving, backoffs):
+        state.observe = observe
     limits.notify_soon = leaving.notify_soon = notify_soon
-    gate = runner_gate.RunnerAdmission(limits, leaving, asked_rests)
+    gate = runner_gate.RunnerAdmission(limits, leaving, backoffs)
     return Backpressure(limits, leaving, gate)
--- a/packages/daemon/src/martenquay_daemon/backpressure/runner_gate.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/runner_gate.py
@@ -22,9 +22,9 @@
 __all__ = ["UnavailableRunners", "RunnerAdmission"]
 
 _LOG = logs.create_log("backpressure")
-_LEAVES = "the runner says that it leaves"
-_RESTS = "the runner has asked for rest"
-_OVER = "over the limit that the runner names"
+_DRAINING = "the runner says that it leaves"
+_IN_BACKOFF = "the runner has asked for rest"
+_OVER_LIMIT = "over the limit that the runner names"
 
 
 @dataclasses.dataclass(frozen=True)
@@ -52,12 +52,12 @@
     def __init__(
         self,
         limits: runner_limits.RunnerLimits,
-        leaving: drain_reports.DrainReports,
-        asked_rests: runner_backoffs.RunnerBackoffs,
+        drains: drain_reports.DrainReports,
+        backoffs: runner_backoffs.RunnerBackoffs,
     ) -> None:
         self._limits = limits
-        self._leaving = leaving
-        self._rests = asked_rests
+        self._drains = drains
+        self._backoffs = backoffs
 
     def note_answer(
         self,
@@ -72,42 +72,42 @@
             head: The head of the answer.
             sent_at: When the request was sent, in trio's time.
         """
-        told = head.signals
-        self._limits.note_answer(runner, told, sent_at)
-        if told.is_leaving:
-            self._leaving.note_answer(runner)
-        if told.is_rest_unreadable:
+        reported = head.signals
+        self._limits.note_answer(runner, reported, sent_at)
+        if reported.is_leaving:
+            self._drains.note_answer(runner)
+        if reported.is_rest_unreadable:
             _LOG.write(
                 f"Runner {runner.id} wants rest for what is no time.",
                 runner=runner.id,
             )
-        if told.rest_s is not None:
-            self._rests.note_refusal(runner, told.rest_s)
+        if reported.rest_s is not None:
+            self._backoffs.note_rejection(runner, reported.rest_s)
         elif not head.did_not_run:
-            self._rests.note_answer(runner, sent_at)
+            self._backoffs.note_answer(runner, sent_at)
 
     def filter_accepting(
-        self, found: Iterable[runners.Runner]
+        self, candidates: Iterable[runners.Runner]
     ) -> list[runners.Runner]:
         """Return the runners that take a request of this daemon now."""
         # Few say anything; to ask of each of hundreds would hold up each
         # request.
-        told = self._list_told()
+        reported = self._list_reporting_ids()
         return [
             runner
-            for runner in found
-            if runner.id not in told or not self._find_problem(runner)
+            for runner in candidates
+            if runner.id not in reported or not self._find_rejection(runner)
         ]
 
     def filter_unlimited(
-        self, found: Iterable[runners.Runner]
+        self, candidates: Iterable[runners.Runner]
     ) -> list[runners.Runner]:
         """Return the runners that take as much as any other."""
-        told = self._limits.list_ids()
+        reported = self._limits.list_ids()
         return [
             runner
-            for runner in found
-            if runner.id not in told or not self._limits.is_limited(runner)
+            for runner in candidates
+            if runner.id not in reported or not self._limits.is_limited(runner)
         ]
 
     def try_admit(self, runner: runners.Runner) -> str:
@@ -116,58 +116,64 @@
         Asked right before it is sent: what the runner has said may be younger
         than the choice. A turn that is taken is used up.
         """
-        problem = self._find_problem(runner)
-        if not problem:
+        rejection = self._find_rejection(runner)
+        if not rejection:
             self._limits.note_sent(runner)
-            self._rests.note_sent(runner)
-        return problem
+            self._backoffs.note_sent(runner)
+        return rejection
 
-    def find_retry_s(self, found: Sequence[runners.Runner]) -> float | None:
+    def find_retry_s(
+        self, candidates: Sequence[runners.Runner]
+    ) -> float | None:
         """Return when one of the runners takes a request; None if none does.
 
         A caller that comes back may come to any daemon, so of a limit it counts
         when the next request may be sent from wherever.
         """
-        told = self._list_told()
-        if any(runner.id not in told for runner in found):
+        reported = self._list_reporting_ids()
+        if any(runner.id not in reported for runner in candidates):
             return 0.0
-        waits = [
+        waits_s = [
             max(
-                self._limits.find_next_s(runner),
-                self._rests.find_wait_s(runner),
+                self._limits.find_fleet_wait_s(runner),
+                self._backoffs.find_wait_s(runner),
             )
-            for runner in found
-            if not self._leaving.holds(runner)
+            for runner in candidates
+            if not self._drains.holds(runner)
         ]
-        return min(filter(math.isfinite, waits), default=None)
+        return min(filter(math.isfinite, waits_s), default=None)
 
     def count_closed(
-        self, found: Iterable[runners.Runner]
+        self, candidates: Iterable[runners.Runner]
     ) -> UnavailableRunners:
         """Count the runners that take nothing now, by their first reason."""
-        told = self._list_told()
-        problems = collections.Counter(
-            self._find_problem(runner) for runner in found if runner.id in told
+        reported = self._list_reporting_ids()
+        rejections = collections.Counter(
+            self._find_rejection(runner)
+            for runner in candidates
+            if runner.id in reported
         )
         return UnavailableRunners(
-            problems[_LEAVES], problems[_RESTS], problems[_OVER]
+            rejections[_DRAINING],
+            rejections[_IN_BACKOFF],
+            rejections[_OVER_LIMIT],
         )
 
     def forget(self, runner_id: str) -> None:
         """Drop what a runner has said: its process is a new one."""
         self._limits.forget(runner_id)
-        self._rests.forget(runner_id)
+        self._backoffs.forget(runner_id)
 
-    def _list_told(self) -> set[str]:
+    def _list_reporting_ids(self) -> set[str]:
         """Return the ids of the runners that have said anything."""
-        told = self._limits.list_ids() | self._leaving.list_ids()
-        return told | self._rests.list_ids()
-
-    def _find_problem(self, runner: runners.Runner) -> str:
-        if self._leaving.holds(runner):
-            return _LEAVES
-        if self._rests.find_wait_s(runner) > 0:
-            return _RESTS
+        reported = self._limits.list_ids() | self._drains.list_ids()
+        return reported | self._backoffs.list_ids()
+
+    def _find_rejection(self, runner: runners.Runner) -> str:
+        if self._drains.holds(runner):
+            return _DRAINING
+        if self._backoffs.find_wait_s(runner) > 0:
+            return _IN_BACKOFF
         if self._limits.find_wait_s(runner) > 0:
-            return _OVER
+            return _OVER_LIMIT
         return ""
--- a/packages/daemon/src/martenquay_daemon/backpressure/send_order.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/send_order.py
@@ -14,41 +14,44 @@
 __all__ = ["SenderRanking"]
 
 # Places are kept of so many runners; the next one empties the table.
-_MOST = 4096
+_MAX_CACHED_RANKS = 4096
 
 
 class SenderRanking:
-    """This daemon's place for each runner, by the list that all read.
+    """This daemon's rank for each runner, by the list that all read.
 
-    The list lies in the platform's log, so a cut changes nobody's place. Those
+    The list lies in the platform's log, so a cut changes nobody's rank. Those
     of the runner's zone come first: they reach it when the zone is cut off.
     """
 
-    def __init__(self, instance: str, known: roster.Roster) -> None:
+    def __init__(self, instance: str, daemon_roster: roster.Roster) -> None:
         self._instance = instance
-        self._roster = known
-        self._changes = -1
-        self._places: dict[str, send_shares.SenderRank] = {}
+        self._roster = daemon_roster
+        self._roster_version = -1
+        self._ranks: dict[str, send_shares.SenderRank] = {}
 
-    def find_place(self, runner: runners.Runner) -> send_shares.SenderRank:
-        """Return this daemon's place for a runner."""
+    def find_rank(self, runner: runners.Runner) -> send_shares.SenderRank:
+        """Return this daemon's rank for a runner."""
         if self._roster.find_own_share() <= 0:
             # Those that have not read of it would not make room for it.
             others = self._roster.list_instances() - {self._instance}
             return send_shares.SenderRank(len(others), len(others) + 1)
-        if self._changes != self._roster.changes or len(self._places) > _MOST:
-            self._changes = self._roster.changes
-            self._places.clear()
-        place = self._places.get(runner.id)
-        if place is None:
-            place = self._places[runner.id] = self._rank(runner)
-        return place
-
-    def _rank(self, runner: runners.Runner) -> send_shares.SenderRank:
+        if (
+            self._roster_version != self._roster.changes
+            or len(self._ranks) > _MAX_CACHED_RANKS
+        ):
+            self._roster_version = self._roster.changes
+            self._ranks.clear()
+        rank = self._ranks.get(runner.id)
+        if rank is None:
+            rank = self._ranks[runner.id] = self._compute_rank(runner)
+        return rank
+
+    def _compute_rank(self, runner: runners.Runner) -> send_shares.SenderRank:
         zones = self._roster.list_zones()
         own = self._score(runner, self._instance, zones)
-        before = sum(self._score(runner, one, zones) > own for one in zones)
-        return send_shares.SenderRank(before, len(zones))
+        ahead = sum(self._score(runner, one, zones) > own for one in zones)
+        return send_shares.SenderRank(ahead, len(zones))
 
     def _score(
         self, runner: runners.Runner, instance: str, zones: dict[str, str]
--- a/packages/daemon/src/martenquay_daemon/backpressure/send_shares.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/send_shares.py
@@ -3,7 +3,7 @@
 Equal parts do not add up where the limit is small: with 1 request a second and
 400 daemons, each may send one in 400 s, and after a pause of the callers all do
 so at the same moment. So a few daemons, its holders, have the whole limit, as
-many as it is requests a second, and send at a steady pace each. The others ask
+many as it is requests a second, and send at a steady pace each. The probers ask
 only while the holders are silent, one after the other: a limit that nobody asks
 about would never end.
 """
@@ -18,24 +18,24 @@
     "HolderSchedule",
     "SenderRank",
     "Share",
-    "find_pace_s",
+    "find_send_interval_s",
     "find_share",
 ]
 
 # One holder may be gone, or have no callers for the runner.
-_LEAST_HOLDERS = 2
+_MIN_HOLDERS = 2
 # Less than this is asked for as well, for nothing else tells that a runner
 # which takes nothing is well again.
-_LEAST_PER_S = 0.1
+_MIN_LIMIT_PER_S = 0.1
 # The holders are silent when nothing was heard of the runner for so many of
 # their intervals, and for so long at the least: news of it take up to two
 # seconds in a large fleet.
 _SILENT_INTERVALS = 3
-_LEAST_SILENT_S = 5.0
+_MIN_SILENCE_S = 5.0
 # Others ask at this part of the limit and not more often than that: daemons
 # reckon slots from news of different age, and the holders may wake up.
-_ASK_PART = 0.5
-_MOST_ASKED_PER_S = 0.5
+_PROBE_FRACTION = 0.5
+_MAX_PROBES_PER_S = 0.5
 
 
 @dataclasses.dataclass(frozen=True)
@@ -84,22 +84,24 @@
 Share = HolderSchedule | ProbeSlot
 
 
-def find_pace_s(limit_per_s: float) -> float:
+def find_send_interval_s(limit_per_s: float) -> float:
     """Return the time between two requests of all daemons together."""
-    return 1 / max(limit_per_s, _LEAST_PER_S)
+    return 1 / max(limit_per_s, _MIN_LIMIT_PER_S)
 
 
-def find_share(limit_per_s: float, place: SenderRank) -> Share:
+def find_share(limit_per_s: float, sender: SenderRank) -> Share:
     """Return what one daemon may send; no two daemons have the same turn."""
-    rate = max(limit_per_s, _LEAST_PER_S)
-    daemons = max(1, place.daemons)
-    wanted = max(_LEAST_HOLDERS, math.floor(min(rate, daemons)))
-    holders = min(wanted, daemons)
+    rate = max(limit_per_s, _MIN_LIMIT_PER_S)
+    daemons = max(1, sender.daemons)
+    wanted_holders = max(_MIN_HOLDERS, math.floor(min(rate, daemons)))
+    holders = min(wanted_holders, daemons)
     interval_s = holders / rate
-    if place.rank < holders:
-        return HolderSchedule((place.rank + 1) / rate, interval_s)
-    silent_s = max(_LEAST_SILENT_S, _SILENT_INTERVALS * interval_s)
-    length_s = 1 / min(_ASK_PART * rate, _MOST_ASKED_PER_S)
-    number = place.rank - holders
-    others = max(number + 1, daemons - holders)
-    return ProbeSlot(silent_s + number * length_s, length_s, others * length_s)
+    if sender.rank < holders:
+        return HolderSchedule((sender.rank + 1) / rate, interval_s)
+    silence_s = max(_MIN_SILENCE_S, _SILENT_INTERVALS * interval_s)
+    length_s = 1 / min(_PROBE_FRACTION * rate, _MAX_PROBES_PER_S)
+    probe_index = sender.rank - holders
+    probers = max(probe_index + 1, daemons - holders)
+    return ProbeSlot(
+        silence_s + probe_index * length_s, length_s, probers * length_s
+    )
--- a/tests/test_backpressure/test_runner_backoffs.py
+++ b/tests/test_backpressure/test_runner_backoffs.py
@@ -16,7 +16,7 @@
         async def scenario() -> None:
             for rest_s in (0.0, 0.25, 3.0, 1e9, 1e308):
                 asked = runner_backoffs.RunnerBackoffs()
-                asked.note_refusal(_RUNNER, rest_s)
+                asked.note_rejection(_RUNNER, rest_s)
                 self.assertAlmostEqual(rest_s, asked.find_wait_s(_RUNNER))
 
         self.run_clocked(scenario)
@@ -24,11 +24,11 @@
     def test_a_second_refusal_does_not_cut_the_first_time_short(self) -> None:
         async def scenario() -> None:
             asked = runner_backoffs.RunnerBackoffs()
-            asked.note_refusal(_RUNNER, 3.0)
+            asked.note_rejection(_RUNNER, 3.0)
             await trio.sleep(1.0)
-            asked.note_refusal(_RUNNER, 0.5)
+            asked.note_rejection(_RUNNER, 0.5)
             self.assertAlmostEqual(2.0, asked.find_wait_s(_RUNNER))
-            asked.note_refusal(_RUNNER, 5.0)
+            asked.note_rejection(_RUNNER, 5.0)
             self.assertAlmostEqual(5.0, asked.find_wait_s(_RUNNER))
 
         self.run_clocked(scenario)
@@ -37,7 +37,7 @@
         async def scenario() -> None:
             asked = runner_backoffs.RunnerBackoffs()
             sent_at = trio.current_time()
-            asked.note_refusal(_RUNNER, 3.0)
+            asked.note_rejection(_RUNNER, 3.0)
             await trio.sleep(4.0)
             asked.note_answer(_RUNNER, sent_at)
             asked.note_sent(_RUNNER)
@@ -48,7 +48,7 @@
     def test_after_the_rest_one_request_goes_first(self) -> None:
         async def scenario() -> None:
             asked = runner_backoffs.RunnerBackoffs()
-            asked.note_refusal(_RUNNER, 3.0)
+            asked.note_rejection(_RUNNER, 3.0)
             await trio.sleep(3.0)
             sent_at = trio.current_time()
             asked.note_sent(_RUNNER)
@@ -63,7 +63,7 @@
     def test_a_first_request_that_is_not_answered_is_followed(self) -> None:
         async def scenario() -> None:
             asked = runner_backoffs.RunnerBackoffs()
-            asked.note_refusal(_RUNNER, 3.0)
+            asked.note_rejection(_RUNNER, 3.0)
             await trio.sleep(3.0)
             asked.note_sent(_RUNNER)
             await trio.sleep(0.51)
@@ -74,10 +74,10 @@
     def test_a_new_process_has_asked_for_nothing(self) -> None:
         async def scenario() -> None:
             asked = runner_backoffs.RunnerBackoffs()
-            asked.note_refusal(_RUNNER, 3.0)
+            asked.note_rejection(_RUNNER, 3.0)
             fresh = builders.build_runner(born_ms=8)
             self.assertEqual(0.0, asked.find_wait_s(fresh))
-            asked.note_refusal(fresh, 1.0)
+            asked.note_rejection(fresh, 1.0)
             self.assertAlmostEqual(1.0, asked.find_wait_s(fresh))
 
         self.run_clocked(scenario)
@@ -87,7 +87,7 @@
             asked = runner_backoffs.RunnerBackoffs()
             for number in range(5000):
                 runner = builders.build_runner(id=f"r-{number}")
-                asked.note_refusal(runner, 1.0 + number)
+                asked.note_rejection(runner, 1.0 + number)
             first = builders.build_runner(id="r-0")
             self.assertEqual(0.0, asked.find_wait_s(first))
             self.assertGreater(asked.find_wait_s(runner), 0.0)
--- a/tests/test_backpressure/test_runner_limits.py
+++ b/tests/test_backpressure/test_runner_limits.py
@@ -132,7 +132,7 @@
         async def scenario() -> None:
             limits = builders.build_runner_limits(rank=5, daemons=6)
             limits.note_answer(_RUNNER, _LIMITED, trio.current_time())
-            self.assertAlmostEqual(1.0, limits.find_next_s(_RUNNER))
+            self.assertAlmostEqual(1.0, limits.find_fleet_wait_s(_RUNNER))
 
         self.run_clocked(scenario)
 
--- a/tests/test_backpressure/test_send_order.py
+++ b/tests/test_backpressure/test_send_order.py
@@ -24,7 +24,7 @@
     ) -> None:
         async def scenario() -> None:
             places = {
-                name: _build(name)[0].find_place(_RUNNER) for name in _ZONES
+                name: _build(name)[0].find_rank(_RUNNER) for name in _ZONES
             }
             ranks = sorted(one.rank for one in places.values())
             self.assertEqual([0, 1, 2, 3], ranks)
@@ -40,27 +40,27 @@
             for offset, (name, zone) in enumerate(_ZONES.items()):
                 known.note_listed(name, offset, is_counted=True, zone=zone)
             known.note_listed("entry-9", 9, is_counted=False, zone="b")
-            self.assertEqual(4, order.find_place(_RUNNER).rank)
+            self.assertEqual(4, order.find_rank(_RUNNER).rank)
             for name in _ZONES:
                 known.note_read_end(name, 10)
-            self.assertLess(order.find_place(_RUNNER).rank, 3)
+            self.assertLess(order.find_rank(_RUNNER).rank, 3)
 
         self.run_clocked(scenario)
 
     def test_it_follows_the_list(self) -> None:
         async def scenario() -> None:
             order, known = _build("entry-3")
-            self.assertEqual(4, order.find_place(_RUNNER).daemons)
+            self.assertEqual(4, order.find_rank(_RUNNER).daemons)
             known.note_removed("entry-0")
-            self.assertEqual(3, order.find_place(_RUNNER).daemons)
+            self.assertEqual(3, order.find_rank(_RUNNER).daemons)
 
         self.run_clocked(scenario)
 
     def test_a_move_to_another_zone_changes_the_list(self) -> None:
         async def scenario() -> None:
             order, known = _build("entry-3")
-            self.assertEqual(3, order.find_place(_RUNNER).rank)
+            self.assertEqual(3, order.find_rank(_RUNNER).rank)
             known.note_listed("entry-3", 7, is_counted=True, zone="b")
-            self.assertLess(order.find_place(_RUNNER).rank, 3)
+            self.assertLess(order.find_rank(_RUNNER).rank, 3)
 
         self.run_clocked(scenario)
