--- a/packages/daemon/src/martenquay_daemon/backpressure/__init__.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/__init__.py
@@ -1,1 +1,1 @@
-"""Heed what runners say of themselves in their answers."""
+"""Backpressure from runners: rate limits, backoff and draining."""
--- a/packages/daemon/src/martenquay_daemon/backpressure/drain_reports.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/drain_reports.py
@@ -1,9 +1,4 @@
-"""Remember which runners have said in an answer that they leave.
-
-A runner's entry says so too, but the log may be away when it begins to leave,
-and an older entry may be read later. What a process has said of itself holds
-for that process, whatever its entry says.
-"""
+"""Track the runners that reported in an answer that they are draining."""
 
 from __future__ import annotations
 
@@ -23,14 +18,12 @@
 __all__ = ["DrainReports"]
 
 _LOG = logs.create_log("backpressure")
-# Long after a runner that leaves has ended; its id may have another process
-# then, which has its own start.
+# Outlasts the draining process; a later process with the same id has another
+# start time.
 _RETENTION_S = 3600.0
-# Others are gossiped for so long, by which time the log has the runner's entry or
-# the runner has ended.
+# After this time the log has the runner's entry or the runner has ended.
 _GOSSIP_S = 30.0
 _MAX_GOSSIPED_RUNNERS = 32
-# Of so many runners, the newest; each takes 200 bytes.
 _MAX_RUNNERS = 4000
 
 
@@ -41,11 +34,14 @@
 
 
 class DrainReports:
-    """Runners that leave, by id.
+    """Drain reports by runner id.
+
+    A runner's entry in the log may be missing or out of date while the runner
+    drains, so a report holds for its process whatever the entry says.
 
     Attributes:
-        observe: Told the kind and the source of each report that is new.
-        notify_soon: Has other daemons gossiped soon.
+        observe: Called with the kind and the source of each new report.
+        notify_soon: Called to send a new report to other daemons early.
     """
 
     def __init__(self) -> None:
@@ -54,21 +50,25 @@
         self._reports: dict[str, _DrainReport] = {}
 
     def list_ids(self) -> set[str]:
-        """Return the ids of the runners of which something is known."""
+        """Return the ids of the runners that have a report."""
         return set(self._reports)
 
     def note_answer(self, runner: runners.Runner) -> None:
-        """Note that a runner has said so in an answer."""
+        """Record that an answer of the runner reported draining."""
         if self._record(runner.id, runner.born_ms, "answer"):
             self.notify_soon()
 
     def apply_gossip(self, gossiped: dict[str, int | None]) -> None:
-        """Take what another daemon knows: starts of processes by runner id."""
+        """Merge the reports of another daemon.
+
+        Args:
+            gossiped: Process start times in milliseconds by runner id.
+        """
         for runner_id, born_ms in gossiped.items():
             self._record(runner_id, born_ms, "daemon")
 
     def list_recent_reports(self) -> dict[str, int | None]:
-        """Return what others are to be gossiped, the newest first."""
+        """Return the reports to gossip, the newest first."""
         oldest = trio.current_time() - _GOSSIP_S
         found = [
             (report.heard_at, runner_id, report.born_ms)
@@ -82,7 +82,7 @@
         }
 
     def holds(self, runner: runners.Runner) -> bool:
-        """Tell whether this process of a runner has said that it leaves."""
+        """Tell whether this process of the runner has reported draining."""
         report = self._reports.get(runner.id)
         if report is None:
             return False
@@ -91,14 +91,14 @@
         return report.born_ms >= runner.born_ms
 
     def _record(self, runner_id: str, born_ms: int | None, source: str) -> bool:
-        """Keep a report; tell whether it is new."""
+        """Record a report; tell whether it is new."""
         known = self._reports.get(runner_id)
         if known is not None and not _is_later(born_ms, known.born_ms):
             return False
         self._evict_old()
         self._reports[runner_id] = _DrainReport(born_ms, trio.current_time())
         _LOG.write(
-            f"Runner {runner_id} says that it leaves.",
+            f"Runner {runner_id} reported that it is draining.",
             runner=runner_id,
             born_ms=born_ms,
             source=source,
--- a/packages/daemon/src/martenquay_daemon/backpressure/limit_reports.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/limit_reports.py
@@ -1,9 +1,4 @@
-"""Fold what answers say of a runner's limit, in whatever order they come.
-
-Answers overtake each other: the head of a long prompt's answer may come after
-that of a request which was sent later. So what an answer says of a runner's
-limit is weighed by when its request was sent.
-"""
+"""Merge reports of a runner's rate limit that arrive out of order."""
 
 from __future__ import annotations
 
@@ -16,24 +11,24 @@
     "merge_report",
 ]
 
-# A report that comes back from the daemons that were gossiped it seems younger by
-# the time of its way; taken for a new one it would never grow old.
+# A report echoed back by another daemon seems newer by the network delay; if it
+# counted as new, it would circulate without end.
 _ECHO_WINDOW_S = 0.5
-# What is gossiped seems younger by the time of its way; it does not count as later
-# than what this daemon has heard itself for that.
+# Taken off a gossiped report's send time, as its network delay would otherwise
+# let it override a newer report that this daemon received itself.
 _GOSSIP_LATENCY_S = 0.25
 
 
 @dataclasses.dataclass(frozen=True)
 class LimitReport:
-    """What one answer says of a runner's limit; times are trio's.
+    """The rate limit in one answer of a runner; times are trio's, in seconds.
 
     Attributes:
-        limit_per_s: Requests a second from all daemons together; None if it
-            names no limit.
-        born_ms: As in the entry of the process that was asked.
+        limit_per_s: Requests per second from all daemons together; None if
+            the answer has no limit.
+        born_ms: Start time of the process that answered, from its entry.
         sent_at: When the request was sent.
-        heard_at: When the answer's head came.
+        heard_at: When the answer's head arrived.
     """
 
     limit_per_s: float | None
@@ -45,13 +40,16 @@
 def merge_report(
     known: LimitReport | None, report: LimitReport
 ) -> LimitReport | None:
-    """Return the newest report of a runner; None if no limit was ever named."""
+    """Return the newest report; None if the runner has never reported a limit.
+
+    Answers may overtake each other, so the send times of their requests decide.
+    """
     if known is not None and _is_newer_process(known, report):
         return known
     if known is None or _is_newer_process(report, known):
         return None if report.limit_per_s is None else report
     if known.limit_per_s is None:
-        # An answer that is older than the limit's end does not bring it back.
+        # A late answer from before the limit was lifted must not restore it.
         is_limited_again = report.limit_per_s is not None
         return (
             report
@@ -61,7 +59,7 @@
     if report.sent_at >= known.heard_at:
         return report
     if report.limit_per_s is None or report.sent_at < known.sent_at:
-        # It may have been made before the limit was named.
+        # The runner may have answered before it set the limit.
         return known
     return dataclasses.replace(
         known,
@@ -71,7 +69,7 @@
 
 
 def choose_later_lift(known: LimitReport, report: LimitReport) -> LimitReport:
-    """Return the later of two words that say that there is no limit."""
+    """Return the later of two reports without a limit."""
     if _is_newer_process(known, report) or report.sent_at < known.sent_at:
         return known
     return report
@@ -80,7 +78,7 @@
 def merge_gossiped_report(
     known: LimitReport | None, report: LimitReport
 ) -> LimitReport | None:
-    """Return the newest report, with one that another daemon has gossiped."""
+    """Return the newest report, given one gossiped by another daemon."""
     if (
         known is not None
         and known.limit_per_s == report.limit_per_s
@@ -92,7 +90,7 @@
         report, sent_at=report.sent_at - _GOSSIP_LATENCY_S
     )
     newest = merge_report(known, gossiped)
-    # It is handed on as it was heard, or each hub would make it older.
+    # Each hub on the way would age the report if it passed on the shifted time.
     return report if newest is gossiped else newest
 
 
--- a/packages/daemon/src/martenquay_daemon/backpressure/observers.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/observers.py
@@ -1,4 +1,4 @@
-"""Stand in for observers of runners' words where nobody observes."""
+"""No-op callbacks, the defaults until real observers are set."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 def ignore_signal(signal: str, source: str) -> None:
-    """Take a change and do nothing."""
+    """Ignore a signal of a runner."""
     del signal, source
 
 
 def ignore_notification() -> None:
-    """Tell no other daemon."""
+    """Ignore a request to notify other daemons."""
--- a/packages/daemon/src/martenquay_daemon/backpressure/parts.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/parts.py
@@ -1,4 +1,4 @@
-"""Build what heeds the words of runners."""
+"""Construct the backpressure components of a daemon."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Backpressure:
-    """What runners say of themselves, and the gate that goes by it.
+    """The backpressure components of one daemon.
 
     Attributes:
-        limits: Limits that they name.
-        leaving: Those that leave.
-        gate: Asked before each request.
+        limits: Rate limits that runners reported.
+        leaving: Runners that reported that they are draining.
+        gate: Admission check to call before each request.
     """
 
     limits: runner_limits.RunnerLimits
@@ -43,14 +43,14 @@
     observe: Callable[[str, str], None],
     notify_soon: Callable[[], None],
 ) -> Backpressure:
-    """Return the parts, connected.
+    """Return the components, connected to each other.
 
     Args:
-        instance: This daemon's instance.
-        daemon_roster: The instances that share what runners take.
-        leaving: The directory's: it lists none of those that leave.
-        observe: Told the kind and the source of each change.
-        notify_soon: Has other daemons told of a change soon.
+        instance: Name of this daemon's instance.
+        daemon_roster: The daemons that share the runners' limits.
+        leaving: Drain reports, shared with the runner directory.
+        observe: Called with the kind and the source of each new signal.
+        notify_soon: Called to send a change to other daemons early.
     """
     ranking = send_order.SenderRanking(instance, daemon_roster)
     limits = runner_limits.RunnerLimits(ranking.find_rank)
--- a/packages/daemon/src/martenquay_daemon/backpressure/runner_backoffs.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/runner_backoffs.py
@@ -1,4 +1,4 @@
-"""Leave runners alone for as long as they have asked this daemon to."""
+"""Track the backoff times that runners requested from this daemon."""
 
 from __future__ import annotations
 
@@ -19,21 +19,20 @@
 __all__ = ["RunnerBackoffs"]
 
 _LOG = logs.create_log("backpressure")
-# After its backoff a runner gets one request, and the next one when that is
-# answered or after this time: all that waited would be turned away at once.
+# After a backoff one probe request is sent, and others once it is answered or
+# after this time: all waiting requests at once would overload the runner again.
 _PROBE_TIMEOUT_S = 0.5
-# Of so many runners, those that backoff longest; each takes 250 bytes.
 _MAX_RUNNERS = 4000
 
 
 @dataclasses.dataclass
 class _Backoff:
-    """One runner's backoff.
+    """The backoff of one runner.
 
     Attributes:
-        born_ms: As in the entry of the process that asked for it.
-        until: Its end, in trio's time.
-        probed_at: When a request was sent there after it.
+        born_ms: Start time of the process that requested it, from its entry.
+        until: End of the backoff, in trio's time.
+        probed_at: When this daemon last sent a request, in trio's time.
     """
 
     born_ms: int | None
@@ -42,10 +41,10 @@
 
 
 class RunnerBackoffs:
-    """Rests by runner id; they are this daemon's alone.
+    """Backoffs by runner id; they are not shared with other daemons.
 
     Attributes:
-        observe: Told the kind and the source of each backoff that begins.
+        observe: Called with the kind and the source of each new backoff.
     """
 
     def __init__(self) -> None:
@@ -53,11 +52,11 @@
         self._backoffs: dict[str, _Backoff] = {}
 
     def list_ids(self) -> set[str]:
-        """Return the ids of the runners of which something is known."""
+        """Return the ids of the runners that have a backoff."""
         return set(self._backoffs)
 
     def note_rejection(self, runner: runners.Runner, backoff_s: float) -> None:
-        """Note that a runner has turned a request away and asks for backoff."""
+        """Record that a runner rejected a request and requested a backoff."""
         until = trio.current_time() + backoff_s
         backoff = self._find_backoff(runner)
         if backoff is None:
@@ -66,22 +65,22 @@
                 runner.born_ms, until
             )
             _LOG.write(
-                f"Runner {runner.id} wants nothing for {backoff_s:g} s.",
+                f"Runner {runner.id} requested a backoff of {backoff_s:g} s.",
                 runner=runner.id,
                 rest_s=backoff_s,
             )
             self.observe("rest", "answer")
-        # An answer that comes late does not cut the time of another one short.
+        # A late answer must not shorten the backoff that another one requested.
         backoff.until = max(backoff.until, until)
 
     def note_answer(self, runner: runners.Runner, sent_at: float) -> None:
-        """Note that a runner has taken a request that was sent then."""
+        """End the backoff if a request sent after it was accepted."""
         backoff = self._find_backoff(runner)
         if backoff is not None and sent_at >= backoff.until:
             del self._backoffs[runner.id]
 
     def find_wait_s(self, runner: runners.Runner) -> float:
-        """Return for how long a runner gets nothing; 0 if it may now."""
+        """Return the seconds until a request may be sent; 0 if now."""
         backoff = self._find_backoff(runner)
         if backoff is None:
             return 0.0
@@ -89,13 +88,13 @@
         return max(0.0, available_at - trio.current_time())
 
     def note_sent(self, runner: runners.Runner) -> None:
-        """Note that a request goes to a runner now."""
+        """Record that a request is sent to a runner now."""
         backoff = self._find_backoff(runner)
         if backoff is not None:
             backoff.probed_at = trio.current_time()
 
     def forget(self, runner_id: str) -> None:
-        """Drop what a runner has asked for: its process is a new one."""
+        """Drop a runner's backoff, as another process has replaced it."""
         self._backoffs.pop(runner_id, None)
 
     def _find_backoff(self, runner: runners.Runner) -> _Backoff | None:
--- a/packages/daemon/src/martenquay_daemon/backpressure/runner_gate.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/runner_gate.py
@@ -1,4 +1,4 @@
-"""Ask, before each request, whether a runner has said that it takes it."""
+"""Check before each request whether the runner accepts it."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
 __all__ = ["UnavailableRunners", "RunnerAdmission"]
 
 _LOG = logs.create_log("backpressure")
-_DRAINING = "the runner says that it leaves"
-_IN_BACKOFF = "the runner has asked for rest"
-_OVER_LIMIT = "over the limit that the runner names"
+_DRAINING = "the runner is draining"
+_IN_BACKOFF = "the runner requested a backoff"
+_OVER_LIMIT = "the runner's rate limit leaves no request for this daemon now"
 
 
 @dataclasses.dataclass(frozen=True)
 class UnavailableRunners:
-    """Runners that take no request of this daemon now.
+    """Counts of runners that accept no request of this daemon now.
 
     Attributes:
-        leaving: They leave.
-        resting: They have asked for rest.
-        limited: Their limit leaves this daemon no turn now.
+        leaving: Runners that are draining.
+        resting: Runners that requested a backoff.
+        limited: Runners whose rate limit lets this daemon send nothing now.
     """
 
     leaving: int
@@ -43,10 +43,9 @@
 
 
 class RunnerAdmission:
-    """What runners say of themselves, for all that sends to them.
+    """Admission of requests by the state that runners reported.
 
-    A runner's own word is no guess: unlike one that failed, a runner that says
-    what it takes gets no more when nobody else is left.
+    Unlike outlier ejection, it makes no exception when no other runner is left.
     """
 
     def __init__(
@@ -65,11 +64,11 @@
         head: calls.AnswerHead,
         sent_at: float,
     ) -> None:
-        """Take what an answer of a runner says.
+        """Record the signals in an answer of a runner.
 
         Args:
-            runner: The runner, as it was when the request was sent.
-            head: The head of the answer.
+            runner: The runner as it was when the request was sent.
+            head: Head of the answer.
             sent_at: When the request was sent, in trio's time.
         """
         reported = head.signals
@@ -78,7 +77,7 @@
             self._drains.note_answer(runner)
         if reported.is_rest_unreadable:
             _LOG.write(
-                f"Runner {runner.id} wants rest for what is no time.",
+                f"Runner {runner.id} sent a backoff time that is not a number.",
                 runner=runner.id,
             )
         if reported.rest_s is not None:
@@ -89,9 +88,8 @@
     def filter_accepting(
         self, candidates: Iterable[runners.Runner]
     ) -> list[runners.Runner]:
-        """Return the runners that take a request of this daemon now."""
-        # Few say anything; to ask of each of hundreds would hold up each
-        # request.
+        """Return the runners that accept a request of this daemon now."""
+        # Checking each of hundreds of runners would delay each request.
         reported = self._list_reporting_ids()
         return [
             runner
@@ -102,7 +100,7 @@
     def filter_unlimited(
         self, candidates: Iterable[runners.Runner]
     ) -> list[runners.Runner]:
-        """Return the runners that take as much as any other."""
+        """Return the runners that are under no rate limit."""
         reported = self._limits.list_ids()
         return [
             runner
@@ -111,10 +109,10 @@
         ]
 
     def try_admit(self, runner: runners.Runner) -> str:
-        """Return why a request must not be sent now, or nothing.
+        """Use up a send slot; return why there is none, or an empty string.
 
-        Asked right before it is sent: what the runner has said may be younger
-        than the choice. A turn that is taken is used up.
+        To be called right before a request is sent, as the runner may have
+        reported a limit, a backoff or draining since it was chosen.
         """
         rejection = self._find_rejection(runner)
         if not rejection:
@@ -125,10 +123,10 @@
     def find_retry_s(
         self, candidates: Sequence[runners.Runner]
     ) -> float | None:
-        """Return when one of the runners takes a request; None if none does.
+        """Return the seconds until a runner accepts a request; None if never.
 
-        A caller that comes back may come to any daemon, so of a limit it counts
-        when the next request may be sent from wherever.
+        A caller may retry at any daemon, so under a rate limit the first send
+        slot of any daemon counts.
         """
         reported = self._list_reporting_ids()
         if any(runner.id not in reported for runner in candidates):
@@ -146,7 +144,7 @@
     def count_closed(
         self, candidates: Iterable[runners.Runner]
     ) -> UnavailableRunners:
-        """Count the runners that take nothing now, by their first reason."""
+        """Count the runners that accept nothing now, by the first reason."""
         reported = self._list_reporting_ids()
         rejections = collections.Counter(
             self._find_rejection(runner)
@@ -160,12 +158,12 @@
         )
 
     def forget(self, runner_id: str) -> None:
-        """Drop what a runner has said: its process is a new one."""
+        """Drop a runner's signals, as another process has replaced it."""
         self._limits.forget(runner_id)
         self._backoffs.forget(runner_id)
 
     def _list_reporting_ids(self) -> set[str]:
-        """Return the ids of the runners that have said anything."""
+        """Return the ids of the runners that have reported anything."""
         reported = self._limits.list_ids() | self._drains.list_ids()
         return reported | self._backoffs.list_ids()
 
--- a/packages/daemon/src/martenquay_daemon/backpressure/runner_limits.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/runner_limits.py
@@ -1,4 +1,4 @@
-"""Keep the limits that runners in need name, over all daemons together."""
+"""Enforce the rate limits that runners report, over all daemons together."""
 
 from __future__ import annotations
 
@@ -23,27 +23,25 @@
 __all__ = ["RunnerLimits"]
 
 _LOG = logs.create_log("backpressure")
-# A report that nobody has confirmed for so long is dropped; so is the end of a
-# limit, which only has to outlast the answers that it overtook.
+# Drops limits that no answer confirms, or an idle runner would keep its limit.
 _LIMIT_RETENTION_S = 600.0
+# Outlasts late answers from before the limit was lifted.
 _LIFT_RETENTION_S = 30.0
-# Of so many runners reports are kept, the newest; each takes half a KB.
 _MAX_RUNNERS = 2000
-# Others are reported what was heard lately, of so many runners at the most: 1 KB.
 _GOSSIP_S = 5.0
 _MAX_GOSSIPED_RUNNERS = 32
 
 
 @dataclasses.dataclass
 class _LimitState:
-    """What is known of one runner's limit.
+    """State of one runner's rate limit; times are trio's, in seconds.
 
     Attributes:
         report: The newest report.
-        is_own: An answer to this daemon said so, not another daemon.
-        limited_since: Since when this daemon goes by a limit, in trio's time.
-        sent_at: When it last sent a request there.
-        lifted_since: Since when it goes by the end of a limit, in trio's time.
+        is_own: Whether it came in an answer to this daemon, not by gossip.
+        limited_since: When this daemon learned of the limit.
+        sent_at: When this daemon last sent a request to the runner.
+        lifted_since: When this daemon learned that the limit was lifted.
     """
 
     report: limit_reports.LimitReport
@@ -54,11 +52,11 @@
 
 
 class RunnerLimits:
-    """Limits by runner id.
+    """Rate limits by runner id.
 
     Attributes:
-        observe: Told the kind and the source of each change.
-        notify_soon: Has other daemons reported of a change soon.
+        observe: Called with the kind and the source of each change.
+        notify_soon: Called to send a change to other daemons early.
     """
 
     def __init__(
@@ -75,7 +73,7 @@
         self._states: dict[str, _LimitState] = {}
 
     def list_ids(self) -> set[str]:
-        """Return the ids of the runners of which something is known."""
+        """Return the ids of the runners that have a limit or had one lately."""
         return set(self._states)
 
     def note_answer(
@@ -84,16 +82,16 @@
         reported: signals.RunnerSignals,
         sent_at: float,
     ) -> None:
-        """Take what an answer of a runner says.
+        """Record the rate limit in an answer of a runner.
 
         Args:
-            runner: The runner, as it was when the request was sent.
-            reported: What the answer says.
+            runner: The runner as it was when the request was sent.
+            reported: Signals in the answer.
             sent_at: When the request was sent, in trio's time.
         """
         if reported.is_limit_unreadable:
             _LOG.write(
-                f"Runner {runner.id} names a limit that is no number.",
+                f"Runner {runner.id} sent a rate limit that is not a number.",
                 runner=runner.id,
             )
             self.observe("limit-unreadable", "answer")
@@ -111,7 +109,7 @@
     def apply_gossip(
         self, reports: Iterable[tuple[str, limit_reports.LimitReport]]
     ) -> None:
-        """Take what other daemons were reported, by runner id."""
+        """Merge reports of other daemons, given by runner id."""
         for runner_id, report in reports:
             known = self._find_report(runner_id)
             merged = limit_reports.merge_gossiped_report(known, report)
@@ -121,10 +119,10 @@
     def list_recent_reports(
         self, *, is_relayed: bool
     ) -> list[tuple[str, limit_reports.LimitReport]]:
-        """Return what was heard lately, the newest first.
+        """Return the reports of the last seconds, the newest first.
 
         Args:
-            is_relayed: What other daemons have reported as well.
+            is_relayed: Whether to include reports gossiped by other daemons.
         """
         oldest = trio.current_time() - _GOSSIP_S
         found = [
@@ -136,16 +134,16 @@
         return found[:_MAX_GOSSIPED_RUNNERS]
 
     def find_limit(self, runner: runners.Runner) -> float | None:
-        """Return the requests a second that a runner takes, if it says so."""
+        """Return a runner's limit in requests per second, if it has one."""
         known = self._find_active_limit(runner)
         return None if known is None else known.report.limit_per_s
 
     def is_limited(self, runner: runners.Runner) -> bool:
-        """Tell whether a runner takes less than usual."""
+        """Tell whether a runner is under a rate limit."""
         return self._find_active_limit(runner) is not None
 
     def find_wait_s(self, runner: runners.Runner) -> float:
-        """Return how long this daemon has to wait to send; 0 if not at all."""
+        """Return the seconds until this daemon may send; 0 if now."""
         known = self._find_active_limit(runner)
         if known is None:
             return 0.0
@@ -158,7 +156,7 @@
                 return _find_probe_wait_s(known, slot)
 
     def find_fleet_wait_s(self, runner: runners.Runner) -> float:
-        """Return how long until any daemon may send, as far as known."""
+        """Return the seconds until the first daemon of the fleet may send."""
         known = self._find_active_limit(runner)
         if known is None:
             return 0.0
@@ -168,17 +166,17 @@
         return min(self.find_wait_s(runner), send_interval_s)
 
     def note_sent(self, runner: runners.Runner) -> None:
-        """Note that a request goes to a runner now, which uses a turn up."""
+        """Record that a request is sent now, which uses up a send slot."""
         known = self._find_active_limit(runner)
         if known is not None:
             known.sent_at = trio.current_time()
 
     def forget(self, runner_id: str) -> None:
-        """Drop what is known of a runner: its process is a new one."""
+        """Drop a runner's limit, as another process has replaced it."""
         self._states.pop(runner_id, None)
 
     def _find_active_limit(self, runner: runners.Runner) -> _LimitState | None:
-        """Return what is known of a runner if it is under a limit."""
+        """Return the state of a runner that is under a limit, else None."""
         known = self._states.get(runner.id)
         if known is None or known.report.limit_per_s is None:
             return None
@@ -190,10 +188,10 @@
         return known
 
     def _refresh_lift(self, runner: runners.Runner, sent_at: float) -> bool:
-        """Tell whether an answer without a limit says nothing but that.
+        """Process an answer without a limit; tell whether that is no change.
 
-        For a while it makes the end of a limit younger: to daemons that heard
-        of the limit late, the first report of its end may seem the older one.
+        After a limit is lifted, such answers renew the report for a while: a
+        daemon that learned of the limit late would ignore the first one as old.
         """
         known = self._states.get(runner.id)
         if known is None:
@@ -223,7 +221,7 @@
         *,
         is_own: bool,
     ) -> bool:
-        """Keep a report; tell whether the limit has changed by it."""
+        """Store a report; tell whether it changes the limit."""
         if report is None:
             self._states.pop(runner_id, None)
             return False
@@ -253,9 +251,9 @@
     ) -> None:
         limit = report.limit_per_s
         source = "answer" if is_own else "daemon"
-        text = "no limit any more" if limit is None else f"{limit:g} a second"
+        text = "lifted" if limit is None else f"set to {limit:g} per second"
         _LOG.write(
-            f"Runner {runner_id} takes {text} from all daemons together.",
+            f"Rate limit of runner {runner_id} for all daemons is {text}.",
             runner=runner_id,
             limit_per_s=limit,
             before=old,
--- a/packages/daemon/src/martenquay_daemon/backpressure/send_order.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/send_order.py
@@ -1,4 +1,4 @@
-"""Put the daemons of a fleet in one order for each runner."""
+"""Rank the daemons of a fleet as senders to each runner."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 __all__ = ["SenderRanking"]
 
-# Places are kept of so many runners; the next one empties the table.
 _MAX_CACHED_RANKS = 4096
 
 
 class SenderRanking:
-    """This daemon's rank for each runner, by the list that all read.
+    """Rank of this daemon among the senders to each runner.
 
-    The list lies in the platform's log, so a cut changes nobody's rank. Those
-    of the runner's zone come first: they reach it when the zone is cut off.
+    All daemons compute the same ranks from the roster in the platform's log, so
+    a network partition changes none. Daemons in the runner's zone come first,
+    as they still reach it when the zone is cut off.
     """
 
     def __init__(self, instance: str, daemon_roster: roster.Roster) -> None:
@@ -31,9 +31,9 @@
         self._ranks: dict[str, send_shares.SenderRank] = {}
 
     def find_rank(self, runner: runners.Runner) -> send_shares.SenderRank:
-        """Return this daemon's rank for a runner."""
+        """Return this daemon's rank among the senders to a runner."""
         if self._roster.find_own_share() <= 0:
-            # Those that have not read of it would not make room for it.
+            # Daemons that have not read of this one still use its rank.
             others = self._roster.list_instances() - {self._instance}
             return send_shares.SenderRank(len(others), len(others) + 1)
         if (
--- a/packages/daemon/src/martenquay_daemon/backpressure/send_shares.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/send_shares.py
@@ -1,12 +1,4 @@
-"""Divide what a runner in need takes among the daemons of a fleet.
-
-Equal parts do not add up where the limit is small: with 1 request a second and
-400 daemons, each may send one in 400 s, and after a pause of the callers all do
-so at the same moment. So a few daemons, its holders, have the whole limit, as
-many as it is requests a second, and send at a steady pace each. The probers ask
-only while the holders are silent, one after the other: a limit that nobody asks
-about would never end.
-"""
+"""Divide a runner's rate limit among the daemons of a fleet."""
 
 from __future__ import annotations
 
@@ -22,29 +14,27 @@
     "find_share",
 ]
 
-# One holder may be gone, or have no callers for the runner.
+# A single holder may be gone or have no requests for the runner.
 _MIN_HOLDERS = 2
-# Less than this is asked for as well, for nothing else tells that a runner
-# which takes nothing is well again.
+# Without requests nobody would learn that a runner with limit 0 has recovered.
 _MIN_LIMIT_PER_S = 0.1
-# The holders are silent when nothing was heard of the runner for so many of
-# their intervals, and for so long at the least: news of it take up to two
-# seconds in a large fleet.
+# Holders count as silent if no report of the runner came for this long; reports
+# take up to two seconds to reach all of a large fleet.
 _SILENT_INTERVALS = 3
 _MIN_SILENCE_S = 5.0
-# Others ask at this part of the limit and not more often than that: daemons
-# reckon slots from news of different age, and the holders may wake up.
+# Below the limit, as daemons may compute overlapping slots from reports of
+# different age and the holders may send again.
 _PROBE_FRACTION = 0.5
 _MAX_PROBES_PER_S = 0.5
 
 
 @dataclasses.dataclass(frozen=True)
 class SenderRank:
-    """Where a daemon stands among those that may send to a runner.
+    """Rank of a daemon among those that may send to a runner.
 
     Attributes:
-        rank: 0 for the first.
-        daemons: How many there are.
+        rank: Rank, 0 for the first.
+        daemons: Number of daemons ranked.
     """
 
     rank: int
@@ -53,11 +43,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class HolderSchedule:
-    """What a holder may send.
+    """Send times of a daemon that holds a part of the limit.
 
     Attributes:
-        first_s: From the first word of a limit to its first request.
-        interval_s: Between any two of its requests.
+        first_s: Seconds from the first report of the limit to the first send.
+        interval_s: Least seconds between two sends.
     """
 
     first_s: float
@@ -66,14 +56,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class ProbeSlot:
-    """When another daemon may send one request, to learn of the limit's end.
+    """Periodic slot in which a daemon that holds no part may send one probe.
 
-    A slot that was not used is gone: else all would be due after a pause.
+    Unused slots expire, or all daemons would send at once after a pause.
 
     Attributes:
-        first_s: From the last word of the runner to its first slot.
-        length_s: Of a slot.
-        period_s: From one of its slots to the next.
+        first_s: Seconds from the last report of the runner to the first slot.
+        length_s: Length of a slot in seconds.
+        period_s: Seconds from the start of one slot to the next.
     """
 
     first_s: float
@@ -85,12 +75,21 @@
 
 
 def find_send_interval_s(limit_per_s: float) -> float:
-    """Return the time between two requests of all daemons together."""
+    """Return the seconds between two requests of all daemons together."""
     return 1 / max(limit_per_s, _MIN_LIMIT_PER_S)
 
 
 def find_share(limit_per_s: float, sender: SenderRank) -> Share:
-    """Return what one daemon may send; no two daemons have the same turn."""
+    """Return when one daemon may send, so that no two send at once.
+
+    Equal shares of a small limit would let all daemons send at once after a
+    pause. So a few daemons, one per request a second, hold the whole limit, and
+    the others probe in turn while the holders are silent.
+
+    Args:
+        limit_per_s: Requests per second from all daemons together.
+        sender: Rank of the daemon.
+    """
     rate = max(limit_per_s, _MIN_LIMIT_PER_S)
     daemons = max(1, sender.daemons)
     wanted_holders = max(_MIN_HOLDERS, math.floor(min(rate, daemons)))
