--- a/packages/daemon/src/martenquay_daemon/limits/__init__.py
+++ b/packages/daemon/src/martenquay_daemon/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Bound what teams and partners may take, and refuse at once beyond it."""
+"""Admission control, retry budgets and outlier ejection."""
--- a/packages/daemon/src/martenquay_daemon/limits/admission.py
+++ b/packages/daemon/src/martenquay_daemon/limits/admission.py
@@ -1,10 +1,4 @@
-"""Let requests in: the urgent first, teams by weight within an urgency.
-
-Order within an urgency is start-time fair queueing: each request gets a tag
-that grows with its cost over its team's weight, and the lowest goes next.
-A request that cannot wait in the bounded queue is refused at once, with the
-time that the queue needs to drain at its measured rate.
-"""
+"""Admission control: a bounded priority queue, weighted fair among teams."""
 
 from __future__ import annotations
 
@@ -24,47 +18,47 @@
 
 __all__ = ["Admission", "Ask", "Permit", "PoolCapacity"]
 
-# The part of a pool's capacity that requests which are not urgent may fill.
-_INTERACTIVE_FILL = 0.9
-# Room kept free of requests that may wait: so many times what the others
-# have used lately, for they come in bursts.
-_RESERVE = 4.0
-_LATELY_S = 10.0
-_RATE_DECAY = 0.9
-_MIN_RETRY_S = 1.0
-_MAX_RETRY_S = 60.0
-_BUCKET_S = 4.0
+# The rest of a pool's capacity is kept free for urgent requests.
+_INTERACTIVE_CAPACITY_FRACTION = 0.9
+# Deferrable requests leave this multiple of the recent foreground load free, as
+# foreground requests come in bursts.
+_FOREGROUND_RESERVE_FACTOR = 4.0
+_FOREGROUND_DECAY_S = 10.0
+_DRAIN_RATE_DECAY = 0.9
+_MIN_RETRY_AFTER_S = 1.0
+_MAX_RETRY_AFTER_S = 60.0
+_BUCKET_CAPACITY_S = 4.0
 
 
 @dataclasses.dataclass(frozen=True)
 class PoolCapacity:
-    """What this daemon may use of a pool.
+    """The part of a pool that this daemon may use.
 
     Attributes:
-        running: The most requests running at once.
-        queue: The most requests waiting.
-        even: This daemon's even part of the pool's slots; requests that may
-            wait never fill more.
+        running: Most requests that run at once.
+        queue: Most requests that wait.
+        even_share: Slots of the pool divided by the number of daemons; the
+            limit for deferrable requests.
     """
 
     running: int
     queue: int
-    even: float
+    even_share: float
 
 
 @dataclasses.dataclass(frozen=True)
 class Ask:
-    """A request to be let in.
+    """A request that asks for admission.
 
     Attributes:
-        team: The team that pays.
-        weight: The team's weight.
-        concurrency: The most requests this team may run at this daemon.
-        token_rate: The most tokens a second for the team at this daemon.
-        pool: The pool it goes to.
-        urgency: How long it may wait.
+        team: Team whose limits apply.
+        weight: Weight of the team in fair queueing.
+        concurrency: Most requests that the team may run at this daemon.
+        token_rate: Tokens per second that the team may use at this daemon.
+        pool: Pool that is to run the request.
+        urgency: Priority class.
         cost: Tokens, or 1 for a service call.
-        deadline: When it has to have been let in, in trio's time.
+        deadline: When waiting for admission ends, in trio's time.
     """
 
     team: str
@@ -79,11 +73,11 @@
 
 @dataclasses.dataclass
 class Permit:
-    """The right to run; given back by `Admission.leave`.
+    """Permission to run, returned by `Admission.leave`.
 
     Attributes:
-        ask: What was let in.
-        waited_s: How long it waited.
+        ask: The admitted request.
+        waited_s: Seconds that it was queued.
     """
 
     ask: Ask
@@ -91,26 +85,26 @@
 
 
 @dataclasses.dataclass
-class _Waiting:
+class _QueuedRequest:
     ask: Ask
     start_tag: float
-    entered: trio.Event = dataclasses.field(default_factory=trio.Event)
+    admitted: trio.Event = dataclasses.field(default_factory=trio.Event)
 
 
-class _Bucket:
-    """Tokens that a team may still have generated."""
+class _TokenBucket:
+    """Token bucket of one team."""
 
     def __init__(self, now: float, rate: float) -> None:
-        self.level = rate * _BUCKET_S
+        self.level = rate * _BUCKET_CAPACITY_S
         self._filled_at = now
 
     def take(self, now: float, rate: float, cost: float) -> float:
-        """Take the cost; return 0, or the seconds until it would fit."""
+        """Spend the cost; return 0, or the seconds until there is enough."""
         self.level += (now - self._filled_at) * rate
-        self.level = min(self.level, rate * _BUCKET_S)
+        self.level = min(self.level, rate * _BUCKET_CAPACITY_S)
         self._filled_at = now
-        # A request larger than the bucket passes when the bucket is full.
-        needed = min(cost, rate * _BUCKET_S)
+        # A request larger than the bucket would otherwise never be admitted.
+        needed = min(cost, rate * _BUCKET_CAPACITY_S)
         if self.level < needed:
             return (needed - self.level) / rate
         self.level -= cost
@@ -118,14 +112,14 @@
 
 
 class _PoolQueue:
-    """The requests running at and waiting for one pool."""
+    """Running and queued requests of one pool."""
 
     def __init__(self, now: float) -> None:
         self.running = 0
         self.queued = 0
         self.virtual_time = 0.0
         self.waiting: dict[
-            objects.Urgency, dict[str, collections.deque[_Waiting]]
+            objects.Urgency, dict[str, collections.deque[_QueuedRequest]]
         ] = {urgency: {} for urgency in objects.Urgency}
         self.finish_tags: dict[str, float] = {}
         self.drain_rate = 0.0
@@ -134,20 +128,20 @@
         self._mean_at = now
         self._last_leave = now
 
-    def tag(self, ask: Ask) -> float:
-        """Return the request's start tag and advance its team's."""
+    def assign_start_tag(self, ask: Ask) -> float:
+        """Return the request's start tag; advance its team's finish tag."""
         start = max(self.virtual_time, self.finish_tags.get(ask.team, 0.0))
         self.finish_tags[ask.team] = start + ask.cost / ask.weight
         return start
 
-    def count_foreground(self, now: float, change: int) -> None:
-        """Note a request that may not wait, starting (1) or leaving (-1)."""
-        self.read_foreground(now)
+    def update_foreground(self, now: float, change: int) -> None:
+        """Record that a foreground request starts (1) or ends (-1)."""
+        self.measure_foreground(now)
         self.foreground += change
 
-    def read_foreground(self, now: float) -> float:
-        """Return how many of them ran lately, or run now if those are more."""
-        kept = math.exp(-(now - self._mean_at) / _LATELY_S)
+    def measure_foreground(self, now: float) -> float:
+        """Return the decaying mean or the current count, if that is higher."""
+        kept = math.exp(-(now - self._mean_at) / _FOREGROUND_DECAY_S)
         self._mean_at = now
         self._foreground_mean = (
             kept * self._foreground_mean + (1 - kept) * self.foreground
@@ -155,72 +149,79 @@
         return max(self._foreground_mean, self.foreground)
 
     def note_leave(self, now: float) -> None:
-        """Update the measured rate at which requests leave."""
+        """Update the measured rate at which requests end."""
         elapsed = max(now - self._last_leave, 1e-4)
         self._last_leave = now
         rate = 1.0 / elapsed
         if self.drain_rate == 0.0:
             self.drain_rate = rate
-        # The mean is taken over times, which a burst does not distort.
-        mean_s = _RATE_DECAY / self.drain_rate + (1 - _RATE_DECAY) * elapsed
+        # Averaging rates instead of intervals would let a burst dominate.
+        mean_s = (
+            _DRAIN_RATE_DECAY / self.drain_rate
+            + (1 - _DRAIN_RATE_DECAY) * elapsed
+        )
         self.drain_rate = 1.0 / mean_s
 
 
 class Admission:
-    """Let requests in at one daemon."""
+    """Admits requests at one daemon, by urgency and then by team.
+
+    Within an urgency, start-time fair queueing applies: each request gets a tag
+    that grows with its cost over its team's weight, and the lowest goes next.
+    """
 
     def __init__(self, find_capacity: Callable[[str], PoolCapacity]) -> None:
         self._find_capacity = find_capacity
         self._pools: dict[str, _PoolQueue] = {}
         self._team_running: collections.Counter[str] = collections.Counter()
-        self._buckets: dict[str, _Bucket] = {}
+        self._buckets: dict[str, _TokenBucket] = {}
 
     async def enter(self, ask: Ask) -> Result[Permit, results.Failure]:
-        """Wait for room, or say at once that there is none."""
+        """Wait for admission; fail at once if the queue or a rate is full."""
         now = trio.current_time()
         pool = self._pools.setdefault(ask.pool, _PoolQueue(now))
-        refused = self._refuse_early(ask, pool, now)
-        if refused is not None:
-            return Error(refused)
-        waiting = _Waiting(ask, pool.tag(ask))
+        refusal = self._refuse_early(ask, pool, now)
+        if refusal is not None:
+            return Error(refusal)
+        waiting = _QueuedRequest(ask, pool.assign_start_tag(ask))
         queues = pool.waiting[ask.urgency]
         queues.setdefault(ask.team, collections.deque()).append(waiting)
         pool.queued += 1
         self._admit_waiting(ask.pool, pool)
         try:
             with trio.move_on_at(ask.deadline):
-                await waiting.entered.wait()
+                await waiting.admitted.wait()
         except trio.Cancelled:
-            self._give_up(ask, pool, waiting)
+            self._abandon(ask, pool, waiting)
             raise
-        if not waiting.entered.is_set():
-            self._give_up(ask, pool, waiting)
+        if not waiting.admitted.is_set():
+            self._abandon(ask, pool, waiting)
             code = results.ResultCode.NOT_RUN_DEADLINE
-            message = "no runner was free before the deadline"
+            message = "request was not admitted before its deadline"
             retry_after_s = self._estimate_wait(pool)
             return Error(results.Failure(code, message, retry_after_s))
         return Ok(Permit(ask, trio.current_time() - now))
 
     def leave(self, permit: Permit) -> None:
-        """Give the permit back and let the next in."""
+        """Return a permit and admit the requests that may run now."""
         ask = permit.ask
         pool = self._pools[ask.pool]
         pool.running -= 1
         self._team_running[ask.team] -= 1
         pool.note_leave(trio.current_time())
         if ask.urgency is not objects.Urgency.DEFERRABLE:
-            pool.count_foreground(trio.current_time(), -1)
-        # The team's limit may have held requests to any pool.
+            pool.update_foreground(trio.current_time(), -1)
+        # The team's concurrency limit may have blocked requests in any pool.
         for name, other in self._pools.items():
             self._admit_waiting(name, other)
 
     def count_running(self, pool: str) -> int:
-        """Return how many requests run at a pool from here."""
+        """Return how many requests of this daemon run in a pool."""
         found = self._pools.get(pool)
         return found.running if found else 0
 
     def count_queued(self, pool: str) -> int:
-        """Return how many requests wait for a pool here."""
+        """Return how many requests of this daemon wait for a pool."""
         found = self._pools.get(pool)
         return found.queued if found else 0
 
@@ -232,49 +233,51 @@
             message = f"the queue for {ask.pool} is full"
             return results.Failure(code, message, self._estimate_wait(pool))
         bucket = self._buckets.setdefault(
-            ask.team, _Bucket(now, ask.token_rate)
+            ask.team, _TokenBucket(now, ask.token_rate)
         )
-        short_s = bucket.take(now, ask.token_rate, ask.cost)
-        if short_s > 0:
-            message = f"team {ask.team} is over its token rate"
-            return results.Failure(code, message, _bound_retry(short_s))
+        missing_s = bucket.take(now, ask.token_rate, ask.cost)
+        if missing_s > 0:
+            message = f"team {ask.team} exceeds its token rate"
+            return results.Failure(code, message, _clamp_retry_after(missing_s))
         return None
 
     def _admit_waiting(self, name: str, pool: _PoolQueue) -> None:
         capacity = self._find_capacity(name)
         while True:
-            chosen = self._choose_next(pool, capacity)
-            if chosen is None:
+            next_request = self._choose_next(pool, capacity)
+            if next_request is None:
                 return
             pool.queued -= 1
             pool.running += 1
-            pool.virtual_time = max(pool.virtual_time, chosen.start_tag)
-            self._team_running[chosen.ask.team] += 1
-            if chosen.ask.urgency is not objects.Urgency.DEFERRABLE:
-                pool.count_foreground(trio.current_time(), 1)
-            chosen.entered.set()
+            pool.virtual_time = max(pool.virtual_time, next_request.start_tag)
+            self._team_running[next_request.ask.team] += 1
+            if next_request.ask.urgency is not objects.Urgency.DEFERRABLE:
+                pool.update_foreground(trio.current_time(), 1)
+            next_request.admitted.set()
 
     def _choose_next(
         self, pool: _PoolQueue, capacity: PoolCapacity
-    ) -> _Waiting | None:
+    ) -> _QueuedRequest | None:
         for urgency, queues in pool.waiting.items():
-            if pool.running >= _find_bound(pool, capacity, urgency):
+            if pool.running >= _find_running_limit(pool, capacity, urgency):
                 return None
-            heads = [
+            ready_queues = [
                 queue
                 for queue in queues.values()
                 if queue and self._may_run(queue[0].ask)
             ]
-            if heads:
-                best = min(heads, key=lambda queue: queue[0].start_tag)
+            if ready_queues:
+                best = min(ready_queues, key=lambda queue: queue[0].start_tag)
                 return best.popleft()
         return None
 
     def _may_run(self, ask: Ask) -> bool:
         return self._team_running[ask.team] < ask.concurrency
 
-    def _give_up(self, ask: Ask, pool: _PoolQueue, waiting: _Waiting) -> None:
-        if waiting.entered.is_set():
+    def _abandon(
+        self, ask: Ask, pool: _PoolQueue, waiting: _QueuedRequest
+    ) -> None:
+        if waiting.admitted.is_set():
             self.leave(Permit(ask, 0.0))
             return
         pool.waiting[ask.urgency][ask.team].remove(waiting)
@@ -282,23 +285,31 @@
 
     def _estimate_wait(self, pool: _PoolQueue) -> float:
         if pool.drain_rate == 0.0:
-            return _MIN_RETRY_S
-        return _bound_retry((pool.queued + 1) / pool.drain_rate)
+            return _MIN_RETRY_AFTER_S
+        return _clamp_retry_after((pool.queued + 1) / pool.drain_rate)
 
 
-def _find_bound(
+def _find_running_limit(
     pool: _PoolQueue, capacity: PoolCapacity, urgency: objects.Urgency
 ) -> int:
-    """Return how many may run in all for one more of this urgency to start."""
+    """Return the running requests below which one of this urgency may start."""
     match urgency:
         case objects.Urgency.URGENT:
             return capacity.running
         case objects.Urgency.INTERACTIVE:
-            return max(1, math.floor(capacity.running * _INTERACTIVE_FILL))
+            return max(
+                1, math.floor(capacity.running * _INTERACTIVE_CAPACITY_FRACTION)
+            )
         case objects.Urgency.DEFERRABLE:
-            foreground = pool.read_foreground(trio.current_time())
-            return max(1, math.floor(capacity.even - _RESERVE * foreground))
-
-
-def _bound_retry(seconds: float) -> float:
-    return min(max(seconds, _MIN_RETRY_S), _MAX_RETRY_S)
+            foreground = pool.measure_foreground(trio.current_time())
+            return max(
+                1,
+                math.floor(
+                    capacity.even_share
+                    - _FOREGROUND_RESERVE_FACTOR * foreground
+                ),
+            )
+
+
+def _clamp_retry_after(retry_after_s: float) -> float:
+    return min(max(retry_after_s, _MIN_RETRY_AFTER_S), _MAX_RETRY_AFTER_S)
--- a/packages/daemon/src/martenquay_daemon/limits/ejection.py
+++ b/packages/daemon/src/martenquay_daemon/limits/ejection.py
@@ -1,4 +1,4 @@
-"""Keep failing runners out for a while, but never most of a pool."""
+"""Outlier ejection of failing runners, with a limit on the ejected part."""
 
 from __future__ import annotations
 
@@ -11,72 +11,71 @@
 __all__ = ["Ejector"]
 
 _LOG = logs.create_log("limits")
-_FAILURES = 3
-_FIRST_S = 1.0
-_LONGEST_S = 30.0
-# A fault of ours or of the network must not empty a pool.
-_MAX_EJECTED = 0.5
+_FAILURES_TO_EJECT = 3
+_MIN_EJECTION_S = 1.0
+_MAX_EJECTION_S = 30.0
+# A fault of the daemon or the network must not eject a whole pool.
+_MAX_EJECTED_FRACTION = 0.5
 
 
 @dataclasses.dataclass
-class _Standing:
+class _RunnerHealth:
     failures: int = 0
     ejected_until: float = 0.0
-    next_s: float = _FIRST_S
+    next_ejection_s: float = _MIN_EJECTION_S
 
 
 class Ejector:
-    """Count failures in a row by runner."""
+    """Ejects runners after consecutive failures, for doubling times."""
 
     def __init__(self) -> None:
-        self._standings: dict[str, _Standing] = {}
+        self._health: dict[str, _RunnerHealth] = {}
 
     def note_success(self, runner: str) -> None:
-        """Note a call that was answered."""
-        self._standings.pop(runner, None)
+        """Record a call that the runner answered."""
+        self._health.pop(runner, None)
 
     def note_failure(self, runner: str) -> None:
-        """Note a call that was not answered."""
-        standing = self._standings.setdefault(runner, _Standing())
-        standing.failures += 1
-        if standing.failures >= _FAILURES:
-            self._eject(runner, standing)
+        """Record a failed call; eject the runner after several in a row."""
+        health = self._health.setdefault(runner, _RunnerHealth())
+        health.failures += 1
+        if health.failures >= _FAILURES_TO_EJECT:
+            self._eject(runner, health)
 
     def note_unreachable(self, runner: str) -> None:
-        """Note that no connection came up, which says enough at once."""
-        standing = self._standings.setdefault(runner, _Standing())
-        self._eject(runner, standing)
-        # It costs little to find out that a connection comes up again.
-        standing.next_s = _FIRST_S
+        """Record a failed connection attempt and eject the runner at once."""
+        health = self._health.setdefault(runner, _RunnerHealth())
+        self._eject(runner, health)
+        # A connection attempt is cheap, so the time doubles no further.
+        health.next_ejection_s = _MIN_EJECTION_S
 
     def forget(self, runner: str) -> None:
-        """Drop what is known of a runner: its process is a new one."""
-        self._standings.pop(runner, None)
+        """Drop a runner's failures, as another process has replaced it."""
+        self._health.pop(runner, None)
 
-    def _eject(self, runner: str, standing: _Standing) -> None:
-        standing.failures = 0
-        standing.ejected_until = trio.current_time() + standing.next_s
+    def _eject(self, runner: str, health: _RunnerHealth) -> None:
+        health.failures = 0
+        health.ejected_until = trio.current_time() + health.next_ejection_s
         _LOG.write(
-            f"Runner {runner} gets no work for {standing.next_s:.0f} s.",
+            f"Runner {runner} is ejected for {health.next_ejection_s:.0f} s.",
             runner=runner,
         )
-        standing.next_s = min(standing.next_s * 2, _LONGEST_S)
+        health.next_ejection_s = min(
+            health.next_ejection_s * 2, _MAX_EJECTION_S
+        )
 
     def is_ejected(self, runner: str) -> bool:
-        """Tell whether the runner is kept out now."""
-        standing = self._standings.get(runner)
-        return (
-            standing is not None
-            and trio.current_time() < standing.ejected_until
-        )
+        """Tell whether the runner is ejected now."""
+        health = self._health.get(runner)
+        return health is not None and trio.current_time() < health.ejected_until
 
     def keep_usable(self, runners: list[str]) -> list[str]:
-        """Return the runners to choose from.
+        """Return the runners that are not ejected.
 
-        When more than half would be kept out, all may be used: then the
-        failures say little about any one of them.
+        If more than half of them are, all are returned, as the cause is then
+        unlikely to be the single runner.
         """
         usable = [name for name in runners if not self.is_ejected(name)]
-        if len(usable) < len(runners) * (1 - _MAX_EJECTED):
+        if len(usable) < len(runners) * (1 - _MAX_EJECTED_FRACTION):
             return runners
         return usable
--- a/packages/daemon/src/martenquay_daemon/limits/retries.py
+++ b/packages/daemon/src/martenquay_daemon/limits/retries.py
@@ -1,30 +1,30 @@
-"""Keep retries a small share of all calls, so that they end no recovery."""
+"""Retry budget, which keeps retries from overloading runners further."""
 
 from __future__ import annotations
 
 __all__ = ["RetryBudget"]
 
-_MAX_SAVED = 20.0
-_START = 5.0
+_MAX_BALANCE = 20.0
+_INITIAL_BALANCE = 5.0
 
 
 class RetryBudget:
-    """A balance that calls fill and retries spend.
+    """Retry budget that first attempts fill and retries spend.
 
     Attributes:
-        balance: Retries that may be made now.
+        balance: Number of retries allowed now.
     """
 
-    def __init__(self, share: float) -> None:
-        self.balance = _START
-        self._share = share
+    def __init__(self, retries_per_call: float) -> None:
+        self.balance = _INITIAL_BALANCE
+        self._retries_per_call = retries_per_call
 
     def note_call(self) -> None:
-        """Note a first try."""
-        self.balance = min(self.balance + self._share, _MAX_SAVED)
+        """Record a first attempt."""
+        self.balance = min(self.balance + self._retries_per_call, _MAX_BALANCE)
 
     def take_retry(self) -> bool:
-        """Spend one retry; tell whether there was one."""
+        """Spend one retry if allowed; tell whether it was."""
         if self.balance < 1.0:
             return False
         self.balance -= 1.0
