--- a/packages/daemon/src/martenquay_daemon/engines/__init__.py
+++ b/packages/daemon/src/martenquay_daemon/engines/__init__.py
@@ -1,1 +1,1 @@
-"""Choose runners: prefix homes, load, and what own results say."""
+"""Load-aware request placement with prefix affinity."""
--- a/packages/daemon/src/martenquay_daemon/engines/demand.py
+++ b/packages/daemon/src/martenquay_daemon/engines/demand.py
@@ -1,4 +1,4 @@
-"""Measure the prompt tokens that callers bring, by service."""
+"""Measure the rate of prompt tokens that arrive, by service."""
 
 from __future__ import annotations
 
@@ -9,58 +9,57 @@
 
 __all__ = ["MEMORY_S", "DemandMeter"]
 
-# Long against the gaps between requests, short against the booting of a
-# runner and the waves of a day.
+# Longer than the gaps between requests, shorter than a cold start of a runner.
 MEMORY_S = 8.0
 
 
 @dataclasses.dataclass
-class _Rate:
-    """What comes for one service, a second.
+class _DemandRate:
+    """Exponentially decaying arrival rates of one service.
 
     Attributes:
-        noted_at: When the figures held, in trio's time.
-        tokens: Prompt tokens.
-        requests: Requests.
+        updated_at: When the rates were last decayed, in trio's time.
+        tokens: Prompt tokens per second.
+        requests: Requests per second.
     """
 
-    noted_at: float
+    updated_at: float
     tokens: float = 0.0
     requests: float = 0.0
 
-    def fade(self) -> None:
-        """Bring the figures to now."""
+    def decay(self) -> None:
+        """Decay the rates up to now."""
         now = trio.current_time()
-        kept = math.exp((self.noted_at - now) / MEMORY_S)
-        self.noted_at = now
-        self.tokens *= kept
-        self.requests *= kept
+        factor = math.exp((self.updated_at - now) / MEMORY_S)
+        self.updated_at = now
+        self.tokens *= factor
+        self.requests *= factor
 
 
 class DemandMeter:
-    """Rates that fade, in tokens a second."""
+    """Arrival rates of prompt tokens by service."""
 
     def __init__(self) -> None:
-        self._rates: dict[str, _Rate] = {}
+        self._rates: dict[str, _DemandRate] = {}
 
     def note(self, service: str, tokens: int) -> None:
-        """Note tokens that an engine of the service has to read."""
-        rate = self._rates.setdefault(service, _Rate(trio.current_time()))
-        rate.fade()
+        """Record the uncached prompt tokens of a request."""
+        rate = self._rates.setdefault(service, _DemandRate(trio.current_time()))
+        rate.decay()
         rate.tokens += tokens / MEMORY_S
         rate.requests += 1 / MEMORY_S
 
     def list_rates(self) -> dict[str, float]:
-        """Return the rates now."""
+        """Return the current rates in tokens per second."""
         for rate in self._rates.values():
-            rate.fade()
+            rate.decay()
         return {
             service: round(rate.tokens, 1)
             for service, rate in self._rates.items()
         }
 
     def find_size(self, service: str) -> float:
-        """Return the tokens of a request lately; 0 if there was none."""
+        """Return the recent mean tokens per request; 0 without requests."""
         rate = self._rates.get(service)
         if rate is None or rate.requests <= 0:
             return 0.0
--- a/packages/daemon/src/martenquay_daemon/engines/lengths.py
+++ b/packages/daemon/src/martenquay_daemon/engines/lengths.py
@@ -1,4 +1,4 @@
-"""Learn how long streams take, by service, from this daemon's results."""
+"""Estimate the duration of streams, by service."""
 
 from __future__ import annotations
 
@@ -6,62 +6,69 @@
 
 __all__ = ["StreamLengths"]
 
-# A mean goes by so many newest streams: a few seconds of a busy daemon, and
-# still those of its callers after a lull.
-_MEMORY = 50.0
-# Fewer say too little: one short stream must not stand for all.
-_LEAST = 5.0
+# Counted in streams and not in time, so that an idle daemon keeps its estimate.
+_MAX_WEIGHT_STREAMS = 50.0
+# A mean over fewer would follow a single short stream.
+_MIN_STREAMS = 5.0
 
 
 @dataclasses.dataclass
-class _Sums:
-    """Sums over streams, of which older ones fade as new ones come."""
+class _StreamSums:
+    """Sums over streams; older streams lose weight as new ones are added."""
 
     streams: float = 0.0
-    begin_s: float = 0.0
+    first_event_s: float = 0.0
     tokens: float = 0.0
-    write_s: float = 0.0
+    generation_s: float = 0.0
 
-    def add(self, begin_s: float, tokens: int, write_s: float) -> None:
+    def add(
+        self, first_event_s: float, tokens: int, generation_s: float
+    ) -> None:
         """Add one stream."""
-        kept = min(1.0, _MEMORY / (self.streams + 1))
-        self.streams = kept * self.streams + 1
-        self.begin_s = kept * self.begin_s + begin_s
-        self.tokens = kept * self.tokens + tokens
-        self.write_s = kept * self.write_s + write_s
+        factor = min(1.0, _MAX_WEIGHT_STREAMS / (self.streams + 1))
+        self.streams = factor * self.streams + 1
+        self.first_event_s = factor * self.first_event_s + first_event_s
+        self.tokens = factor * self.tokens + tokens
+        self.generation_s = factor * self.generation_s + generation_s
 
 
 class StreamLengths:
-    """What streams of each service took."""
+    """Mean stream durations by service, from this daemon's results."""
 
     def __init__(self) -> None:
-        self._sums: dict[str, _Sums] = {}
+        self._sums: dict[str, _StreamSums] = {}
 
     def note(
-        self, service: str, begin_s: float, tokens: int, write_s: float
+        self,
+        service: str,
+        first_event_s: float,
+        tokens: int,
+        generation_s: float,
     ) -> None:
-        """Learn from a stream that came to its end.
+        """Record a completed stream.
 
         Args:
-            service: Whose runner answered.
-            begin_s: From the sending of the request to the first event.
-            tokens: The most tokens that the request asked for.
-            write_s: From the first event to the end.
+            service: Service of the runner.
+            first_event_s: Seconds from sending the request to the first event.
+            tokens: Token limit of the request.
+            generation_s: Seconds from the first event to the end.
         """
-        self._sums.setdefault(service, _Sums()).add(begin_s, tokens, write_s)
+        self._sums.setdefault(service, _StreamSums()).add(
+            first_event_s, tokens, generation_s
+        )
 
     def find_mean_s(self, service: str, tokens: int) -> float | None:
-        """Return the mean time of a stream, from its sending to its end.
+        """Return the mean time from sending a request to the end of its stream.
 
         Args:
-            service: The service to ask.
-            tokens: The most tokens that the request asks for.
+            service: Service of the runner.
+            tokens: Token limit of the request.
 
         Returns:
-            Seconds; None if too few streams have ended.
+            Seconds; None if too few streams have completed.
         """
         sums = self._sums.get(service)
-        if sums is None or sums.streams < _LEAST or sums.tokens <= 0:
+        if sums is None or sums.streams < _MIN_STREAMS or sums.tokens <= 0:
             return None
-        pace_s = sums.write_s / sums.tokens
-        return sums.begin_s / sums.streams + tokens * pace_s
+        token_s = sums.generation_s / sums.tokens
+        return sums.first_event_s / sums.streams + tokens * token_s
--- a/packages/daemon/src/martenquay_daemon/engines/loads.py
+++ b/packages/daemon/src/martenquay_daemon/engines/loads.py
@@ -1,4 +1,4 @@
-"""Count what runs at each runner from here, for the choice of the next."""
+"""Track the load of each runner from this daemon and from gossip."""
 
 from __future__ import annotations
 
@@ -13,19 +13,18 @@
 
 __all__ = ["LoadLedger", "RunnerLoad", "Running"]
 
-# What a daemon tells others of is on average so old when they hear it: half of
-# the time between two of its digests, and the way over a hub. Replayed in five
-# fleets of 6 to 195 daemons, one late request in seven is on time for it.
-_HEARD_AGE_S = 0.25
+# Half of the digest interval plus the delay over a hub; without it, prompts
+# read meanwhile would count as load.
+_MEAN_GOSSIP_AGE_S = 0.25
 
 
 @dataclasses.dataclass
 class RunnerLoad:
-    """What one or more daemons have at a runner.
+    """Load of one or more daemons at a runner.
 
     Attributes:
-        requests: Requests sent and not answered to their end.
-        unread_tokens: Prompt tokens sent that no first event answered yet.
+        requests: Requests in flight.
+        unread_tokens: Uncached prompt tokens of requests without a first event.
     """
 
     requests: int = 0
@@ -33,32 +32,32 @@
 
 
 class Running:
-    """One request at a runner, until its end."""
+    """One request in flight at a runner."""
 
     def __init__(self, load: RunnerLoad, tokens: int) -> None:
         self._load = load
         self._tokens = tokens
 
     def note_first_event(self) -> None:
-        """Note that the prompt has been read."""
+        """Record that the runner has processed the prompt."""
         self._load.unread_tokens -= self._tokens
         self._tokens = 0
 
 
 @dataclasses.dataclass
-class _ToldLoads:
-    """What one source has told, by runner id, and when."""
+class _GossipedLoads:
+    """Loads gossiped by one source, by runner id, and when they arrived."""
 
-    at: float
+    received_at: float
     loads: dict[str, RunnerLoad]
 
 
 class LoadLedger:
-    """Loads by runner id: own ones exactly, other daemons' as last told."""
+    """Loads by runner id: exact for this daemon, last gossiped for others."""
 
     def __init__(self) -> None:
         self._own: dict[str, RunnerLoad] = {}
-        self._others: dict[str, _ToldLoads] = {}
+        self._others: dict[str, _GossipedLoads] = {}
 
     @contextlib.contextmanager
     def count(self, runner_id: str, tokens: int) -> Iterator[Running]:
@@ -76,43 +75,43 @@
                 del self._own[runner_id]
 
     def forget_runner(self, runner_id: str) -> None:
-        """Drop what is known of a runner: its process is a new one.
+        """Drop a runner's load, as another process has replaced it.
 
-        Requests to the process before may still be waited for; they are no
-        load of the new one. Others tell theirs anew within a second.
+        Requests to the former process may still be open here, but are no load
+        of the new one.
         """
         self._own.pop(runner_id, None)
-        for told in self._others.values():
-            told.loads.pop(runner_id, None)
+        for gossiped in self._others.values():
+            gossiped.loads.pop(runner_id, None)
 
     def find(
         self, runner_id: str, read_tokens_per_s: float = 0.0
     ) -> RunnerLoad:
-        """Return the load of all daemons at a runner, as far as known.
+        """Return the estimated load of all daemons at a runner.
 
         Args:
-            runner_id: The runner.
-            read_tokens_per_s: What the runner has read meanwhile of what
-                others told is taken off at this speed. A prompt is read in
-                less time than news of it take in a large fleet.
+            runner_id: Id of the runner.
+            read_tokens_per_s: Prefill speed, by which gossiped unread tokens
+                are reduced for the time since they were reported. In a large
+                fleet, prefill often takes less time than gossip.
         """
         now = trio.current_time()
         total = RunnerLoad()
         token_ages = 0.0
-        for told in self._others.values():
-            load = told.loads.get(runner_id)
+        for gossiped in self._others.values():
+            load = gossiped.loads.get(runner_id)
             if load is not None:
                 total.requests += load.requests
                 total.unread_tokens += load.unread_tokens
-                token_ages += load.unread_tokens * (now - told.at)
+                token_ages += load.unread_tokens * (now - gossiped.received_at)
         if total.unread_tokens > 0:
-            mean_age_s = token_ages / total.unread_tokens + _HEARD_AGE_S
+            mean_age_s = token_ages / total.unread_tokens + _MEAN_GOSSIP_AGE_S
             read = int(read_tokens_per_s * mean_age_s)
             total.unread_tokens = max(0, total.unread_tokens - read)
-        own = self._own.get(runner_id)
-        if own is not None:
-            total.requests += own.requests
-            total.unread_tokens += own.unread_tokens
+        own_load = self._own.get(runner_id)
+        if own_load is not None:
+            total.requests += own_load.requests
+            total.unread_tokens += own_load.unread_tokens
         return total
 
     def list_own(self) -> dict[str, RunnerLoad]:
@@ -120,12 +119,12 @@
         return self._own
 
     def replace_source(self, source: str, loads: dict[str, RunnerLoad]) -> None:
-        """Replace what one source has told of others; empty if it is gone."""
+        """Replace the loads gossiped by a source; empty removes it."""
         if loads:
-            self._others[source] = _ToldLoads(trio.current_time(), loads)
+            self._others[source] = _GossipedLoads(trio.current_time(), loads)
         else:
             self._others.pop(source, None)
 
     def forget_sources(self) -> None:
-        """Forget all that was told of others."""
+        """Drop all gossiped loads."""
         self._others.clear()
--- a/packages/daemon/src/martenquay_daemon/engines/model.py
+++ b/packages/daemon/src/martenquay_daemon/engines/model.py
@@ -1,13 +1,4 @@
-"""Learn how fast the runners of a service are, from all daemons' results.
-
-Placing, waiting and capacity all go by what is learnt here. One daemon of a
-large fleet sees too few results: with two a second its estimate moved by a
-factor of three within a minute, or never stood on enough of them. So daemons
-tell each other sums over theirs, which add up. Results fade, so an estimate
-follows engines that turn slow; until there are enough of them it stays near an
-assumption that is slow enough to be safe for placing, and that `is_learnt`
-keeps from being acted on where a wrong guess costs money.
-"""
+"""Estimate the prefill speed and the request time of a service's runners."""
 
 from __future__ import annotations
 
@@ -18,44 +9,37 @@
 
 __all__ = ["Estimate", "FirstEvent", "PrefillSums", "RunnerModel"]
 
-# Results fade with this time; a runner that is ordered boots in a quarter of
-# it.
-_MEMORY_S = 20.0
-# As many results of all daemons as it takes for an estimate to be acted on.
-_FLOOR = 30.0
-# Fewer than so many of a daemon's own of one urgency do not fade with time
-# alone, only as newer ones come. While everything waits behind queues no result
-# tells of reading; an estimate that faded then had no engine bought just when
-# 34 were needed and 16 were there.
-_KEPT = 10.0
-# What is assumed of an engine before: slower than most, so that prompts are
-# spread rather than stacked. It counts like this many results with prompts
-# that differ by so many tokens.
-_ASSUMED_READ_TOKENS_PER_S = 30_000.0
-_ASSUMED_RESULTS = 10.0
-_ASSUMED_SPREAD_TOKENS = 2_000.0
-# A result tells of reading if no more than this stood before the request's own
-# prompt, beside as much as that itself. Behind a long queue the time tells of
-# the queue: with an engine's slots full and half a million tokens waiting, one
-# daemon took engines for three times as fast as they were.
-_AHEAD_TOKENS = 2_000
-# No engine is slower or faster; noise may say so while prompts are alike.
-_SLOWEST_TOKENS_PER_S = 2_000.0
-_FASTEST_TOKENS_PER_S = 1_000_000.0
-# What a request is assumed to take at its runner: a short plain call. Longer
-# ones are learnt within the first few.
-_ASSUMED_HOLD_S = 0.02
+# Short enough to notice within two cold starts that engines slow down.
+_DECAY_TIME_S = 20.0
+# Fewer results of all daemons don't justify ordering runners.
+_MIN_LEARNT_RESULTS = 30.0
+# This many results of one urgency are kept. Under overload no usable results
+# come, and an estimate that decayed then would stop scale-up.
+_MIN_KEPT_RESULTS = 10.0
+# The prior counts like this many results whose prompts differ by this many
+# tokens. It is slower than most engines, so that prompts are spread out.
+_PRIOR_TOKENS_PER_S = 30_000.0
+_PRIOR_RESULTS = 10.0
+_PRIOR_SPREAD_TOKENS = 2_000.0
+# Results with this many more queued than own tokens are ignored, as their time
+# depends on the queue and would distort the prefill speed.
+_MAX_AHEAD_TOKENS = 2_000
+# Noise may give absurd speeds while all prompts have about the same length.
+_MIN_TOKENS_PER_S = 2_000.0
+_MAX_TOKENS_PER_S = 1_000_000.0
+# Time of a short call; the first results correct it for longer ones.
+_PRIOR_HOLD_S = 0.02
 
 
 @dataclasses.dataclass(frozen=True)
 class FirstEvent:
-    """The first event of a stream, and what stood before it.
+    """Time to first event of a stream, and the prompt tokens ahead of it.
 
     Attributes:
-        own_tokens: Prompt tokens that its engine had to read for it.
-        all_tokens: Those and the ones that the engine had still to read.
-        took_s: From the sending of the request.
-        urgency: Of the request; engines let the more urgent in first.
+        own_tokens: Uncached prompt tokens of the request.
+        all_tokens: The same plus the tokens queued at the engine before it.
+        took_s: Seconds from sending the request to the first event.
+        urgency: Priority of the request, by which engines order their queue.
     """
 
     own_tokens: int
@@ -66,12 +50,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Estimate:
-    """What is believed of one runner of a service.
+    """Estimated performance of one runner of a service.
 
     Attributes:
-        read_tokens_per_s: How fast it reads prompts beside its other work.
-        hold_s: How long a request takes one of its slots.
-        is_learnt: Whether enough results stand behind it.
+        read_tokens_per_s: Prefill speed beside its other work.
+        hold_s: Seconds that a request occupies a slot.
+        is_learnt: Whether enough results support the estimate to act on it.
     """
 
     read_tokens_per_s: float
@@ -81,20 +65,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class PrefillSums:
-    """What some daemons' results say of how fast engines read.
+    """Regression sums from which the prefill speed is estimated.
 
-    The sums are taken around the means of each daemon and urgency, so they add
-    up, whatever requests wait on their way from each daemon and behind more
-    urgent ones. Where long prompts were the less urgent, their wait passed for
-    reading: under overload, 4 s of results at a time, engines seemed to read
-    10,400 to 15,800 tokens a second, and 11,800 to 25,300 within urgencies.
+    The deviations are taken from the means of each daemon and urgency, so that
+    sums can be added and neither network delay nor the wait behind more urgent
+    requests counts as prefill time.
 
     Attributes:
-        results: How many first events count.
-        spread: Sum of the products of the differences of the requests' own
-            tokens and of all that stood before their first events.
-        slowing: Sum of the products of the differences of their own tokens and
-            of their times.
+        results: Number of first events, decayed.
+        spread: Sum of the products of the deviations of own and all tokens.
+        slowing: Sum of the products of the deviations of own tokens and time.
     """
 
     results: float = 0.0
@@ -102,34 +82,33 @@
     slowing: float = 0.0
 
     def add(self, other: PrefillSums) -> PrefillSums:
-        """Return the sums over both's results."""
+        """Return the sums over the results of both."""
         return PrefillSums(
             self.results + other.results,
             self.spread + other.spread,
             self.slowing + other.slowing,
         )
 
-    def find_read_s(self) -> float:
-        """Return the seconds that one more token takes.
+    def find_token_s(self) -> float:
+        """Return the prefill time of one token in seconds.
 
-        The tokens of others are known late and in part, and an error in them
-        would make an engine look faster than it is by half. A request's own
-        tokens are known; how times and all tokens change with them gives a
-        figure without that error.
+        Errors in the queued tokens of other daemons, which are known late,
+        would bias an ordinary regression on all tokens. So the request's own
+        tokens, which are exact, serve as the instrumental variable.
         """
-        assumed = _ASSUMED_RESULTS * _ASSUMED_SPREAD_TOKENS**2
-        over = assumed + self.spread
-        under = assumed / _ASSUMED_READ_TOKENS_PER_S + self.slowing
-        slope = under / over if over > 0 else 0.0
-        slowest, fastest = 1 / _SLOWEST_TOKENS_PER_S, 1 / _FASTEST_TOKENS_PER_S
+        prior_spread = _PRIOR_RESULTS * _PRIOR_SPREAD_TOKENS**2
+        spread_sum = prior_spread + self.spread
+        slowing_sum = prior_spread / _PRIOR_TOKENS_PER_S + self.slowing
+        slope = slowing_sum / spread_sum if spread_sum > 0 else 0.0
+        slowest, fastest = 1 / _MIN_TOKENS_PER_S, 1 / _MAX_TOKENS_PER_S
         return min(max(slope, fastest), slowest)
 
 
 @dataclasses.dataclass
-class _ReadSums:
-    """Sums over first events; `x` is all tokens, `z` a result's own."""
+class _FirstEventSums:
+    """Sums over first events: `z` own tokens, `x` all tokens, `t` seconds."""
 
-    at: float
+    updated_at: float
     count: float = 0.0
     z: float = 0.0
     x: float = 0.0
@@ -137,12 +116,12 @@
     zx: float = 0.0
     zt: float = 0.0
 
-    def fade(self, now: float) -> None:
-        """Let all results fade up to now, but for the last few."""
-        kept = _find_kept(now - self.at, self.count)
-        self.at = now
+    def decay(self, now: float) -> None:
+        """Decay the sums up to now, but keep the weight of a few results."""
+        factor = _find_decay_factor(now - self.updated_at, self.count)
+        self.updated_at = now
         for name in ("count", "z", "x", "t", "zx", "zt"):
-            setattr(self, name, kept * getattr(self, name))
+            setattr(self, name, factor * getattr(self, name))
 
     def add(self, result: FirstEvent) -> None:
         """Add one result."""
@@ -154,8 +133,8 @@
         self.zx += z * x
         self.zt += z * t
 
-    def find_reading(self) -> PrefillSums:
-        """Return what the results say of reading."""
+    def find_prefill_sums(self) -> PrefillSums:
+        """Return the regression sums around the means."""
         if self.count <= 0:
             return PrefillSums()
         return PrefillSums(
@@ -167,93 +146,100 @@
 
 @dataclasses.dataclass
 class _HoldSums:
-    """Sums over requests that ended."""
+    """Sums over completed requests; `total_held_s` is the time in slots."""
 
-    at: float
-    held: float = 0.0
-    ended: float = 0.0
+    updated_at: float
+    total_held_s: float = 0.0
+    ended_requests: float = 0.0
 
-    def fade(self, now: float) -> None:
-        """Let all results fade up to now, but for the last few."""
-        kept = _find_kept(now - self.at, self.ended)
-        self.at = now
-        self.held *= kept
-        self.ended *= kept
+    def decay(self, now: float) -> None:
+        """Decay the sums up to now, but keep the weight of a few results."""
+        factor = _find_decay_factor(now - self.updated_at, self.ended_requests)
+        self.updated_at = now
+        self.total_held_s *= factor
+        self.ended_requests *= factor
 
     def find_hold_s(self) -> float:
-        """Return how long a request takes a slot."""
-        return (self.held + _ASSUMED_HOLD_S) / (self.ended + 1)
+        """Return the mean seconds that a request occupies a slot."""
+        return (self.total_held_s + _PRIOR_HOLD_S) / (self.ended_requests + 1)
 
 
-def _find_kept(elapsed_s: float, count: float) -> float:
-    """Return the part that stays of so many results."""
-    if count <= _KEPT:
+def _find_decay_factor(elapsed_s: float, count: float) -> float:
+    """Return the factor by which sums over this many results decay."""
+    if count <= _MIN_KEPT_RESULTS:
         return 1.0
-    return max(math.exp(-elapsed_s / _MEMORY_S), _KEPT / count)
+    return max(math.exp(-elapsed_s / _DECAY_TIME_S), _MIN_KEPT_RESULTS / count)
 
 
 class RunnerModel:
-    """What is believed of runners, by service."""
+    """Performance estimates by service.
+
+    One daemon of a large fleet sees too few results for a stable estimate, so
+    the daemons share their sums.
+    """
 
     def __init__(self) -> None:
-        self._reads: dict[str, dict[int, _ReadSums]] = {}
-        self._holds: dict[str, _HoldSums] = {}
+        self._first_events: dict[str, dict[int, _FirstEventSums]] = {}
+        self._hold_sums: dict[str, _HoldSums] = {}
         self._others: dict[str, dict[str, PrefillSums]] = {}
 
     def note_first_event(self, service: str, result: FirstEvent) -> None:
-        """Learn from the first event of a stream."""
+        """Record the first event of a stream."""
         ahead = result.all_tokens - result.own_tokens
-        if ahead > result.own_tokens + _AHEAD_TOKENS:
+        if ahead > result.own_tokens + _MAX_AHEAD_TOKENS:
             return
         now = trio.current_time()
-        by_urgency = self._reads.setdefault(service, {})
-        sums = by_urgency.setdefault(result.urgency, _ReadSums(now))
-        sums.fade(now)
+        by_urgency = self._first_events.setdefault(service, {})
+        sums = by_urgency.setdefault(result.urgency, _FirstEventSums(now))
+        sums.decay(now)
         sums.add(result)
 
     def note_end(self, service: str, held_s: float) -> None:
-        """Learn from a request that was answered to its end."""
+        """Record a completed request."""
         now = trio.current_time()
-        sums = self._holds.setdefault(service, _HoldSums(now))
-        sums.fade(now)
-        sums.held += held_s
-        sums.ended += 1
+        sums = self._hold_sums.setdefault(service, _HoldSums(now))
+        sums.decay(now)
+        sums.total_held_s += held_s
+        sums.ended_requests += 1
 
     def find(self, service: str) -> Estimate:
-        """Return what is believed of a service's runners now."""
+        """Return the current estimate for a service's runners."""
         now = trio.current_time()
-        reading = self._find_own(service)
-        hold = self._holds.get(service, _HoldSums(now))
-        hold.fade(now)
-        for told in self._others.values():
-            reading = reading.add(told.get(service, PrefillSums()))
+        prefill = self._find_own_sums(service)
+        hold = self._hold_sums.get(service, _HoldSums(now))
+        hold.decay(now)
+        for gossiped in self._others.values():
+            prefill = prefill.add(gossiped.get(service, PrefillSums()))
         return Estimate(
-            1 / reading.find_read_s(),
+            1 / prefill.find_token_s(),
             hold.find_hold_s(),
-            reading.results >= _FLOOR,
+            prefill.results >= _MIN_LEARNT_RESULTS,
         )
 
     def list_own(self) -> dict[str, PrefillSums]:
-        """Return what this daemon's own results say, by service."""
-        return {service: self._find_own(service) for service in self._reads}
+        """Return this daemon's own regression sums by service."""
+        return {
+            service: self._find_own_sums(service)
+            for service in self._first_events
+        }
 
     def replace_source(
-        self, source: str, reading: dict[str, PrefillSums]
+        self, source: str, prefill: dict[str, PrefillSums]
     ) -> None:
-        """Replace what one source has told of others; empty if it is gone."""
-        if reading:
-            self._others[source] = reading
+        """Replace the sums gossiped by a source; empty removes it."""
+        if prefill:
+            self._others[source] = prefill
         else:
             self._others.pop(source, None)
 
     def forget_sources(self) -> None:
-        """Forget all that was told of others."""
+        """Drop all gossiped sums."""
         self._others.clear()
 
-    def _find_own(self, service: str) -> PrefillSums:
+    def _find_own_sums(self, service: str) -> PrefillSums:
         now = trio.current_time()
         total = PrefillSums()
-        for sums in self._reads.get(service, {}).values():
-            sums.fade(now)
-            total = total.add(sums.find_reading())
+        for sums in self._first_events.get(service, {}).values():
+            sums.decay(now)
+            total = total.add(sums.find_prefill_sums())
         return total
--- a/packages/daemon/src/martenquay_daemon/engines/placer.py
+++ b/packages/daemon/src/martenquay_daemon/engines/placer.py
@@ -1,4 +1,4 @@
-"""Choose the runner that is expected to answer soonest."""
+"""Place requests on the runner with the least expected time to first event."""
 
 from __future__ import annotations
 
@@ -20,28 +20,21 @@
 __all__ = ["Placement", "Placer", "PlacerWeights"]
 
 
-# Beside the home of its prompt a request looks at so many runners, chosen at
-# random. Daemons know of each other's sends late, and if all looked at all
-# runners, all would send to the one that was idle then: replayed with 70
-# daemons before 24 engines at half of their load, 19% of the dearest requests
-# and 36% of chats were late, and 2% and 10% with two.
-_RANDOM = 2
-# A token that the chosen engine has to read counts like so many that wait
-# there already: it holds up all that come behind it, and is paid for again.
-# From 2 to 8 all replays were alike; with 1, more than a third more requests
-# were late before 24 engines.
-_READ_WEIGHT = 3.0
-# A first event that is expected within this part of its target is on time for
-# all that the estimate may be off; then the runner that has least to read for
-# the request is chosen though another would be sooner.
-_CALM_PART = 0.4
-# So many runners of a plain service, chosen at random, are looked at while
-# loads are told through hubs, up to a second late. Many calls end meanwhile,
-# and if all daemons took the runner that was idle then, it would have a queue.
-_PLAIN = 2
-
-
-def _take_all(
+# Random candidates beside the home of the prompt. Loads are gossiped with a
+# delay, so comparing all runners would send all daemons to the same idle one.
+_RANDOM_CANDIDATES = 2
+# An uncached token counts like this many queued ones, as its prefill also
+# delays the requests that come later.
+_PREFILL_WEIGHT = 3.0
+# Below this fraction of the target a request is on time despite estimation
+# errors; then less prefill is preferred to an earlier first event.
+_ON_TIME_FRACTION = 0.4
+# Random candidates of a service without an engine while loads are gossiped over
+# hubs; comparing all runners on old loads would overload the idle one.
+_PLAIN_CANDIDATES = 2
+
+
+def _allow_all_versions(
     service: str, usable: list[runners.Runner]
 ) -> list[runners.Runner]:
     del service
@@ -50,14 +43,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class PlacerWeights:
-    """What each part of the estimate weighs.
+    """Weights of the terms of the estimate, in seconds.
 
     Attributes:
-        slot_s: How much each request at work delays one more, which shares
-            the engine's steps with it.
-        other_zone_s: For a runner in another zone; a round trip there.
-        silent_zone_s: For a runner in a zone from which no daemon is heard:
-            more than the time that a connection is waited for.
+        slot_s: Delay by each running request, which shares the engine's steps.
+        other_zone_s: Round trip to another zone.
+        silent_zone_s: Penalty for a zone from which no daemon is heard; longer
+            than a connection timeout.
     """
 
     slot_s: float = 0.004
@@ -67,17 +59,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class Placement:
-    """The choice and what decided it.
+    """The chosen runner and the estimate for it.
 
     Attributes:
-        runner: The runner.
-        expected_s: The estimate of its first event.
-        uncached_tokens: Prompt tokens that it is expected to read.
-        considered: How many runners there were to choose from.
-        unread_tokens: Prompt tokens that it had still to read before.
-        has_free_slot: Fewer requests than it has slots were there.
-        read_s: What reading its own uncached tokens likely takes.
-        is_learnt: Whether results stand behind the estimates.
+        runner: The chosen runner.
+        expected_s: Expected seconds to the first event.
+        uncached_tokens: Prompt tokens expected not to be in its prefix cache.
+        considered: Number of runners to choose from.
+        unread_tokens: Prompt tokens already queued at the runner.
+        has_free_slot: Whether it had fewer requests than slots.
+        read_s: Expected prefill seconds of the uncached tokens.
+        is_learnt: Whether enough results support the estimate.
     """
 
     runner: runners.Runner
@@ -91,7 +83,7 @@
 
 
 class Placer:
-    """Place requests on runners."""
+    """Chooses runners for the requests of one daemon."""
 
     def __init__(
         self,
@@ -106,7 +98,7 @@
         gate: runner_gate.RunnerAdmission,
         choose_versions: Callable[
             [str, list[runners.Runner]], list[runners.Runner]
-        ] = _take_all,
+        ] = _allow_all_versions,
         weights: PlacerWeights | None = None,
     ) -> None:
         self._gate = gate
@@ -132,11 +124,11 @@
         """Return the best runner of a service that is not excluded.
 
         Args:
-            service: The service; None if the catalog has none of the name.
-            name: Its name.
+            service: The service; None if it is not in the catalog.
+            name: Name of the service.
             call: The request.
-            excluded: Runners that it is not to go to.
-            target_s: Within this its first event is on time.
+            excluded: Ids of runners that must not be chosen.
+            target_s: Target time to the first event in seconds.
         """
         usable = [
             runner
@@ -148,8 +140,8 @@
         )
         if not usable:
             return None
-        kept = set(self._ejector.keep_usable([r.id for r in usable]))
-        candidates = [runner for runner in usable if runner.id in kept]
+        not_ejected = set(self._ejector.keep_usable([r.id for r in usable]))
+        candidates = [runner for runner in usable if runner.id in not_ejected]
         if service is not None and service.engine is not None:
             return self._choose_engine(name, call, candidates, target_s)
         return self._choose_plain(name, candidates)
@@ -167,7 +159,9 @@
         for runner in self._sample(home, candidates):
             uncached = _estimate_uncached(call, is_home=runner is home)
             load = self._ledger.find(runner.id, estimate.read_tokens_per_s)
-            expected_s = self._expect_engine(runner, load, uncached, estimate)
+            expected_s = self._estimate_first_event_s(
+                runner, load, uncached, estimate
+            )
             found = Placement(
                 runner,
                 expected_s,
@@ -186,25 +180,25 @@
     def _find_home(
         self, call: calls.Call, candidates: list[runners.Runner]
     ) -> runners.Runner | None:
-        """Return the runner to which the prompt's shared parts fall.
+        """Return the home of the prompt's shared prefix, if there is one.
 
-        One that takes a request now and then is nobody's home: what shares a
-        prompt would change runners with each turn, and be read again there.
+        A rate-limited runner is never a home: its requests would move to other
+        runners most of the time, without the cached prefix.
         """
-        whole = self._gate.filter_unlimited(candidates)
-        return _choose_home(call, whole) if whole else None
+        unlimited = self._gate.filter_unlimited(candidates)
+        return _choose_prefix_home(call, unlimited) if unlimited else None
 
     def _sample(
         self, home: runners.Runner | None, candidates: list[runners.Runner]
     ) -> list[runners.Runner]:
-        """Return the runners to look at: the home and a few at random."""
-        heard = [
+        """Return the candidates: the home and a few random runners."""
+        reachable = [
             runner
             for runner in candidates
             if not self._is_zone_silent(runner.zone)
         ]
-        rest = [one for one in heard or candidates if one is not home]
-        chosen = self._rng.sample(rest, min(_RANDOM, len(rest)))
+        rest = [one for one in reachable or candidates if one is not home]
+        chosen = self._rng.sample(rest, min(_RANDOM_CANDIDATES, len(rest)))
         return chosen if home is None else [home, *chosen]
 
     def _choose_plain(
@@ -212,19 +206,19 @@
     ) -> Placement:
         hold_s = self._model.find(name).hold_s
 
-        def expect(runner: runners.Runner) -> float:
+        def estimate_s(runner: runners.Runner) -> float:
             load = self._ledger.find(runner.id)
             ahead = load.requests / max(1, runner.slots)
             jitter = self._rng.random() * self._weights.other_zone_s / 4
-            return ahead * hold_s + self._expect_way(runner) + jitter
+            return ahead * hold_s + self._estimate_network_s(runner) + jitter
 
         looked_at = candidates
-        if len(candidates) > _PLAIN and not self._are_loads_fresh():
-            looked_at = self._rng.sample(candidates, _PLAIN)
-        best = min(looked_at, key=expect)
-        return Placement(best, expect(best), 0, len(candidates))
+        if len(candidates) > _PLAIN_CANDIDATES and not self._are_loads_fresh():
+            looked_at = self._rng.sample(candidates, _PLAIN_CANDIDATES)
+        best = min(looked_at, key=estimate_s)
+        return Placement(best, estimate_s(best), 0, len(candidates))
 
-    def _expect_engine(
+    def _estimate_first_event_s(
         self,
         runner: runners.Runner,
         load: loads.RunnerLoad,
@@ -232,18 +226,17 @@
         estimate: model.Estimate,
     ) -> float:
         to_read = load.unread_tokens + uncached
-        # Beyond its slots an engine begins a request only when another ends;
-        # without this a home with a queue of seconds looked like a good one.
+        # Without this term a home whose slots are all busy would look fast.
         waiting = max(0, load.requests + 1 - runner.slots)
         slot_wait_s = waiting * estimate.hold_s / max(1, runner.slots)
         return (
             to_read / estimate.read_tokens_per_s
             + slot_wait_s
             + load.requests * self._weights.slot_s
-            + self._expect_way(runner)
+            + self._estimate_network_s(runner)
         )
 
-    def _expect_way(self, runner: runners.Runner) -> float:
+    def _estimate_network_s(self, runner: runners.Runner) -> float:
         if runner.zone == self._zone:
             return 0.0
         if self._is_zone_silent(runner.zone):
@@ -252,19 +245,19 @@
 
 
 def _rank(placement: Placement, target_s: float) -> tuple[float, float]:
-    """Return what is to be least: lateness, then time with reading weighed."""
-    late_s = max(0.0, placement.expected_s - _CALM_PART * target_s)
-    more_s = (_READ_WEIGHT - 1) * placement.read_s
-    return late_s, placement.expected_s + more_s
+    """Return the sort key: lateness, then time with prefill weighted."""
+    late_s = max(0.0, placement.expected_s - _ON_TIME_FRACTION * target_s)
+    extra_s = (_PREFILL_WEIGHT - 1) * placement.read_s
+    return late_s, placement.expected_s + extra_s
 
 
-def _choose_home(
+def _choose_prefix_home(
     call: calls.Call, candidates: list[runners.Runner]
 ) -> runners.Runner | None:
-    """Return the runner to which the prompt's shared parts fall.
+    """Return the home of the prompt's shared prefix by rendezvous hashing.
 
-    The last part belongs to the request alone; the one before it decides,
-    so that all daemons send what shares it to one runner.
+    The last part belongs to the request alone, so the key is the part before
+    it; all daemons then choose the same home.
     """
     if len(call.prompt) < 2:
         return None
@@ -275,10 +268,10 @@
 
 
 def _estimate_uncached(call: calls.Call, *, is_home: bool) -> int:
-    """Return the tokens that a runner likely has to read.
+    """Return the prompt tokens that a runner likely has not cached.
 
-    The first of several shared parts is common to many prompts, so any
-    runner has it; the others are at the prompt's home.
+    The first shared part is common to many prompts, so every runner is assumed
+    to have it; later shared parts are only at the prompt's home.
     """
     shared = call.prompt[:-1]
     cached = shared if is_home else shared[:-1]
