--- a/packages/daemon/src/martenquay_daemon/routing/__init__.py
+++ b/packages/daemon/src/martenquay_daemon/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Choose a runner for each request."""
+"""Placement of model requests on runners by load and cached prefix."""
--- a/packages/daemon/src/martenquay_daemon/routing/feeds.py
+++ b/packages/daemon/src/martenquay_daemon/routing/feeds.py
@@ -1,4 +1,4 @@
-"""Read engines' loads and cache events, one task a runner."""
+"""Poll the load and follow the cache events of model runners."""
 
 from __future__ import annotations
 
@@ -21,16 +21,15 @@
 __all__ = ["RunnerFeeds", "choose_watched"]
 
 _LOG = logs.create_log("routing")
-_REVIEW_S = 0.5
-_RETRY_S = 1.0
-_EVENT_WAIT_S = 10.0
-# More than these would cost a node more than its share; the others are known
-# from the daemon's own placements and their homes.
+_UPDATE_INTERVAL_S = 0.5
+_RETRY_DELAY_S = 1.0
+_EVENT_TIMEOUT_S = 10.0
+# Bounds the cost of a daemon; other runners are known from its placements only.
 MAX_WATCHED = 16
 
 
 class RunnerFeeds:
-    """Watch a bounded number of model runners."""
+    """Updates loads and prefix index from a bounded number of runners."""
 
     def __init__(
         self,
@@ -52,26 +51,26 @@
         self._scopes: dict[str, trio.CancelScope] = {}
 
     async def run(self) -> None:
-        """Start and stop a task a runner as runners come and go."""
-        # The tasks of a run that failed have ended with it; a runner that
-        # were still noted would never be watched again.
+        """Start and stop one task per runner as runners come and go."""
+        # The tasks of a failed run have ended with it; their runners would not
+        # be watched again if they were still listed.
         self._scopes.clear()
         async with trio.open_nursery() as nursery:
             while True:
-                self._review(nursery)
-                await trio.sleep(_REVIEW_S)
+                self._update_watches(nursery)
+                await trio.sleep(_UPDATE_INTERVAL_S)
 
-    def _review(self, nursery: trio.Nursery) -> None:
+    def _update_watches(self, nursery: trio.Nursery) -> None:
         models = [r for r in self._runners.list_all() if self._is_model(r)]
         chosen = choose_watched(self._member, [r.name for r in models])
-        wanted = {r.name: r for r in models if r.name in chosen}
-        for name in set(self._scopes) - set(wanted):
+        watched_runners = {r.name: r for r in models if r.name in chosen}
+        for name in set(self._scopes) - set(watched_runners):
             self._scopes.pop(name).cancel()
             self._index.forget_runner(name)
             self._loads.forget(name)
-        for name in set(wanted) - set(self._scopes):
+        for name in set(watched_runners) - set(self._scopes):
             scope = self._scopes[name] = trio.CancelScope()
-            nursery.start_soon(self._watch, wanted[name], scope)
+            nursery.start_soon(self._watch, watched_runners[name], scope)
 
     def _is_model(self, runner: instances.Instance) -> bool:
         pool = self._config.find_pool(runner.partner, runner.pool)
@@ -98,15 +97,15 @@
         number = 0
         while True:
             events = await self._client.read_events(
-                runner.address, number, _EVENT_WAIT_S
+                runner.address, number, _EVENT_TIMEOUT_S
             )
             match events:
                 case Result(tag="ok", ok=found):
-                    number = await self._take_events(runner, number, found)
+                    number = await self._apply_events(runner, number, found)
                 case _:
-                    await trio.sleep(_RETRY_S)
+                    await trio.sleep(_RETRY_DELAY_S)
 
-    async def _take_events(
+    async def _apply_events(
         self,
         runner: instances.Instance,
         number: int,
@@ -114,18 +113,18 @@
     ) -> int:
         for event in events:
             if event.number != number + 1:
-                return await self._list_again(runner, number)
+                return await self._resync(runner, number)
             number = event.number
             self._index.note_dropped(runner.name, event.removed)
             self._index.note_held(runner.name, event.added)
         return number
 
-    async def _list_again(self, runner: instances.Instance, number: int) -> int:
+    async def _resync(self, runner: instances.Instance, number: int) -> int:
         listed = await self._client.list_blocks(runner.address)
         if listed.is_error():
             return number
         _LOG.write(
-            f"Cache events of {runner.name} have a gap; listed it again.",
+            f"Cache events of {runner.name} have a gap; relisted its blocks.",
             runner=runner.name,
         )
         self._index.replace_runner(runner.name, listed.ok.blocks)
@@ -133,7 +132,7 @@
 
 
 def choose_watched(member: str, runners: list[str]) -> set[str]:
-    """Return the runners that a daemon watches, others at other daemons."""
+    """Return the runners that a daemon watches, chosen by rendezvous hash."""
     if len(runners) <= MAX_WATCHED:
         return set(runners)
     return set(rendezvous.rank_candidates(member, runners)[:MAX_WATCHED])
--- a/packages/daemon/src/martenquay_daemon/routing/loads.py
+++ b/packages/daemon/src/martenquay_daemon/routing/loads.py
@@ -1,4 +1,4 @@
-"""Estimate how busy each runner is from late reports and own placements."""
+"""Estimate the load of runners from delayed reports and own placements."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 
 __all__ = ["LoadBook", "RunnerLoad"]
 
-_DEFAULT_SERVICE_S = 1.0
-_DEFAULT_PREFILL_TOKENS_S = 20_000.0
+_DEFAULT_SERVICE_TIME_S = 1.0
+_DEFAULT_PREFILL_TOKENS_PER_S = 20_000.0
 _DECAY = 0.9
 
 
 @dataclasses.dataclass
 class RunnerLoad:
-    """What is known of one runner's load.
+    """Load of one runner; times are trio's, in seconds.
 
     Attributes:
-        running: Requests worked on, by the last report.
-        queued: Requests waiting there, by the last report.
-        reported_at: When that report came, in trio's time.
-        placed_since: Own placements since then, as times.
-        in_flight: Own requests there now.
-        service_s: Mean time of a request there.
-        prefill_tokens_s: Measured speed of reading prompts.
-        is_gone: The runner is off the list.
+        running: Running requests in the last report.
+        queued: Queued requests in the last report.
+        reported_at: When the last report arrived.
+        placed_since: Times of this daemon's placements not in a report yet.
+        in_flight: Requests of this daemon at the runner.
+        service_s: Mean time of a request.
+        prefill_tokens_s: Mean prefill speed in tokens per second.
+        is_gone: Whether the runner is no longer listed.
     """
 
     running: int = 0
@@ -36,37 +36,37 @@
         default_factory=collections.deque
     )
     in_flight: int = 0
-    service_s: float = _DEFAULT_SERVICE_S
-    prefill_tokens_s: float = _DEFAULT_PREFILL_TOKENS_S
+    service_s: float = _DEFAULT_SERVICE_TIME_S
+    prefill_tokens_s: float = _DEFAULT_PREFILL_TOKENS_PER_S
     is_gone: bool = False
 
 
 class LoadBook:
-    """The loads of all runners as this daemon sees them."""
+    """Loads of all runners as estimated by this daemon."""
 
     def __init__(self, lag_s: float = 0.5) -> None:
         self._lag_s = lag_s
         self._loads: dict[str, RunnerLoad] = {}
 
     def get(self, runner: str) -> RunnerLoad:
-        """Return a runner's load."""
+        """Return the load of a runner, which is created if unknown."""
         load = self._loads.get(runner)
         if load is None:
             load = self._loads[runner] = RunnerLoad()
         return load
 
     def note_report(self, runner: str, running: int, queued: int) -> None:
-        """Take in a report; it shows the runner as of some time ago."""
+        """Record a report, which omits placements of the last `lag_s`."""
         load = self.get(runner)
         load.running = running
         load.queued = queued
         load.reported_at = trio.current_time()
-        shown_until = load.reported_at - self._lag_s
-        while load.placed_since and load.placed_since[0] <= shown_until:
+        reported_until = load.reported_at - self._lag_s
+        while load.placed_since and load.placed_since[0] <= reported_until:
             load.placed_since.popleft()
 
     def note_placed(self, runner: str) -> None:
-        """Note an own request that goes to a runner."""
+        """Record a request of this daemon sent to a runner."""
         load = self.get(runner)
         load.in_flight += 1
         load.placed_since.append(trio.current_time())
@@ -74,7 +74,7 @@
             load.placed_since.popleft()
 
     def note_done(self, runner: str, service_s: float | None) -> None:
-        """Note that an own request has left a runner."""
+        """Record the end of a request of this daemon."""
         load = self.get(runner)
         load.in_flight -= 1
         while len(load.placed_since) > load.in_flight:
@@ -84,7 +84,7 @@
         self._drop_if_idle(runner, load)
 
     def note_prefill(self, runner: str, tokens: int, seconds: float) -> None:
-        """Note how fast a prompt was read on a runner with a free slot."""
+        """Record the prefill time of a prompt on a runner with a free slot."""
         if tokens <= 0 or seconds <= 0:
             return
         load = self.get(runner)
@@ -94,13 +94,13 @@
         )
 
     def count_ahead(self, runner: str) -> int:
-        """Return how many requests are at a runner, as well as is known."""
+        """Return the estimated number of requests at a runner."""
         load = self.get(runner)
         reported = load.running + load.queued + len(load.placed_since)
         return max(reported, load.in_flight)
 
     def forget(self, runner: str) -> None:
-        """Drop a runner that is gone, once its own requests are done."""
+        """Drop a runner once the requests of this daemon have ended."""
         load = self._loads.get(runner)
         if load is None:
             return
--- a/packages/daemon/src/martenquay_daemon/routing/placement.py
+++ b/packages/daemon/src/martenquay_daemon/routing/placement.py
@@ -1,11 +1,4 @@
-"""Place a model request where its first token is expected soonest.
-
-The estimate adds the queue ahead, the prompt tokens that are not cached, the
-way to another zone and the price of the class. Only a few candidates are
-looked at: runners that hold the prompt's prefix, the prefix's home runners,
-and some at random, so that the cost does not grow with the pool and many
-daemons with the same late reports do not all choose the same runner.
-"""
+"""Place model requests on the runner with the least expected cost."""
 
 from __future__ import annotations
 
@@ -25,26 +18,26 @@
 
 __all__ = ["Candidate", "ModelAsk", "Placement", "Placer", "PlacerWeights"]
 
-_HOMES = 2
-_RANDOM = 2
-# The depth at which prompts that share a beginning get the same home: long
-# enough to tell orders apart, short enough that a longer one still matches.
+_HOME_CANDIDATES = 2
+_RANDOM_CANDIDATES = 2
+# Blocks of a prompt that decide its home. More would give prompts with a common
+# prefix different homes.
 _HOME_BLOCKS = 4
-# A lent runner is used while less than this part of its slots is busy.
-_IDLE_OTHERS = 0.5
-_IDLE_DEFERRABLE = 0.25
+# Runners of other partners with more busy slots are left to their owners.
+_MAX_LENT_BUSY_FRACTION = 0.5
+_MAX_LENT_BUSY_FRACTION_DEFERRABLE = 0.25
 
 
 @dataclasses.dataclass(frozen=True)
 class PlacerWeights:
-    """What each part of the estimate weighs.
+    """Weights of the terms of the cost estimate.
 
     Attributes:
-        same_region_s: Seconds for another zone of the same partner.
-        other_region_s: Seconds for a zone of another partner.
-        price_s: Seconds for each unit of price above the cheapest.
-        queue: Factor on the expected wait.
-        prefill: Factor on the time to read what is not cached.
+        same_region_s: Seconds added for another zone of the same partner.
+        other_region_s: Seconds added for a zone of another partner.
+        price_s: Seconds added per unit of price above the cheapest.
+        queue: Factor of the expected queueing time.
+        prefill: Factor of the prefill time of uncached tokens.
     """
 
     same_region_s: float = 0.003
@@ -56,15 +49,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class ModelAsk:
-    """What has to be placed.
+    """A model request to be placed.
 
     Attributes:
-        partner: The partner whose pool is asked for.
-        pool: The pool.
+        partner: Partner that owns the pool.
+        pool: Name of the pool.
         chain: Hashes of the prompt's blocks.
-        prompt_tokens: Tokens of the prompt.
-        excluded: Runners that have failed this request.
-        may_wait: It may wait, so it borrows only what lies idle.
+        prompt_tokens: Number of prompt tokens.
+        excluded: Runners on which this request has failed.
+        is_deferrable: Whether it may wait; it then uses only lent runners that
+            are mostly idle.
     """
 
     partner: str
@@ -72,18 +66,18 @@
     chain: list[int]
     prompt_tokens: int
     excluded: frozenset[str] = frozenset()
-    may_wait: bool = False
+    is_deferrable: bool = False
 
 
 @dataclasses.dataclass(frozen=True)
 class Candidate:
-    """One runner that was looked at.
+    """A runner considered for a request.
 
     Attributes:
-        runner: The runner's name.
-        ahead: Requests ahead of this one there.
-        cached_tokens: Tokens of the prompt that it should hold.
-        cost_s: The estimate, in seconds.
+        runner: Name of the runner.
+        ahead: Requests running or queued there.
+        cached_tokens: Prompt tokens expected to be in its cache.
+        cost_s: Estimated cost in seconds.
     """
 
     runner: str
@@ -94,13 +88,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Placement:
-    """The choice.
+    """The chosen runner and the candidates.
 
     Attributes:
-        runner: The instance chosen.
+        runner: The chosen runner.
         chosen: Its estimate.
-        is_borrowed: The runner belongs to another partner.
-        considered: All that were looked at, the chosen one too.
+        is_borrowed: Whether the runner belongs to another partner.
+        considered: All candidates with their estimates, the chosen included.
     """
 
     runner: instances.Instance
@@ -109,7 +103,7 @@
     is_borrowed: bool = False
 
     def explain(self) -> str:
-        """Return the reason in a few words."""
+        """Return the reason of the choice, for the log."""
         chosen = self.chosen
         return (
             f"{chosen.ahead} ahead, {chosen.cached_tokens} tokens cached, "
@@ -119,7 +113,12 @@
 
 
 class Placer:
-    """Choose runners for one daemon."""
+    """Chooses runners for the model requests of one daemon.
+
+    Only runners that hold the prefix, the prefix's homes and a few random ones
+    are considered, so that the cost does not grow with the pool and daemons
+    with the same old reports don't all choose the same runner.
+    """
 
     def __init__(
         self,
@@ -142,8 +141,8 @@
         self._ring_version = -1
 
     def place(self, ask: ModelAsk) -> Placement | None:
-        """Return the best runner, or None if there is none to be had."""
-        names = self._choose_names(ask)
+        """Return the cheapest runner, or None if none is usable."""
+        names = self._choose_candidates(ask)
         if not names:
             return None
         held = self._index.measure_held(ask.chain)
@@ -157,35 +156,37 @@
         is_borrowed = runner.partner != ask.partner
         return Placement(runner, chosen, considered, is_borrowed)
 
-    def _choose_names(self, ask: ModelAsk) -> dict[str, instances.Instance]:
+    def _choose_candidates(
+        self, ask: ModelAsk
+    ) -> dict[str, instances.Instance]:
         own = self._runners.list_pool(ask.partner, ask.pool)
         found: dict[str, instances.Instance] = {}
         if own:
-            for name in self._suggest(ask, own):
-                self._add(ask, found, self._runners.find(name))
+            for name in self._suggest_names(ask, own):
+                self._add_usable(ask, found, self._runners.find(name))
         if not found:
-            for runner in self._ejector_view(own):
-                self._add(ask, found, runner)
+            for runner in self._filter_ejected(own):
+                self._add_usable(ask, found, runner)
         if not any(self._has_room(runner) for runner in found.values()):
-            self._add_lent(ask, found)
+            self._add_idle_lent(ask, found)
         return found
 
     def _has_room(self, runner: instances.Instance) -> bool:
         return self._loads.count_ahead(runner.name) < runner.slots
 
-    def _suggest(
+    def _suggest_names(
         self, ask: ModelAsk, own: list[instances.Instance]
     ) -> list[str]:
         names = list(self._index.measure_held(ask.chain))
         if ask.chain:
             key = ask.chain[min(len(ask.chain), _HOME_BLOCKS) - 1]
             home_ring = self._find_ring(ask, own)
-            names.extend(home_ring.find_homes(key, _HOMES))
-        count = min(_RANDOM, len(own))
+            names.extend(home_ring.find_homes(key, _HOME_CANDIDATES))
+        count = min(_RANDOM_CANDIDATES, len(own))
         names.extend(runner.name for runner in self._rng.sample(own, count))
         return names
 
-    def _add(
+    def _add_usable(
         self,
         ask: ModelAsk,
         found: dict[str, instances.Instance],
@@ -200,19 +201,18 @@
         if not self._ejector.is_ejected(runner.name):
             found[runner.name] = runner
 
-    def _ejector_view(
+    def _filter_ejected(
         self, own: list[instances.Instance]
     ) -> list[instances.Instance]:
         usable = set(self._ejector.keep_usable([runner.name for runner in own]))
         return [runner for runner in own if runner.name in usable]
 
-    def _add_lent(
+    def _add_idle_lent(
         self, ask: ModelAsk, found: dict[str, instances.Instance]
     ) -> None:
-        """Add lent runners that lie idle, within this daemon's even part.
+        """Add idle runners lent by other partners, up to this daemon's share.
 
-        The lender's own requests come first: a runner that is half busy gets
-        no more, and the engine is told a lower priority.
+        Busy runners are skipped, as the lender's own requests come first.
         """
         lent = self._runners.list_lent(ask.partner, ask.pool)
         if not lent:
@@ -221,11 +221,23 @@
         in_use = sum(self._loads.get(r.name).in_flight for r in lent)
         if in_use + 1 > max(1.0, slots / self._runners.count_daemons()):
             return
-        busy = _IDLE_DEFERRABLE if ask.may_wait else _IDLE_OTHERS
-        for runner in self._rng.sample(lent, min(_RANDOM, len(lent))):
-            is_idle = self._loads.count_ahead(runner.name) < runner.slots * busy
-            is_kept_out = self._ejector.is_ejected(runner.name)
-            if is_idle and not is_kept_out and runner.name not in ask.excluded:
+        max_busy = (
+            _MAX_LENT_BUSY_FRACTION_DEFERRABLE
+            if ask.is_deferrable
+            else _MAX_LENT_BUSY_FRACTION
+        )
+        for runner in self._rng.sample(
+            lent, min(_RANDOM_CANDIDATES, len(lent))
+        ):
+            is_idle = (
+                self._loads.count_ahead(runner.name) < runner.slots * max_busy
+            )
+            is_runner_ejected = self._ejector.is_ejected(runner.name)
+            if (
+                is_idle
+                and not is_runner_ejected
+                and runner.name not in ask.excluded
+            ):
                 found[runner.name] = runner
 
     def _estimate(
@@ -241,7 +253,7 @@
         cached = min(held_blocks * blocks.BLOCK_TOKENS, ask.prompt_tokens)
         waiting = max(0, ahead + 1 - runner.slots)
         cost_s = weights.queue * waiting * load.service_s / runner.slots
-        # Even with a free slot, each request slows the batch a little.
+        # Each running request slows the batch even while slots are free.
         cost_s += weights.queue * 0.01 * ahead / runner.slots
         uncached = ask.prompt_tokens - cached
         cost_s += weights.prefill * uncached / load.prefill_tokens_s
@@ -258,9 +270,9 @@
         if self._ring_version != self._runners.version:
             self._rings.clear()
             self._ring_version = self._runners.version
-        place = (ask.partner, ask.pool)
-        found = self._rings.get(place)
+        pool_key = (ask.partner, ask.pool)
+        found = self._rings.get(pool_key)
         if found is None:
             names = [runner.name for runner in own]
-            found = self._rings[place] = ring.RunnerRing(names)
+            found = self._rings[pool_key] = ring.RunnerRing(names)
         return found
--- a/packages/daemon/src/martenquay_daemon/routing/prefixes.py
+++ b/packages/daemon/src/martenquay_daemon/routing/prefixes.py
@@ -1,9 +1,4 @@
-"""Know, without certainty, which runners hold which prompt prefixes.
-
-What is known comes from the daemon's own placements and from the engines'
-cache events, which come late and with gaps. A wrong entry costs a prompt
-read again, never a wrong answer.
-"""
+"""Approximate index of the prompt prefixes in runners' caches."""
 
 from __future__ import annotations
 
@@ -12,23 +7,27 @@
 __all__ = ["PrefixIndex"]
 
 _MAX_HOLDERS = 4
-_DEFAULT_BLOCKS = 80_000
+_DEFAULT_MAX_BLOCKS = 80_000
 
 
 class PrefixIndex:
-    """Map block hashes to the few runners that hold them."""
+    """Maps block hashes to the few runners that hold them.
+
+    Entries come from placements and late cache events, so they may be wrong;
+    a wrong entry costs a repeated prefill only.
+    """
 
-    def __init__(self, max_blocks: int = _DEFAULT_BLOCKS) -> None:
+    def __init__(self, max_blocks: int = _DEFAULT_MAX_BLOCKS) -> None:
         self._max_blocks = max_blocks
-        # The holder that was noted last comes last.
+        # Holders in order of insertion, so that the oldest is evicted first.
         self._holders: OrderedDict[int, tuple[str, ...]] = OrderedDict()
 
     def __len__(self) -> int:
-        """Return how many blocks are known."""
+        """Return the number of indexed blocks."""
         return len(self._holders)
 
     def note_held(self, runner: str, blocks: list[int]) -> None:
-        """Note that a runner holds these blocks."""
+        """Record that a runner holds these blocks."""
         for block in blocks:
             known = self._holders.get(block, ())
             if not known or known[-1] != runner:
@@ -39,34 +38,34 @@
             self._holders.popitem(last=False)
 
     def note_dropped(self, runner: str, blocks: list[int]) -> None:
-        """Note that a runner holds these blocks no longer."""
+        """Record that a runner has evicted these blocks."""
         for block in blocks:
             known = self._holders.get(block)
             if known is None or runner not in known:
                 continue
-            rest = tuple(name for name in known if name != runner)
-            if rest:
-                self._holders[block] = rest
+            remaining = tuple(name for name in known if name != runner)
+            if remaining:
+                self._holders[block] = remaining
             else:
                 del self._holders[block]
 
     def forget_runner(self, runner: str) -> None:
-        """Note that a runner holds nothing."""
+        """Remove all blocks of a runner."""
         held = [
             block for block, names in self._holders.items() if runner in names
         ]
         self.note_dropped(runner, held)
 
     def replace_runner(self, runner: str, blocks: list[int]) -> None:
-        """Note exactly what a runner holds, after a gap in its events."""
+        """Replace the blocks of a runner, after a gap in its events."""
         self.forget_runner(runner)
         self.note_held(runner, blocks)
 
     def measure_held(self, chain: list[int]) -> dict[str, int]:
-        """Return how many leading blocks each runner holds.
+        """Return how many leading blocks of a prompt each runner holds.
 
-        Only the runners that hold the deepest known block and those met on
-        the way to it are counted, so the cost does not grow with the pool.
+        The search runs from the last block and stops after a few runners, so
+        its cost does not grow with the pool.
         """
         held: dict[str, int] = {}
         for depth in range(len(chain), 0, -1):
