--- a/tests/test_backpressure/__init__.py
+++ b/tests/test_backpressure/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the backpressure family."""
+"""Tests of backpressure from runners."""
--- a/tests/test_backpressure/test_drain_reports.py
+++ b/tests/test_backpressure/test_drain_reports.py
@@ -1,4 +1,4 @@
-"""What a process of a runner has said of its leaving holds for that process."""
+"""A drain report holds for its process whatever the runner's entry says."""
 
 from __future__ import annotations
 
@@ -13,43 +13,43 @@
 _RUNNER = builders.build_runner(born_ms=7)
 
 
-class LeavingWordsTest(clocked.ClockedTestCase):
-    def test_a_process_that_has_said_so_leaves_for_good(self) -> None:
+class DrainReportsTest(clocked.ClockedTestCase):
+    def test_a_reported_process_drains_until_it_ends(self) -> None:
         async def scenario() -> None:
-            words = drain_reports.DrainReports()
-            words.note_answer(_RUNNER)
+            reports = drain_reports.DrainReports()
+            reports.note_answer(_RUNNER)
             await trio.sleep(600.0)
-            self.assertTrue(words.holds(_RUNNER))
+            self.assertTrue(reports.holds(_RUNNER))
 
         self.run_clocked(scenario)
 
-    def test_the_next_process_does_not_leave(self) -> None:
+    def test_the_next_process_is_not_draining(self) -> None:
         async def scenario() -> None:
-            words = drain_reports.DrainReports()
-            words.note_answer(_RUNNER)
+            reports = drain_reports.DrainReports()
+            reports.note_answer(_RUNNER)
             fresh = builders.build_runner(born_ms=8)
-            self.assertFalse(words.holds(fresh))
-            words.note_answer(fresh)
-            self.assertTrue(words.holds(fresh))
-            # An older daemon's news of the process before changes nothing.
-            words.apply_gossip({_RUNNER.id: 7})
-            self.assertTrue(words.holds(fresh))
+            self.assertFalse(reports.holds(fresh))
+            reports.note_answer(fresh)
+            self.assertTrue(reports.holds(fresh))
+            # Old gossip about the former process changes nothing.
+            reports.apply_gossip({_RUNNER.id: 7})
+            self.assertTrue(reports.holds(fresh))
 
         self.run_clocked(scenario)
 
-    def test_others_are_told_for_a_while(self) -> None:
+    def test_reports_are_gossiped_for_a_limited_time(self) -> None:
         async def scenario() -> None:
-            words = drain_reports.DrainReports()
-            words.note_answer(_RUNNER)
+            reports = drain_reports.DrainReports()
+            reports.note_answer(_RUNNER)
             other = drain_reports.DrainReports()
-            other.apply_gossip(words.list_recent_reports())
+            other.apply_gossip(reports.list_recent_reports())
             self.assertTrue(other.holds(_RUNNER))
             await trio.sleep(31.0)
-            self.assertEqual({}, words.list_recent_reports())
+            self.assertEqual({}, reports.list_recent_reports())
 
         self.run_clocked(scenario)
 
-    def test_no_entry_brings_it_back(self) -> None:
+    def test_no_entry_overrides_a_drain_report(self) -> None:
         async def scenario() -> None:
             records = builders.FakeRecords()
             directory = runner_directory.RunnerDirectory(
@@ -71,11 +71,11 @@
 
     def test_memory_is_bounded(self) -> None:
         async def scenario() -> None:
-            words = drain_reports.DrainReports()
+            reports = drain_reports.DrainReports()
             for number in range(5000):
-                words.note_answer(builders.build_runner(id=f"r-{number}"))
-            self.assertTrue(words.holds(builders.build_runner(id="r-4999")))
-            self.assertFalse(words.holds(builders.build_runner(id="r-0")))
-            self.assertEqual(32, len(words.list_recent_reports()))
+                reports.note_answer(builders.build_runner(id=f"r-{number}"))
+            self.assertTrue(reports.holds(builders.build_runner(id="r-4999")))
+            self.assertFalse(reports.holds(builders.build_runner(id="r-0")))
+            self.assertEqual(32, len(reports.list_recent_reports()))
 
         self.run_clocked(scenario)
--- a/tests/test_backpressure/test_send_order.py
+++ b/tests/test_backpressure/test_send_order.py
@@ -1,4 +1,4 @@
-"""All daemons put each other in the same order for a runner."""
+"""All daemons compute the same ranks of senders to a runner."""
 
 from __future__ import annotations
 
@@ -11,56 +11,61 @@
 _ZONES = {"entry-0": "a", "entry-1": "b", "entry-2": "b", "entry-3": "c"}
 
 
-def _build(instance: str) -> tuple[send_order.SenderRanking, roster.Roster]:
-    known = roster.Roster(instance)
+def _build_ranking(
+    instance: str,
+) -> tuple[send_order.SenderRanking, roster.Roster]:
+    daemons = roster.Roster(instance)
     for offset, (name, zone) in enumerate(_ZONES.items()):
-        known.note_listed(name, offset, is_counted=True, zone=zone)
-    return send_order.SenderRanking(instance, known), known
+        daemons.note_listed(name, offset, is_counted=True, zone=zone)
+    return send_order.SenderRanking(instance, daemons), daemons
 
 
 class SendOrderTest(clocked.ClockedTestCase):
-    def test_each_has_a_rank_of_its_own_and_the_runners_zone_is_first(
+    def test_ranks_are_unique_and_the_runners_zone_is_first(
         self,
     ) -> None:
         async def scenario() -> None:
-            places = {
-                name: _build(name)[0].find_rank(_RUNNER) for name in _ZONES
+            ranks_by_name = {
+                name: _build_ranking(name)[0].find_rank(_RUNNER)
+                for name in _ZONES
             }
-            ranks = sorted(one.rank for one in places.values())
+            ranks = sorted(rank.rank for rank in ranks_by_name.values())
             self.assertEqual([0, 1, 2, 3], ranks)
-            first = [name for name, one in places.items() if one.rank < 2]
+            first = [
+                name for name, rank in ranks_by_name.items() if rank.rank < 2
+            ]
             self.assertEqual(["entry-1", "entry-2"], sorted(first))
 
         self.run_clocked(scenario)
 
-    def test_a_new_daemon_comes_last_until_all_others_know_of_it(self) -> None:
+    def test_a_new_daemon_is_last_until_all_others_know_of_it(self) -> None:
         async def scenario() -> None:
-            known = roster.Roster("entry-9")
-            order = send_order.SenderRanking("entry-9", known)
+            daemons = roster.Roster("entry-9")
+            ranking = send_order.SenderRanking("entry-9", daemons)
             for offset, (name, zone) in enumerate(_ZONES.items()):
-                known.note_listed(name, offset, is_counted=True, zone=zone)
-            known.note_listed("entry-9", 9, is_counted=False, zone="b")
-            self.assertEqual(4, order.find_rank(_RUNNER).rank)
+                daemons.note_listed(name, offset, is_counted=True, zone=zone)
+            daemons.note_listed("entry-9", 9, is_counted=False, zone="b")
+            self.assertEqual(4, ranking.find_rank(_RUNNER).rank)
             for name in _ZONES:
-                known.note_read_end(name, 10)
-            self.assertLess(order.find_rank(_RUNNER).rank, 3)
+                daemons.note_read_end(name, 10)
+            self.assertLess(ranking.find_rank(_RUNNER).rank, 3)
 
         self.run_clocked(scenario)
 
-    def test_it_follows_the_list(self) -> None:
+    def test_ranks_follow_the_roster(self) -> None:
         async def scenario() -> None:
-            order, known = _build("entry-3")
-            self.assertEqual(4, order.find_rank(_RUNNER).daemons)
-            known.note_removed("entry-0")
-            self.assertEqual(3, order.find_rank(_RUNNER).daemons)
+            ranking, daemons = _build_ranking("entry-3")
+            self.assertEqual(4, ranking.find_rank(_RUNNER).daemons)
+            daemons.note_removed("entry-0")
+            self.assertEqual(3, ranking.find_rank(_RUNNER).daemons)
 
         self.run_clocked(scenario)
 
-    def test_a_move_to_another_zone_changes_the_list(self) -> None:
+    def test_a_move_to_another_zone_changes_the_rank(self) -> None:
         async def scenario() -> None:
-            order, known = _build("entry-3")
-            self.assertEqual(3, order.find_rank(_RUNNER).rank)
-            known.note_listed("entry-3", 7, is_counted=True, zone="b")
-            self.assertLess(order.find_rank(_RUNNER).rank, 3)
+            ranking, daemons = _build_ranking("entry-3")
+            self.assertEqual(3, ranking.find_rank(_RUNNER).rank)
+            daemons.note_listed("entry-3", 7, is_counted=True, zone="b")
+            self.assertLess(ranking.find_rank(_RUNNER).rank, 3)
 
         self.run_clocked(scenario)
--- a/tests/test_backpressure/test_send_shares.py
+++ b/tests/test_backpressure/test_send_shares.py
@@ -1,4 +1,4 @@
-"""The shares of all daemons add up to what the runner names."""
+"""The shares of all daemons add up to the runner's rate limit."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class SendSharesTest(testtools.TestCase):
-    def test_the_holders_together_send_what_the_runner_takes(self) -> None:
+    def test_the_holders_shares_add_up_to_the_limit(self) -> None:
         for daemons in (1, 2, 6, 25, 70, 195, 400):
             for limit in (0.1, 0.5, 1.0, 5.0, 50.0, 1000.0):
                 shares = [
@@ -22,7 +22,7 @@
                 rate = sum(1 / one.interval_s for one in _list_holders(shares))
                 self.assertAlmostEqual(1.0, rate / limit)
 
-    def test_first_requests_come_one_after_the_other(self) -> None:
+    def test_first_requests_are_evenly_spaced(self) -> None:
         shares = [
             send_shares.find_share(5.0, send_shares.SenderRank(rank, 70))
             for rank in range(70)
@@ -31,7 +31,7 @@
         for first_s, next_s in itertools.pairwise(firsts):
             self.assertAlmostEqual(0.2, next_s - first_s)
 
-    def test_others_have_slots_that_no_two_share(self) -> None:
+    def test_probe_slots_do_not_overlap(self) -> None:
         for limit in (0.1, 1.0, 50.0):
             shares = [
                 send_shares.find_share(limit, send_shares.SenderRank(rank, 70))
@@ -45,7 +45,7 @@
             self.assertAlmostEqual(length_s, slots[0].period_s)
             self.assertGreaterEqual(slots[0].first_s, 5.0)
 
-    def test_one_of_two_holders_may_be_gone(self) -> None:
+    def test_a_small_limit_has_two_holders(self) -> None:
         share = send_shares.find_share(0.1, send_shares.SenderRank(1, 6))
         self.assertIsInstance(share, send_shares.HolderSchedule)
 
