--- a/tests/test_daemon/test_ejection.py
+++ b/tests/test_daemon/test_ejection.py
@@ -1,4 +1,4 @@
-"""Failing runners get no work for a while, but never most of a pool."""
+"""Failing runners are ejected for a while, but never most of a pool."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class EjectorTest(clocked.ClockedTestCase):
-    def test_a_runner_that_cannot_be_reached_is_left_out_at_once(self) -> None:
+    def test_an_unreachable_runner_is_ejected_at_once(self) -> None:
         async def scenario() -> None:
             ejector = ejection.Ejector()
             ejector.note_unreachable("r-1")
@@ -21,7 +21,7 @@
 
         self.run_clocked(scenario)
 
-    def test_one_lost_answer_is_not_enough(self) -> None:
+    def test_a_runner_is_ejected_after_three_failures(self) -> None:
         async def scenario() -> None:
             ejector = ejection.Ejector()
             ejector.note_failure("r-1")
@@ -32,7 +32,7 @@
 
         self.run_clocked(scenario)
 
-    def test_a_new_process_starts_without_the_failures_of_the_last(
+    def test_a_new_process_is_not_ejected(
         self,
     ) -> None:
         async def scenario() -> None:
@@ -43,7 +43,7 @@
 
         self.run_clocked(scenario)
 
-    def test_most_of_a_pool_is_never_left_out(self) -> None:
+    def test_most_of_a_pool_is_never_ejected(self) -> None:
         async def scenario() -> None:
             ejector = ejection.Ejector()
             for runner in ("r-1", "r-2"):
--- a/tests/test_daemon/test_feeds.py
+++ b/tests/test_daemon/test_feeds.py
@@ -1,4 +1,4 @@
-"""Each daemon watches a bounded part of the runners, and not all the same."""
+"""Each daemon watches a bounded subset of the runners."""
 
 from __future__ import annotations
 
@@ -29,15 +29,15 @@
 
 
 class RestartTest(clocked.ClockedTestCase):
-    def test_a_runner_is_watched_again_after_a_fault(self):
-        asked_again = trio.Event()
-        asked: list[str] = []
+    def test_a_runner_is_watched_again_after_a_crash(self):
+        is_polled_again = trio.Event()
+        polled_addresses: list[str] = []
 
         async def read_load(address: str) -> None:
-            asked.append(address)
-            if len(asked) == 1:
+            polled_addresses.append(address)
+            if len(polled_addresses) == 1:
                 raise ValueError("fault")
-            asked_again.set()
+            is_polled_again.set()
             await trio.sleep_forever()
 
         async def read_events(*_: object) -> None:
@@ -66,8 +66,8 @@
                     supervision.keep_running, "feeds", watching.run
                 )
                 with trio.fail_after(60.0):
-                    await asked_again.wait()
+                    await is_polled_again.wait()
                 nursery.cancel_scope.cancel()
 
         self.run_clocked(scenario)
-        self.assertEqual(["127.0.0.1:1"] * 2, asked)
+        self.assertEqual(["127.0.0.1:1"] * 2, polled_addresses)
--- a/tests/test_daemon/test_loads.py
+++ b/tests/test_daemon/test_loads.py
@@ -1,4 +1,4 @@
-"""Loads are estimated from late reports and own placements."""
+"""Loads are estimated from delayed reports and own placements."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
         clock = trio.testing.MockClock(autojump_threshold=0)
         trio.run(scenario, clock=clock)
 
-    def test_own_placements_count_until_a_report_can_show_them(self):
+    def test_own_placements_count_until_a_report_includes_them(self):
         async def scenario() -> None:
             book = loads.LoadBook(lag_s=0.5)
             book.note_placed("model-1")
@@ -26,7 +26,7 @@
 
         self._run(scenario)
 
-    def test_a_runner_that_is_forgotten_may_still_finish_its_requests(self):
+    def test_requests_of_a_forgotten_runner_may_still_end(self):
         async def scenario() -> None:
             book = loads.LoadBook()
             book.note_placed("model-1")
--- a/tests/test_daemon/test_placement.py
+++ b/tests/test_daemon/test_placement.py
@@ -1,4 +1,4 @@
-"""Requests are placed where their first token is expected soonest."""
+"""Requests are placed on the runner with the least expected cost."""
 
 from __future__ import annotations
 
@@ -123,7 +123,7 @@
 
         self._run(scenario)
 
-    def test_leaving_failed_and_ejected_runners_are_left_out(self):
+    def test_draining_failed_and_ejected_runners_are_not_considered(self):
         def scenario() -> None:
             self.members.merge(messages.RunnerLeaving("own-0"))
             for _ in range(3):
@@ -136,19 +136,19 @@
 
         self._run(scenario)
 
-    def test_with_everything_ejected_all_may_be_tried(self):
+    def test_if_all_runners_are_ejected_all_are_usable(self):
         def scenario() -> None:
             for number in range(6):
                 for _ in range(3):
                     self.ejector.note_failure(f"own-{number}")
-            # Most of a pool being out says little about any one runner.
+            # If most of a pool is ejected, no single runner is the cause.
             self.assertEqual(
                 6, len(self.ejector.keep_usable([f"own-{n}" for n in range(6)]))
             )
 
         self._run(scenario)
 
-    def test_lent_runners_are_used_only_when_the_own_ones_are_full(self):
+    def test_lent_runners_are_used_only_if_the_own_ones_are_full(self):
         def scenario() -> None:
             for _ in range(30):
                 self.assertFalse(self._place().is_borrowed)
@@ -156,12 +156,12 @@
                 self.loads.note_report(f"own-{number}", 8, 20)
             borrowed = [self._place() for _ in range(30)]
             used = {p.runner.name for p in borrowed if p.is_borrowed}
-            # A quarter of four runners is one, the same one every time.
+            # This daemon's share is a quarter of four runners, so one is used.
             self.assertEqual(1, len(used))
 
         self._run(scenario)
 
-    def test_a_busy_lent_runner_is_left_to_its_owner(self):
+    def test_a_busy_lent_runner_is_not_used(self):
         def scenario() -> None:
             for number in range(6):
                 self.loads.note_report(f"own-{number}", 8, 20)
