--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -311,7 +311,7 @@
     Mutation(
         "no entry brings a leaving runner back",
         f"{DAEMON}/discovery/runner_directory.py",
-        "runner.is_leaving or self.leaving.holds(runner)",
+        "runner.is_leaving or self.leaving.is_draining(runner)",
         "runner.is_leaving",
         f"{_BACKPRESSURE}.test_drain_reports",
     ),
--- a/packages/daemon/src/martenquay_daemon/backpressure/drain_reports.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/drain_reports.py
@@ -81,7 +81,7 @@
             for _, runner_id, born in found[:_MAX_GOSSIPED_RUNNERS]
         }
 
-    def holds(self, runner: runners.Runner) -> bool:
+    def is_draining(self, runner: runners.Runner) -> bool:
         """Tell whether this process of the runner has reported draining."""
         report = self._reports.get(runner.id)
         if report is None:
--- a/packages/daemon/src/martenquay_daemon/backpressure/runner_gate.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/runner_gate.py
@@ -137,7 +137,7 @@
                 self._backoffs.find_wait_s(runner),
             )
             for runner in candidates
-            if not self._drains.holds(runner)
+            if not self._drains.is_draining(runner)
         ]
         return min(filter(math.isfinite, waits_s), default=None)
 
@@ -168,7 +168,7 @@
         return reported | self._backoffs.list_ids()
 
     def _find_rejection(self, runner: runners.Runner) -> str:
-        if self._drains.holds(runner):
+        if self._drains.is_draining(runner):
             return _DRAINING
         if self._backoffs.find_wait_s(runner) > 0:
             return _IN_BACKOFF
--- a/packages/daemon/src/martenquay_daemon/discovery/runner_directory.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/runner_directory.py
@@ -104,7 +104,7 @@
 
     def is_leaving(self, runner: runners.Runner) -> bool:
         """Tell whether a runner has said that it leaves, by whatever way."""
-        return runner.is_leaving or self.leaving.holds(runner)
+        return runner.is_leaving or self.leaving.is_draining(runner)
 
     def list_zones(self, service: str) -> set[str]:
         """Return the zones in which a service has ever had a runner."""
--- a/tests/test_backpressure/test_drain_reports.py
+++ b/tests/test_backpressure/test_drain_reports.py
@@ -19,7 +19,7 @@
             reports = drain_reports.DrainReports()
             reports.note_answer(_RUNNER)
             await trio.sleep(600.0)
-            self.assertTrue(reports.holds(_RUNNER))
+            self.assertTrue(reports.is_draining(_RUNNER))
 
         self.run_clocked(scenario)
 
@@ -28,12 +28,12 @@
             reports = drain_reports.DrainReports()
             reports.note_answer(_RUNNER)
             fresh = builders.build_runner(born_ms=8)
-            self.assertFalse(reports.holds(fresh))
+            self.assertFalse(reports.is_draining(fresh))
             reports.note_answer(fresh)
-            self.assertTrue(reports.holds(fresh))
+            self.assertTrue(reports.is_draining(fresh))
             # Old gossip about the former process changes nothing.
             reports.apply_gossip({_RUNNER.id: 7})
-            self.assertTrue(reports.holds(fresh))
+            self.assertTrue(reports.is_draining(fresh))
 
         self.run_clocked(scenario)
 
@@ -43,7 +43,7 @@
             reports.note_answer(_RUNNER)
             other = drain_reports.DrainReports()
             other.apply_gossip(reports.list_recent_reports())
-            self.assertTrue(other.holds(_RUNNER))
+            self.assertTrue(other.is_draining(_RUNNER))
             await trio.sleep(31.0)
             self.assertEqual({}, reports.list_recent_reports())
 
@@ -74,8 +74,12 @@
             reports = drain_reports.DrainReports()
             for number in range(5000):
                 reports.note_answer(builders.build_runner(id=f"r-{number}"))
-            self.assertTrue(reports.holds(builders.build_runner(id="r-4999")))
-            self.assertFalse(reports.holds(builders.build_runner(id="r-0")))
+            self.assertTrue(
+                reports.is_draining(builders.build_runner(id="r-4999"))
+            )
+            self.assertFalse(
+                reports.is_draining(builders.build_runner(id="r-0"))
+            )
             self.assertEqual(32, len(reports.list_recent_reports()))
 
         self.run_clocked(scenario)
