--- a/packages/daemon/src/martenquay_daemon/backpressure/runner_gate.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/runner_gate.py
@@ -141,7 +141,7 @@
         ]
         return min(filter(math.isfinite, waits_s), default=None)
 
-    def count_closed(
+    def count_unavailable(
         self, candidates: Iterable[runners.Runner]
     ) -> UnavailableRunners:
         """Count the runners that accept nothing now, by the first reason."""
--- a/packages/daemon/src/martenquay_daemon/forwarding/forwarder.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/forwarder.py
@@ -338,7 +338,7 @@
         usable = parts.directory.list_usable(current.service)
         retry_s = parts.runner_gate.find_retry_s(usable)
         known = parts.directory.list_all(current.service)
-        closed = parts.runner_gate.count_closed(known)
+        closed = parts.runner_gate.count_unavailable(known)
         _LOG.write(
             f"No runner of {current.service} is left to send to.",
             request=current.call.id,
--- a/tests/test_backpressure/test_runner_gate.py
+++ b/tests/test_backpressure/test_runner_gate.py
@@ -73,10 +73,10 @@
             admission = builders.build_runner_gate()
             other = builders.build_runner(id="runner-2")
             _note_answer(admission, _BACKOFF_SIGNALS, did_not_run=True)
-            found = admission.count_closed([_RUNNER, other])
+            found = admission.count_unavailable([_RUNNER, other])
             self.assertEqual(runner_gate.UnavailableRunners(0, 1, 0), found)
             _note_answer(admission, _DRAIN_SIGNALS)
-            found = admission.count_closed([_RUNNER, other])
+            found = admission.count_unavailable([_RUNNER, other])
             self.assertEqual(runner_gate.UnavailableRunners(1, 0, 0), found)
 
         self.run_clocked(scenario)
