--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -303,10 +303,10 @@
     ),
     Mutation(
         "the gate is asked at the sending",
-        f"{DAEMON}/backpressure/runner_gate.py",
+        f"{DAEMON}/backpressure/runner_admission.py",
         "        rejection = self._find_rejection(runner)",
         '        rejection = ""',
-        f"{_BACKPRESSURE}.test_runner_gate",
+        f"{_BACKPRESSURE}.test_runner_admission",
     ),
     Mutation(
         "no entry brings a leaving runner back",
--- a/packages/daemon/src/martenquay_daemon/backpressure/parts.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/parts.py
@@ -7,8 +7,8 @@
 
 from martenquay_daemon.backpressure import (
     drain_reports,
+    runner_admission,
     runner_backoffs,
-    runner_gate,
     runner_limits,
     send_order,
 )
@@ -28,12 +28,12 @@
     Attributes:
         limits: Rate limits that runners reported.
         leaving: Runners that reported that they are draining.
-        gate: Admission check to call before each request.
+        admission: Admission check to call before each request.
     """
 
     limits: runner_limits.RunnerLimits
     leaving: drain_reports.DrainReports
-    gate: runner_gate.RunnerAdmission
+    admission: runner_admission.RunnerAdmission
 
 
 def create_backpressure(
@@ -58,5 +58,5 @@
     for state in (limits, leaving, backoffs):
         state.observe = observe
     limits.notify_soon = leaving.notify_soon = notify_soon
-    gate = runner_gate.RunnerAdmission(limits, leaving, backoffs)
-    return Backpressure(limits, leaving, gate)
+    admission = runner_admission.RunnerAdmission(limits, leaving, backoffs)
+    return Backpressure(limits, leaving, admission)
--- a/packages/daemon/src/martenquay_daemon/engines/placer.py
+++ b/packages/daemon/src/martenquay_daemon/engines/placer.py
@@ -12,7 +12,7 @@
     from collections.abc import Callable
 
     from martenquay_core.serving import calls, catalog, runners
-    from martenquay_daemon.backpressure import runner_gate
+    from martenquay_daemon.backpressure import runner_admission
     from martenquay_daemon.discovery import runner_directory
     from martenquay_daemon.engines import loads, model
     from martenquay_daemon.limits import ejection
@@ -95,13 +95,13 @@
         rng: random.Random,
         is_zone_silent: Callable[[str], bool],
         are_loads_fresh: Callable[[], bool],
-        gate: runner_gate.RunnerAdmission,
+        admission: runner_admission.RunnerAdmission,
         choose_versions: Callable[
             [str, list[runners.Runner]], list[runners.Runner]
         ] = _allow_all_versions,
         weights: PlacerWeights | None = None,
     ) -> None:
-        self._gate = gate
+        self._admission = admission
         self._choose_versions = choose_versions
         self._zone = zone
         self._are_loads_fresh = are_loads_fresh
@@ -136,7 +136,7 @@
             if runner.id not in excluded
         ]
         usable = self._choose_versions(
-            name, self._gate.filter_accepting(usable)
+            name, self._admission.filter_accepting(usable)
         )
         if not usable:
             return None
@@ -185,7 +185,7 @@
         A rate-limited runner is never a home: its requests would move to other
         runners most of the time, without the cached prefix.
         """
-        unlimited = self._gate.filter_unlimited(candidates)
+        unlimited = self._admission.filter_unlimited(candidates)
         return _choose_prefix_home(call, unlimited) if unlimited else None
 
     def _sample(
--- a/packages/daemon/src/martenquay_daemon/forwarding/attempt.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/attempt.py
@@ -24,7 +24,7 @@
     from collections.abc import Callable, Iterator
 
     from martenquay_core.serving import ports, runners
-    from martenquay_daemon.backpressure import runner_gate
+    from martenquay_daemon.backpressure import runner_admission
     from martenquay_daemon.duties import usage_counts
     from martenquay_daemon.engines import demand, lengths, loads, placer
 
@@ -61,7 +61,7 @@
         estimates: model.RunnerModel,
         streams: lengths.StreamLengths,
         notify_soon: Callable[[], None],
-        gate: runner_gate.RunnerAdmission,
+        gate: runner_admission.RunnerAdmission,
     ) -> None:
         self._gate = gate
         self._codec = codec
--- a/packages/daemon/src/martenquay_daemon/forwarding/forwarder.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/forwarder.py
@@ -26,7 +26,7 @@
 
     from martenquay_core.serving import calls, catalog, ports
     from martenquay_daemon.allowances import gate
-    from martenquay_daemon.backpressure import runner_gate
+    from martenquay_daemon.backpressure import runner_admission
     from martenquay_daemon.discovery import (
         catalog_store,
         refresher,
@@ -71,7 +71,7 @@
         attempts: Sends to them.
         retries: Bounds what is sent again.
         ejector: Keeps failing runners out.
-        runner_gate: Knows what runners say that they take.
+        runner_admission: Knows what runners say that they take.
         guard: Keeps requests out that crash their runners.
         stop: Keeps requests out that a stop would cut off.
         trials: Notes what versions on trial answer.
@@ -89,7 +89,7 @@
     attempts: attempt.AttemptMaker
     retries: retry_window.RetryWindow
     ejector: ejection.Ejector
-    runner_gate: runner_gate.RunnerAdmission
+    runner_admission: runner_admission.RunnerAdmission
     guard: content_guard.ContentGuard
     stop: stop_window.StopWindow
     trials: trial_notes.TrialNotes
@@ -336,9 +336,9 @@
         """Return the answer if there is no runner to send to."""
         parts = self._parts
         usable = parts.directory.list_usable(current.service)
-        retry_s = parts.runner_gate.find_retry_s(usable)
+        retry_s = parts.runner_admission.find_retry_s(usable)
         known = parts.directory.list_all(current.service)
-        closed = parts.runner_gate.count_unavailable(known)
+        closed = parts.runner_admission.count_unavailable(known)
         _LOG.write(
             f"No runner of {current.service} is left to send to.",
             request=current.call.id,
--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -375,7 +375,7 @@
         """Drop what was learnt of a runner's process before this one."""
         self._ejector.forget(runner_id)
         self._loads.forget_runner(runner_id)
-        self._backpressure.gate.forget(runner_id)
+        self._backpressure.admission.forget(runner_id)
 
     def _build_allowances(self) -> None:
         bounds = self._settings.bounds
@@ -462,7 +462,7 @@
                 self._rng,
                 self._view.is_zone_silent,
                 lambda: self._view.is_mesh,
-                self._backpressure.gate,
+                self._backpressure.admission,
                 self._rollouts.versions.choose,
             ),
             attempts=attempt.AttemptMaker(
@@ -473,11 +473,11 @@
                 self._estimates,
                 streams,
                 self._tell_peers_soon,
-                self._backpressure.gate,
+                self._backpressure.admission,
             ),
             retries=self._retries,
             ejector=self._ejector,
-            runner_gate=self._backpressure.gate,
+            runner_admission=self._backpressure.admission,
             guard=content_guard.ContentGuard(self._quarantine, self._directory),
             stop=self._stop_window,
             trials=trial_notes.TrialNotes(
--- a/tests/placing_days.py
+++ b/tests/placing_days.py
@@ -133,7 +133,7 @@
             random.Random(seed),
             lambda _: False,
             lambda: True,
-            builders.build_runner_gate(),
+            builders.build_runner_admission(),
         )
 
 
--- a/tests/serving_builders.py
+++ b/tests/serving_builders.py
@@ -14,8 +14,8 @@
 )
 from martenquay_daemon.backpressure import (
     drain_reports,
+    runner_admission,
     runner_backoffs,
-    runner_gate,
     runner_limits,
     send_shares,
 )
@@ -31,7 +31,7 @@
     "build_order",
     "build_route",
     "build_runner",
-    "build_runner_gate",
+    "build_runner_admission",
     "build_runner_limits",
     "build_scaling",
     "build_service",
@@ -133,9 +133,9 @@
     return runner_limits.RunnerLimits(lambda _: place)
 
 
-def build_runner_gate() -> runner_gate.RunnerAdmission:
+def build_runner_admission() -> runner_admission.RunnerAdmission:
     """Return what a daemon that is alone has been told of runners: nothing."""
-    return runner_gate.RunnerAdmission(
+    return runner_admission.RunnerAdmission(
         build_runner_limits(),
         drain_reports.DrainReports(),
         runner_backoffs.RunnerBackoffs(),
--- a/tests/serving_scene.py
+++ b/tests/serving_scene.py
@@ -87,7 +87,7 @@
         meter: Tokens that engines have to read.
         streams: How long streams took.
         stop: Keeps requests out that a stop would cut off.
-        runner_gate: Knows what runners say that they take.
+        runner_admission: Knows what runners say that they take.
         hurries: How often others were to be told soon.
     """
 
@@ -122,7 +122,7 @@
         self.streams = lengths.StreamLengths()
         self.stop = stop_window.StopWindow(self.streams)
         self.hurries = 0
-        self.runner_gate = builders.build_runner_gate()
+        self.runner_admission = builders.build_runner_admission()
         ejector = ejection.Ejector()
         self.quarantine = manager.create_quarantine_manager(
             self.log, builders.TOPICS.strikes
@@ -156,7 +156,7 @@
                 rng,
                 lambda _: False,
                 lambda: True,
-                self.runner_gate,
+                self.runner_admission,
             ),
             attempts=attempt.AttemptMaker(
                 header_codec,
@@ -166,11 +166,11 @@
                 self.estimates,
                 self.streams,
                 self._note_hurry,
-                self.runner_gate,
+                self.runner_admission,
             ),
             retries=retry_window.RetryWindow(bounds, lambda: 1),
             ejector=ejector,
-            runner_gate=self.runner_gate,
+            runner_admission=self.runner_admission,
             guard=content_guard.ContentGuard(
                 self.quarantine, self.directory, self._has_ended
             ),
--- a/tests/test_engines/test_placer.py
+++ b/tests/test_engines/test_placer.py
@@ -5,7 +5,7 @@
 import random
 
 from martenquay_core.serving import calls, catalog, ports
-from martenquay_daemon.backpressure import runner_backoffs, runner_gate
+from martenquay_daemon.backpressure import runner_admission, runner_backoffs
 from martenquay_daemon.discovery import contact, runner_directory
 from martenquay_daemon.engines import loads, model, placer
 from martenquay_daemon.limits import ejection
@@ -51,7 +51,7 @@
         self.silent: set[str] = set()
         self.ejector = ejection.Ejector()
         self.limits = builders.build_runner_limits()
-        self.gate = runner_gate.RunnerAdmission(
+        self.admission = runner_admission.RunnerAdmission(
             self.limits, directory.leaving, runner_backoffs.RunnerBackoffs()
         )
         return placer.Placer(
@@ -63,7 +63,7 @@
             random.Random(seed),
             self.silent.__contains__,
             lambda: self.is_fresh,
-            self.gate,
+            self.admission,
         )
 
     def _choose(
