--- a/packages/daemon/src/martenquay_daemon/callers/gate.py
+++ b/packages/daemon/src/martenquay_daemon/callers/gate.py
@@ -75,14 +75,14 @@
 
     def build_ask(
         self, team: teams.KnownTeam, known: KnownRoute, cost: float
-    ) -> admission.Ask:
+    ) -> admission.PermitRequest:
         """Return what the admission has to know of a request.
 
         A team's limits hold for the partner as a whole, so each serving
         daemon lets in its even part.
         """
         daemons = max(1, len(self._members.list_serving(self._partner)))
-        return admission.Ask(
+        return admission.PermitRequest(
             team=team.name,
             weight=team.team.weight,
             concurrency=max(1, math.ceil(team.team.concurrency / daemons)),
--- a/packages/daemon/src/martenquay_daemon/limits/admission.py
+++ b/packages/daemon/src/martenquay_daemon/limits/admission.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-__all__ = ["Admission", "Ask", "Permit", "PoolCapacity"]
+__all__ = ["Admission", "PermitRequest", "Permit", "PoolCapacity"]
 
 # The rest of a pool's capacity is kept free for urgent requests.
 _INTERACTIVE_CAPACITY_FRACTION = 0.9
@@ -47,7 +47,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Ask:
+class PermitRequest:
     """A request that asks for admission.
 
     Attributes:
@@ -80,13 +80,13 @@
         waited_s: Seconds that it was queued.
     """
 
-    ask: Ask
+    ask: PermitRequest
     waited_s: float
 
 
 @dataclasses.dataclass
 class _QueuedRequest:
-    ask: Ask
+    ask: PermitRequest
     start_tag: float
     admitted: trio.Event = dataclasses.field(default_factory=trio.Event)
 
@@ -128,7 +128,7 @@
         self._mean_at = now
         self._last_leave = now
 
-    def assign_start_tag(self, ask: Ask) -> float:
+    def assign_start_tag(self, ask: PermitRequest) -> float:
         """Return the request's start tag; advance its team's finish tag."""
         start = max(self.virtual_time, self.finish_tags.get(ask.team, 0.0))
         self.finish_tags[ask.team] = start + ask.cost / ask.weight
@@ -176,7 +176,9 @@
         self._team_running: collections.Counter[str] = collections.Counter()
         self._buckets: dict[str, _TokenBucket] = {}
 
-    async def enter(self, ask: Ask) -> Result[Permit, results.Failure]:
+    async def enter(
+        self, ask: PermitRequest
+    ) -> Result[Permit, results.Failure]:
         """Wait for admission; fail at once if the queue or a rate is full."""
         now = trio.current_time()
         pool = self._pools.setdefault(ask.pool, _PoolQueue(now))
@@ -226,7 +228,7 @@
         return found.queued if found else 0
 
     def _refuse_early(
-        self, ask: Ask, pool: _PoolQueue, now: float
+        self, ask: PermitRequest, pool: _PoolQueue, now: float
     ) -> results.Failure | None:
         code = results.ResultCode.NOT_RUN_OVERLOADED
         if pool.queued >= self._find_capacity(ask.pool).queue:
@@ -271,11 +273,11 @@
                 return best.popleft()
         return None
 
-    def _may_run(self, ask: Ask) -> bool:
+    def _may_run(self, ask: PermitRequest) -> bool:
         return self._team_running[ask.team] < ask.concurrency
 
     def _abandon(
-        self, ask: Ask, pool: _PoolQueue, waiting: _QueuedRequest
+        self, ask: PermitRequest, pool: _PoolQueue, waiting: _QueuedRequest
     ) -> None:
         if waiting.admitted.is_set():
             self.leave(Permit(ask, 0.0))
--- a/tests/test_daemon/test_admission.py
+++ b/tests/test_daemon/test_admission.py
@@ -15,7 +15,7 @@
 _Urgency = objects.Urgency
 
 
-def _ask(**changes: Any) -> admission.Ask:
+def _ask(**changes: Any) -> admission.PermitRequest:
     fields: dict[str, Any] = {
         "team": "counter",
         "weight": 1.0,
@@ -26,7 +26,7 @@
         "cost": 100.0,
         "deadline": trio.current_time() + 1000,
     }
-    return admission.Ask(**(fields | changes))
+    return admission.PermitRequest(**(fields | changes))
 
 
 class AdmissionTest(testtools.TestCase):
