--- a/bench/decision.py
+++ b/bench/decision.py
@@ -65,7 +65,9 @@
         started = time.perf_counter()
         chain = blocks.chain_blocks(prompt)
         hashed = time.perf_counter()
-        ask = placement.ModelAsk("serrana", "model", chain, _PROMPT_TOKENS)
+        ask = placement.PlacementRequest(
+            "serrana", "model", chain, _PROMPT_TOKENS
+        )
         chosen = placer.place(ask)
         decided = time.perf_counter()
         hashing.append(hashed - started)
--- a/bench/routing/policies.py
+++ b/bench/routing/policies.py
@@ -44,7 +44,9 @@
         self._rng = rng
         self._turn = itertools.count(rng.randrange(100))
 
-    def place(self, ask: placement.ModelAsk) -> placement.Placement | None:
+    def place(
+        self, ask: placement.PlacementRequest
+    ) -> placement.Placement | None:
         """Return the runner that the rule chooses."""
         usable = [
             runner
--- a/packages/daemon/src/martenquay_daemon/dispatch/model.py
+++ b/packages/daemon/src/martenquay_daemon/dispatch/model.py
@@ -123,7 +123,7 @@
     ) -> placement.Placement | None:
         request, usage = journey.request, journey.usage
         return self._placer.place(
-            placement.ModelAsk(
+            placement.PlacementRequest(
                 request.partner,
                 request.pool,
                 journey.chain,
--- a/packages/daemon/src/martenquay_daemon/routing/placement.py
+++ b/packages/daemon/src/martenquay_daemon/routing/placement.py
@@ -16,7 +16,13 @@
     from martenquay_daemon.membership import directory
     from martenquay_daemon.routing import loads, prefixes
 
-__all__ = ["Candidate", "ModelAsk", "Placement", "Placer", "PlacerWeights"]
+__all__ = [
+    "Candidate",
+    "PlacementRequest",
+    "Placement",
+    "Placer",
+    "PlacerWeights",
+]
 
 _HOME_CANDIDATES = 2
 _RANDOM_CANDIDATES = 2
@@ -48,7 +54,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class ModelAsk:
+class PlacementRequest:
     """A model request to be placed.
 
     Attributes:
@@ -140,7 +146,7 @@
         self._rings: dict[tuple[str, str], ring.RunnerRing] = {}
         self._ring_version = -1
 
-    def place(self, ask: ModelAsk) -> Placement | None:
+    def place(self, ask: PlacementRequest) -> Placement | None:
         """Return the cheapest runner, or None if none is usable."""
         names = self._choose_candidates(ask)
         if not names:
@@ -157,7 +163,7 @@
         return Placement(runner, chosen, considered, is_borrowed)
 
     def _choose_candidates(
-        self, ask: ModelAsk
+        self, ask: PlacementRequest
     ) -> dict[str, instances.Instance]:
         own = self._runners.list_pool(ask.partner, ask.pool)
         found: dict[str, instances.Instance] = {}
@@ -175,7 +181,7 @@
         return self._loads.count_ahead(runner.name) < runner.slots
 
     def _suggest_names(
-        self, ask: ModelAsk, own: list[instances.Instance]
+        self, ask: PlacementRequest, own: list[instances.Instance]
     ) -> list[str]:
         names = list(self._index.measure_held(ask.chain))
         if ask.chain:
@@ -188,7 +194,7 @@
 
     def _add_usable(
         self,
-        ask: ModelAsk,
+        ask: PlacementRequest,
         found: dict[str, instances.Instance],
         runner: instances.Instance | None,
     ) -> None:
@@ -208,7 +214,7 @@
         return [runner for runner in own if runner.name in usable]
 
     def _add_idle_lent(
-        self, ask: ModelAsk, found: dict[str, instances.Instance]
+        self, ask: PlacementRequest, found: dict[str, instances.Instance]
     ) -> None:
         """Add idle runners lent by other partners, up to this daemon's share.
 
@@ -242,7 +248,7 @@
 
     def _estimate(
         self,
-        ask: ModelAsk,
+        ask: PlacementRequest,
         runner: instances.Instance,
         held_blocks: int,
         cheapest: float,
@@ -265,7 +271,7 @@
         return Candidate(runner.name, ahead, cached, cost_s)
 
     def _find_ring(
-        self, ask: ModelAsk, own: list[instances.Instance]
+        self, ask: PlacementRequest, own: list[instances.Instance]
     ) -> ring.RunnerRing:
         if self._ring_version != self._runners.version:
             self._rings.clear()
--- a/tests/test_daemon/test_placement.py
+++ b/tests/test_daemon/test_placement.py
@@ -82,7 +82,9 @@
             "chain": blocks.chain_blocks(_PROMPT),
             "prompt_tokens": 640,
         }
-        return self.placer.place(placement.ModelAsk(**(fields | changes)))
+        return self.placer.place(
+            placement.PlacementRequest(**(fields | changes))
+        )
 
     def test_a_runner_that_holds_the_prefix_is_chosen(self):
         def scenario() -> None:
@@ -113,7 +115,7 @@
                     self.ejector,
                     random.Random(seed),
                 )
-                ask = placement.ModelAsk(
+                ask = placement.PlacementRequest(
                     "serrana", "reviews", blocks.chain_blocks(_PROMPT), 640
                 )
                 considered = other.place(ask).considered
