--- a/packages/daemon/src/martenquay_daemon/dispatch/service.py
+++ b/packages/daemon/src/martenquay_daemon/dispatch/service.py
@@ -286,7 +286,7 @@
             if runner.name not in tried
             and self._runners.may_get_work(runner.name)
         ]
-        names = self._ejector.keep_usable([runner.name for runner in listed])
+        names = self._ejector.filter_usable([runner.name for runner in listed])
         usable = [runner for runner in listed if runner.name in names]
         zone = self._members.me.zone
         return min(
--- a/packages/daemon/src/martenquay_daemon/engines/placer.py
+++ b/packages/daemon/src/martenquay_daemon/engines/placer.py
@@ -140,7 +140,7 @@
         )
         if not usable:
             return None
-        not_ejected = set(self._ejector.keep_usable([r.id for r in usable]))
+        not_ejected = set(self._ejector.filter_usable([r.id for r in usable]))
         candidates = [runner for runner in usable if runner.id in not_ejected]
         if service is not None and service.engine is not None:
             return self._choose_engine(name, call, candidates, target_s)
--- a/packages/daemon/src/martenquay_daemon/limits/ejection.py
+++ b/packages/daemon/src/martenquay_daemon/limits/ejection.py
@@ -69,7 +69,7 @@
         health = self._health.get(runner)
         return health is not None and trio.current_time() < health.ejected_until
 
-    def keep_usable(self, runners: list[str]) -> list[str]:
+    def filter_usable(self, runners: list[str]) -> list[str]:
         """Return the runners that are not ejected.
 
         If more than half of them are, all are returned, as the cause is then
--- a/packages/daemon/src/martenquay_daemon/routing/placement.py
+++ b/packages/daemon/src/martenquay_daemon/routing/placement.py
@@ -210,7 +210,9 @@
     def _filter_ejected(
         self, own: list[instances.Instance]
     ) -> list[instances.Instance]:
-        usable = set(self._ejector.keep_usable([runner.name for runner in own]))
+        usable = set(
+            self._ejector.filter_usable([runner.name for runner in own])
+        )
         return [runner for runner in own if runner.name in usable]
 
     def _add_idle_lent(
--- a/tests/test_daemon/test_ejection.py
+++ b/tests/test_daemon/test_ejection.py
@@ -15,9 +15,9 @@
         async def scenario() -> None:
             ejector = ejection.Ejector()
             ejector.note_unreachable("r-1")
-            self.assertEqual(["r-2", "r-3"], ejector.keep_usable(_RUNNERS))
+            self.assertEqual(["r-2", "r-3"], ejector.filter_usable(_RUNNERS))
             await trio.sleep(1.5)
-            self.assertEqual(_RUNNERS, ejector.keep_usable(_RUNNERS))
+            self.assertEqual(_RUNNERS, ejector.filter_usable(_RUNNERS))
 
         self.run_clocked(scenario)
 
@@ -26,9 +26,9 @@
             ejector = ejection.Ejector()
             ejector.note_failure("r-1")
             ejector.note_failure("r-1")
-            self.assertEqual(_RUNNERS, ejector.keep_usable(_RUNNERS))
+            self.assertEqual(_RUNNERS, ejector.filter_usable(_RUNNERS))
             ejector.note_failure("r-1")
-            self.assertEqual(["r-2", "r-3"], ejector.keep_usable(_RUNNERS))
+            self.assertEqual(["r-2", "r-3"], ejector.filter_usable(_RUNNERS))
 
         self.run_clocked(scenario)
 
@@ -39,7 +39,7 @@
             ejector = ejection.Ejector()
             ejector.note_unreachable("r-1")
             ejector.forget("r-1")
-            self.assertEqual(_RUNNERS, ejector.keep_usable(_RUNNERS))
+            self.assertEqual(_RUNNERS, ejector.filter_usable(_RUNNERS))
 
         self.run_clocked(scenario)
 
@@ -48,6 +48,6 @@
             ejector = ejection.Ejector()
             for runner in ("r-1", "r-2"):
                 ejector.note_unreachable(runner)
-            self.assertEqual(_RUNNERS, ejector.keep_usable(_RUNNERS))
+            self.assertEqual(_RUNNERS, ejector.filter_usable(_RUNNERS))
 
         self.run_clocked(scenario)
--- a/tests/test_daemon/test_placement.py
+++ b/tests/test_daemon/test_placement.py
@@ -145,7 +145,8 @@
                     self.ejector.note_failure(f"own-{number}")
             # If most of a pool is ejected, no single runner is the cause.
             self.assertEqual(
-                6, len(self.ejector.keep_usable([f"own-{n}" for n in range(6)]))
+                6,
+                len(self.ejector.filter_usable([f"own-{n}" for n in range(6)])),
             )
 
         self._run(scenario)
