--- a/packages/daemon/src/martenquay_daemon/duties/capacity_controller.py
+++ b/packages/daemon/src/martenquay_daemon/duties/capacity_controller.py
@@ -267,7 +267,7 @@
         """Return the need by the time that what is ordered now serves."""
         trend = self._trends.setdefault(service, demand_trend.DemandTrend())
         trend.note(trio.current_time(), measured.tokens_per_s)
-        rate = trend.find_rate(demand.MEMORY_S + limits.boot_s)
+        rate = trend.find_rate(demand.DECAY_TIME_S + limits.boot_s)
         return dataclasses.replace(measured, tokens_per_s=rate)
 
     def _measure(self, service: str) -> capacity_plan.CapacityNeed:
--- a/packages/daemon/src/martenquay_daemon/engines/demand.py
+++ b/packages/daemon/src/martenquay_daemon/engines/demand.py
@@ -7,10 +7,10 @@
 
 import trio
 
-__all__ = ["MEMORY_S", "DemandMeter"]
+__all__ = ["DECAY_TIME_S", "DemandMeter"]
 
 # Longer than the gaps between requests, shorter than a cold start of a runner.
-MEMORY_S = 8.0
+DECAY_TIME_S = 8.0
 
 
 @dataclasses.dataclass
@@ -30,7 +30,7 @@
     def decay(self) -> None:
         """Decay the rates up to now."""
         now = trio.current_time()
-        factor = math.exp((self.updated_at - now) / MEMORY_S)
+        factor = math.exp((self.updated_at - now) / DECAY_TIME_S)
         self.updated_at = now
         self.tokens *= factor
         self.requests *= factor
@@ -46,8 +46,8 @@
         """Record the uncached prompt tokens of a request."""
         rate = self._rates.setdefault(service, _DemandRate(trio.current_time()))
         rate.decay()
-        rate.tokens += tokens / MEMORY_S
-        rate.requests += 1 / MEMORY_S
+        rate.tokens += tokens / DECAY_TIME_S
+        rate.requests += 1 / DECAY_TIME_S
 
     def list_rates(self) -> dict[str, float]:
         """Return the current rates in tokens per second."""
--- a/tests/test_duties/test_demand_trend.py
+++ b/tests/test_duties/test_demand_trend.py
@@ -11,7 +11,7 @@
 from martenquay_daemon.engines import demand
 
 _BOOT_S = 4.0
-_AHEAD_S = demand.MEMORY_S + _BOOT_S
+_AHEAD_S = demand.DECAY_TIME_S + _BOOT_S
 _POLL_S = 0.5
 # A wave as operators see it in the day's traffic.
 _MEAN = 200_000.0
@@ -43,7 +43,7 @@
         at_s = -2 * _PERIOD_S
         while at_s < until_s:
             at_s += _POLL_S
-            kept = math.exp(-_POLL_S / demand.MEMORY_S)
+            kept = math.exp(-_POLL_S / demand.DECAY_TIME_S)
             faded = kept * faded + (1 - kept) * _find_rate(at_s)
             trend.note(at_s, faded)
         return faded, trend.find_rate(_AHEAD_S)
@@ -79,8 +79,8 @@
                 rng.gammavariate(_CLUMP, _PROMPT_TOKENS)
                 for _ in range(_draw_count(rng, clumps_per_poll))
             )
-            faded *= math.exp(-_POLL_S / demand.MEMORY_S)
-            faded += tokens / demand.MEMORY_S
+            faded *= math.exp(-_POLL_S / demand.DECAY_TIME_S)
+            faded += tokens / demand.DECAY_TIME_S
             trend.note(step * _POLL_S, faded)
             expected.append(trend.find_rate(_AHEAD_S))
         polls = round(_BOOT_S / _POLL_S)
