--- a/packages/daemon/src/martenquay_daemon/duties/capacity_controller.py
+++ b/packages/daemon/src/martenquay_daemon/duties/capacity_controller.py
@@ -235,7 +235,7 @@
         """Return how many engines those with a limit fall short of."""
         found = [self._parts.limits.find_limit(one) for one in state.runners]
         limits = [limit for limit in found if limit is not None]
-        tokens = self._parts.meter.find_size(service)
+        tokens = self._parts.meter.find_mean_tokens(service)
         return measured.find_missing(limits, tokens)
 
     def _note_target(
--- a/packages/daemon/src/martenquay_daemon/engines/demand.py
+++ b/packages/daemon/src/martenquay_daemon/engines/demand.py
@@ -58,7 +58,7 @@
             for service, rate in self._rates.items()
         }
 
-    def find_size(self, service: str) -> float:
+    def find_mean_tokens(self, service: str) -> float:
         """Return the recent mean tokens per request; 0 without requests."""
         rate = self._rates.get(service)
         if rate is None or rate.requests <= 0:
