--- a/packages/daemon/src/martenquay_daemon/engines/lengths.py
+++ b/packages/daemon/src/martenquay_daemon/engines/durations.py
@@ -4,7 +4,7 @@
 
 import dataclasses
 
-__all__ = ["StreamLengths"]
+__all__ = ["StreamDurations"]
 
 # Counted in streams and not in time, so that an idle daemon keeps its estimate.
 _MAX_WEIGHT_STREAMS = 50.0
@@ -32,7 +32,7 @@
         self.generation_s = factor * self.generation_s + generation_s
 
 
-class StreamLengths:
+class StreamDurations:
     """Mean stream durations by service, from this daemon's results."""
 
     def __init__(self) -> None:
--- a/packages/daemon/src/martenquay_daemon/forwarding/attempt.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/attempt.py
@@ -26,7 +26,7 @@
     from martenquay_core.serving import ports, runners
     from martenquay_daemon.backpressure import runner_admission
     from martenquay_daemon.duties import usage_counts
-    from martenquay_daemon.engines import demand, lengths, loads, placer
+    from martenquay_daemon.engines import demand, durations, loads, placer
 
 __all__ = ["AttemptMaker"]
 
@@ -59,7 +59,7 @@
         usage: usage_counts.UsageCounts,
         meter: demand.DemandMeter,
         estimates: model.RunnerModel,
-        streams: lengths.StreamLengths,
+        streams: durations.StreamDurations,
         notify_soon: Callable[[], None],
         gate: runner_admission.RunnerAdmission,
     ) -> None:
--- a/packages/daemon/src/martenquay_daemon/forwarding/stop_window.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/stop_window.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from martenquay_daemon.engines import lengths
+    from martenquay_daemon.engines import durations
 
 __all__ = ["LastRequest", "StopWindow"]
 
@@ -44,7 +44,7 @@
 class StopWindow:
     """How much time a stop leaves, and who can use it."""
 
-    def __init__(self, streams: lengths.StreamLengths) -> None:
+    def __init__(self, streams: durations.StreamDurations) -> None:
         self._streams = streams
         self._find_end: Callable[[], float] | None = None
 
--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -29,7 +29,7 @@
 )
 from martenquay_daemon.duties import lease, usage_counts
 from martenquay_daemon.duties import parts as duty_parts
-from martenquay_daemon.engines import demand, lengths, loads, model, placer
+from martenquay_daemon.engines import demand, durations, loads, model, placer
 from martenquay_daemon.fleet import (
     announcements,
     links,
@@ -431,7 +431,7 @@
         self._loads = loads.LoadLedger()
         self._meter = demand.DemandMeter()
         self._estimates = model.RunnerModel()
-        streams = lengths.StreamLengths()
+        streams = durations.StreamDurations()
         self._stop_window = stop_window.StopWindow(streams)
         self._usage = usage_counts.UsageCounts(bounds.window_s)
         self._ejector = ejection.Ejector()
--- a/tests/serving_scene.py
+++ b/tests/serving_scene.py
@@ -20,7 +20,7 @@
     runner_directory,
 )
 from martenquay_daemon.duties import usage_counts
-from martenquay_daemon.engines import demand, lengths, loads, model, placer
+from martenquay_daemon.engines import demand, durations, loads, model, placer
 from martenquay_daemon.forwarding import (
     attempt,
     content_guard,
@@ -119,7 +119,7 @@
         self.ledger = loads.LoadLedger()
         self.estimates = model.RunnerModel()
         self.meter = demand.DemandMeter()
-        self.streams = lengths.StreamLengths()
+        self.streams = durations.StreamDurations()
         self.stop = stop_window.StopWindow(self.streams)
         self.hurries = 0
         self.runner_admission = builders.build_runner_admission()
--- a/tests/test_forwarding/test_stop_window.py
+++ b/tests/test_forwarding/test_stop_window.py
@@ -5,7 +5,7 @@
 import trio
 
 from martenquay_core.serving import catalog
-from martenquay_daemon.engines import lengths
+from martenquay_daemon.engines import durations
 from martenquay_daemon.forwarding import stop_window
 from tests import clocked, serving_scene
 from tests import forwarder_case as case
@@ -31,7 +31,7 @@
         found = []
 
         async def scenario() -> None:
-            streams = lengths.StreamLengths()
+            streams = durations.StreamDurations()
             for _ in range(learnt):
                 streams.note("model", _BEGIN_S, _TOKENS, _WRITE_S)
             window = stop_window.StopWindow(streams)
@@ -68,7 +68,7 @@
             self.assertEqual(fits, overrun_s == 0.0)
 
     def test_without_a_stop_everything_is_let_in(self) -> None:
-        window = stop_window.StopWindow(lengths.StreamLengths())
+        window = stop_window.StopWindow(durations.StreamDurations())
         stream = catalog.CallKind.STREAM
         request = stop_window.LastRequest("model", stream, None, 1e6)
         self.assertEqual(0.0, window.find_overrun(request))
@@ -88,16 +88,16 @@
         self.run_scene(scenario, [case.GOOD])
 
 
-class StreamLengthsTest(case.ForwarderTestCase):
+class StreamDurationsTest(case.ForwarderTestCase):
     def test_lengths_follow_the_tokens_asked_for(self) -> None:
-        streams = lengths.StreamLengths()
+        streams = durations.StreamDurations()
         for _ in range(10):
             streams.note("model", 0.2, 20, 0.2)
             streams.note("model", 0.4, 200, 2.0)
         self.assertAlmostEqual(1.3, streams.find_mean_s("model", 100), 6)
 
     def test_newer_streams_outweigh_older_ones(self) -> None:
-        streams = lengths.StreamLengths()
+        streams = durations.StreamDurations()
         for _ in range(1000):
             streams.note("model", 0.1, 100, 0.5)
         for _ in range(200):
@@ -105,7 +105,7 @@
         self.assertGreater(streams.find_mean_s("model", 100), 4.5)
 
     def test_a_few_streams_are_not_believed(self) -> None:
-        streams = lengths.StreamLengths()
+        streams = durations.StreamDurations()
         streams.note("model", 0.1, 100, 0.5)
         self.assertIsNone(streams.find_mean_s("model", 100))
         self.assertIsNone(streams.find_mean_s("other", 100))
