--- a/packages/daemon/src/martenquay_daemon/backpressure/parts.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/parts.py
@@ -1,4 +1,4 @@
-"""Build what heeds the words of runners."""
+"""Construct the backpressure components of a daemon."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 from martenquay_daemon.backpressure import (
     drain_reports,
+    runner_admission,
     runner_backoffs,
-    runner_gate,
     runner_limits,
     send_order,
 )
@@ -23,40 +23,40 @@
 
 @dataclasses.dataclass(frozen=True)
 class Backpressure:
-    """What runners say of themselves, and the gate that goes by it.
+    """The backpressure components of one daemon.
 
     Attributes:
-        limits: Limits that they name.
-        leaving: Those that leave.
-        gate: Asked before each request.
+        limits: Rate limits that runners reported.
+        leaving: Runners that reported that they are draining.
+        admission: Admission check to call before each request.
     """
 
     limits: runner_limits.RunnerLimits
     leaving: drain_reports.DrainReports
-    gate: runner_gate.RunnerAdmission
+    admission: runner_admission.RunnerAdmission
 
 
 def create_backpressure(
     instance: str,
-    known: roster.Roster,
+    daemon_roster: roster.Roster,
     leaving: drain_reports.DrainReports,
     observe: Callable[[str, str], None],
     notify_soon: Callable[[], None],
 ) -> Backpressure:
-    """Return the parts, connected.
+    """Return the components, connected to each other.
 
     Args:
-        instance: This daemon's instance.
-        known: The instances that share what runners take.
-        leaving: The directory's: it lists none of those that leave.
-        observe: Told the kind and the source of each change.
-        notify_soon: Has other daemons told of a change soon.
+        instance: Name of this daemon's instance.
+        daemon_roster: The daemons that share the runners' limits.
+        leaving: Drain reports, shared with the runner directory.
+        observe: Called with the kind and the source of each new signal.
+        notify_soon: Called to send a change to other daemons early.
     """
-    order = send_order.SenderRanking(instance, known)
-    limits = runner_limits.RunnerLimits(order.find_place)
-    asked_rests = runner_backoffs.RunnerBackoffs()
-    for words in (limits, leaving, asked_rests):
-        words.observe = observe
+    ranking = send_order.SenderRanking(instance, daemon_roster)
+    limits = runner_limits.RunnerLimits(ranking.find_rank)
+    backoffs = runner_backoffs.RunnerBackoffs()
+    for state in (limits, leaving, backoffs):
+        state.observe = observe
     limits.notify_soon = leaving.notify_soon = notify_soon
-    gate = runner_gate.RunnerAdmission(limits, leaving, asked_rests)
-    return Backpressure(limits, leaving, gate)
+    admission = runner_admission.RunnerAdmission(limits, leaving, backoffs)
+    return Backpressure(limits, leaving, admission)
--- a/packages/daemon/src/martenquay_daemon/duties/capacity_controller.py
+++ b/packages/daemon/src/martenquay_daemon/duties/capacity_controller.py
@@ -246,7 +246,7 @@
             self._parts.limits.find_limit(one) for one in state.runners
         ]
         limits = [limit for limit in known_limits if limit is not None]
-        tokens = self._parts.meter.find_size(service)
+        tokens = self._parts.meter.find_mean_tokens(service)
         return measured.count_lost_to_limits(limits, tokens)
 
     def _log_new_target(
@@ -278,7 +278,7 @@
         """Return the demand expected when runners ordered now will serve."""
         trend = self._trends.setdefault(service, demand_trend.DemandTrend())
         trend.add_rate(trio.current_time(), measured.tokens_per_s)
-        rate = trend.forecast_rate(demand.MEMORY_S + limits.boot_s)
+        rate = trend.forecast_rate(demand.DECAY_TIME_S + limits.boot_s)
         return dataclasses.replace(measured, tokens_per_s=rate)
 
     def _measure_demand(self, service: str) -> capacity_plan.ServiceDemand:
--- a/packages/daemon/src/martenquay_daemon/forwarding/attempt.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/attempt.py
@@ -24,9 +24,9 @@
     from collections.abc import Callable, Iterator
 
     from martenquay_core.serving import ports, runners
-    from martenquay_daemon.backpressure import runner_gate
+    from martenquay_daemon.backpressure import runner_admission
     from martenquay_daemon.duties import usage_counts
-    from martenquay_daemon.engines import demand, lengths, loads, placer
+    from martenquay_daemon.engines import demand, durations, loads, placer
 
 __all__ = ["AttemptMaker"]
 
@@ -59,9 +59,9 @@
         usage: usage_counts.UsageCounts,
         meter: demand.DemandMeter,
         estimates: model.RunnerModel,
-        streams: lengths.StreamLengths,
+        streams: durations.StreamDurations,
         notify_soon: Callable[[], None],
-        gate: runner_gate.RunnerAdmission,
+        gate: runner_admission.RunnerAdmission,
     ) -> None:
         self._gate = gate
         self._codec = codec
--- a/tests/test_duties/test_demand_trend.py
+++ b/tests/test_duties/test_demand_trend.py
@@ -11,7 +11,7 @@
 from martenquay_daemon.engines import demand
 
 _BOOT_S = 4.0
-_HORIZON_S = demand.MEMORY_S + _BOOT_S
+_HORIZON_S = demand.DECAY_TIME_S + _BOOT_S
 _POLL_S = 0.5
 _MEAN_TOKENS_PER_S = 200_000.0
 _RELATIVE_AMPLITUDE = 0.42
@@ -44,7 +44,7 @@
         at_s = -2 * _PERIOD_S
         while at_s < until_s:
             at_s += _POLL_S
-            kept = math.exp(-_POLL_S / demand.MEMORY_S)
+            kept = math.exp(-_POLL_S / demand.DECAY_TIME_S)
             averaged = kept * averaged + (1 - kept) * _find_wave_rate(at_s)
             trend.add_rate(at_s, averaged)
         return averaged, trend.forecast_rate(_HORIZON_S)
@@ -80,8 +80,8 @@
                 rng.gammavariate(_REQUESTS_PER_BURST, _PROMPT_TOKENS)
                 for _ in range(_draw_poisson(rng, bursts_per_poll))
             )
-            averaged *= math.exp(-_POLL_S / demand.MEMORY_S)
-            averaged += tokens / demand.MEMORY_S
+            averaged *= math.exp(-_POLL_S / demand.DECAY_TIME_S)
+            averaged += tokens / demand.DECAY_TIME_S
             trend.add_rate(step * _POLL_S, averaged)
             expected.append(trend.forecast_rate(_HORIZON_S))
         polls = round(_BOOT_S / _POLL_S)
