--- a/bench/fleet_cost.py
+++ b/bench/fleet_cost.py
@@ -24,7 +24,7 @@
 _RUNNERS = {8: 9, 80: 45, 400: 790}
 _AT_ONCE = 6
 _SILENT_S = 2.0
-_FACTS = hub.HubFacts(3, 900, 120, 40, 12, messages.NO_WORDS)
+_FACTS = hub.HubFacts(3, 900, 120, 40, 12, messages.NO_RUNNER_REPORTS)
 
 
 @dataclasses.dataclass(frozen=True)
@@ -55,23 +55,25 @@
         zone="zone-0",
         address=f"10.0.{member // 250}.{member % 250}:7600",
         number=number,
-        loan=messages.LoanLine("entry-0.aabbccdd", number, 0.0025, 0, 1800),
+        loan=messages.DelegationEntry(
+            "entry-0.aabbccdd", number, 0.0025, 0, 1800
+        ),
         members_end=900,
         loads={
-            f"i-{(first + n) % runners:010x}": messages.LoadLine(2, 900)
+            f"i-{(first + n) % runners:010x}": messages.LoadEntry(2, 900)
             for n in range(_AT_ONCE)
         },
         begun={n: dict.fromkeys(teams[:5], 3) for n in range(3)},
         demand={"service-1": 2500.0},
         reading={
-            "service-1": messages.ReadingLine(40, 400_000_000, 24_000_000)
+            "service-1": messages.PrefillEntry(40, 400_000_000, 24_000_000)
         },
     )
 
 
 def _fill_others(table: zones.ZoneTable, runners: int) -> None:
     """Have the other zones' hubs tell of loads at all runners."""
-    loads = {f"i-{n:010x}": messages.LoadLine(3, 1200) for n in range(runners)}
+    loads = {f"i-{n:010x}": messages.LoadEntry(3, 1200) for n in range(runners)}
     for number in range(1, _ZONES):
         summary = builders.build_summary(
             zone=f"zone-{number}",
@@ -94,7 +96,7 @@
         for member in range(1, members):
             one.take(_build_digest(number, member, runners), 0.0)
         own = _build_digest(number, 0, runners)
-        one.take_own(own, 0.0)
+        one.set_own_digest(own, 0.0)
         started = time.process_time()
         exchange = messages.encode_message(
             one.create_exchange(_FACTS, 0.0, _SILENT_S)
@@ -111,7 +113,7 @@
             zones.ZoneTable().take(summary, {}, 0.0)
         takes.append(time.process_time() - started)
     return _Cost(
-        digest_bytes=len(messages.encode_message(messages.DigestNote(own))),
+        digest_bytes=len(messages.encode_message(messages.DigestMessage(own))),
         report_bytes=max(len(raw) for raw in raws),
         exchange_bytes=len(exchange),
         round_s=statistics.median(times),
--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -8,7 +8,7 @@
 
 _FORWARDER = "tests.test_forwarding.test_forwarder"
 _BACKPRESSURE = "tests.test_backpressure"
-_RIGHTS = "tests.test_allowances.test_rights"
+_RIGHTS = "tests.test_allowances.test_refill_shares"
 _LEASE = "tests.test_duties.test_lease"
 _SILENT_CONNECTIONS = "tests.test_forwarding.test_silent_connections"
 _SILENT_STORE = "tests.test_platform.test_silent_store"
@@ -161,21 +161,21 @@
     ),
     Mutation(
         "a loan ends counted from the report that it names",
-        f"{DAEMON}/allowances/rights.py",
+        f"{DAEMON}/allowances/refill_shares.py",
         "end = reported_at + loan.ends_s",
         "end = now + loan.ends_s",
         _RIGHTS,
     ),
     Mutation(
         "a part is not lent twice at a time",
-        f"{DAEMON}/allowances/rights.py",
+        f"{DAEMON}/allowances/refill_shares.py",
         "starts_at = max(now, last.until)",
         "starts_at = now",
         _RIGHTS,
     ),
     Mutation(
         "a new process ends the loans of the one before",
-        f"{DAEMON}/allowances/rights.py",
+        f"{DAEMON}/allowances/refill_shares.py",
         "known.span = dataclasses.replace(known.span, end=now)",
         "pass",
         _RIGHTS,
@@ -189,10 +189,10 @@
     ),
     Mutation(
         "refused orders are not repeated in a loop",
-        f"{DAEMON}/duties/capacity_keeper.py",
+        f"{DAEMON}/duties/capacity_controller.py",
         "_REFUSED_S = 1.5",
         "_REFUSED_S = 0.0",
-        "tests.test_duties.test_capacity_keeper",
+        "tests.test_duties.test_capacity_controller",
     ),
     Mutation(
         "repeats are bounded",
@@ -296,10 +296,10 @@
     ),
     Mutation(
         "an overtaken answer ends no limit",
-        f"{DAEMON}/backpressure/limit_words.py",
+        f"{DAEMON}/backpressure/limit_reports.py",
         "    if word.sent_at >= known.heard_at:",
         "    if word.sent_at >= known.sent_at:",
-        f"{_BACKPRESSURE}.test_limit_words",
+        f"{_BACKPRESSURE}.test_limit_reports",
     ),
     Mutation(
         "the gate is asked at the sending",
@@ -313,14 +313,14 @@
         f"{DAEMON}/discovery/runner_directory.py",
         "runner.is_leaving or self.leaving.holds(runner)",
         "runner.is_leaving",
-        f"{_BACKPRESSURE}.test_leaving_words",
+        f"{_BACKPRESSURE}.test_drain_reports",
     ),
     Mutation(
         "after a rest one request goes first",
-        f"{DAEMON}/backpressure/rests.py",
+        f"{DAEMON}/backpressure/runner_backoffs.py",
         "max(rest.until, rest.tried_at + _TRIAL_S)",
         "rest.until",
-        f"{_BACKPRESSURE}.test_rests",
+        f"{_BACKPRESSURE}.test_runner_backoffs",
     ),
     Mutation(
         "a misdirected send is a repeat",
--- a/packages/daemon/src/martenquay_daemon/allowances/gate.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/gate.py
@@ -12,9 +12,9 @@
     from collections.abc import Callable
 
     from martenquay_core.serving import catalog
-    from martenquay_daemon.allowances import escrow
+    from martenquay_daemon.allowances import quota_ledger
 
-__all__ = ["AllowanceGate", "Keepers", "create_gate"]
+__all__ = ["AllowanceGate", "QuotaHolders", "create_gate"]
 
 # For so long a request waits for units that other daemons have: a message there
 # and one back, each sent within 40 ms.
@@ -23,18 +23,20 @@
 _LOOK_S = 0.05
 
 
-class Keepers(Protocol):
+class QuotaHolders(Protocol):
     """The daemons that keep units for others."""
 
-    def keeps_here(self) -> bool:
+    def holds_quota_here(self) -> bool:
         """Tell whether this daemon keeps the units that it needs itself."""
 
-    async def ask(self, team: str, wish: terms.Wish) -> terms.Answer | None:
+    async def ask(
+        self, team: str, wish: terms.AdmissionRequest
+    ) -> terms.AdmissionDecision | None:
         """Have a daemon decide that keeps this one's; None if none answers."""
 
-    async def ask_at(
-        self, address: str, team: str, wish: terms.Wish
-    ) -> terms.Answer | None:
+    async def ask_address(
+        self, address: str, team: str, wish: terms.AdmissionRequest
+    ) -> terms.AdmissionDecision | None:
         """Have one daemon decide that has units; None if it says nothing."""
 
 
@@ -46,33 +48,39 @@
     """Decide by the units here, or have those decide that keep them.
 
     Attributes:
-        lacks_parts: Tells whether parts that this daemon is to keep have not
+        lacks_shares: Tells whether parts that this daemon is to keep have not
             been lent to it yet; then what is here says little.
     """
 
-    def __init__(self, units: escrow.EscrowLedger, keepers: Keepers) -> None:
-        self.lacks_parts: Callable[[], bool] = _lack_none
+    def __init__(
+        self, units: quota_ledger.QuotaLedger, keepers: QuotaHolders
+    ) -> None:
+        self.lacks_shares: Callable[[], bool] = _lack_none
         self._units = units
         self._keepers = keepers
 
-    async def take(self, team: catalog.Team, wish: terms.Wish) -> terms.Answer:
+    async def acquire(
+        self, team: catalog.Team, wish: terms.AdmissionRequest
+    ) -> terms.AdmissionDecision:
         """Spend units for a request that came to this daemon."""
         if team.rate <= 0:
-            return terms.Answer(0.0)
-        if not self._keepers.keeps_here():
+            return terms.AdmissionDecision(0.0)
+        if not self._keepers.holds_quota_here():
             answer = await self._keepers.ask(team.name, wish)
             if answer is not None:
                 return answer
         verdict = await self._take_here(team, wish)
         match verdict:
-            case terms.Elsewhere(holder=holder) if holder:
-                answer = await self._keepers.ask_at(holder, team.name, wish)
+            case terms.HeldElsewhere(holder=holder) if holder:
+                answer = await self._keepers.ask_address(
+                    holder, team.name, wish
+                )
                 if answer is not None and answer.is_admitted:
                     return answer
         return await self.settle(team, wish, verdict, _WAIT_S)
 
     async def _take_here(
-        self, team: catalog.Team, wish: terms.Wish
+        self, team: catalog.Team, wish: terms.AdmissionRequest
     ) -> terms.Verdict:
         """Return the verdict of the units here, once there can be some.
 
@@ -80,22 +88,22 @@
         within the second in which parts are lent. Refused then, they mostly
         gave up; a second later there was enough for all.
         """
-        end = trio.current_time() + wish.patience_s
-        verdict = self._units.take(team, wish)
-        while isinstance(verdict, terms.Refused) and self.lacks_parts():
+        end = trio.current_time() + wish.max_wait_s
+        verdict = self._units.try_spend(team, wish)
+        while isinstance(verdict, terms.Refused) and self.lacks_shares():
             if trio.current_time() >= end:
                 break
             await trio.sleep(_LOOK_S)
-            verdict = self._units.take(team, wish, is_again=True)
+            verdict = self._units.try_spend(team, wish, is_again=True)
         return verdict
 
     async def settle(
         self,
         team: catalog.Team,
-        wish: terms.Wish,
+        wish: terms.AdmissionRequest,
         verdict: terms.Verdict,
         wait_s: float,
-    ) -> terms.Answer:
+    ) -> terms.AdmissionDecision:
         """Return what comes of a verdict of the units here.
 
         Args:
@@ -105,36 +113,38 @@
             wait_s: How long the request may wait for units of others.
         """
         match verdict:
-            case terms.Elsewhere(missing=missing):
+            case terms.HeldElsewhere(missing=missing):
                 verdict = await self._wait(team, wish, missing, wait_s)
         standing = self._units.describe(team.name)
         match verdict:
             case terms.Admitted():
-                return terms.Answer(0.0, standing)
+                return terms.AdmissionDecision(0.0, standing)
             case _:
                 retry_s = self._units.refuse(team, wish.units)
-                return terms.Answer(retry_s, standing)
+                return terms.AdmissionDecision(retry_s, standing)
 
     async def _wait(
         self,
         team: catalog.Team,
-        wish: terms.Wish,
+        wish: terms.AdmissionRequest,
         missing: float,
         wait_s: float,
     ) -> terms.Verdict:
         """Wait a moment for units that others have."""
-        verdict: terms.Verdict = terms.Elsewhere(missing)
-        self._units.note_need(team, missing)
+        verdict: terms.Verdict = terms.HeldElsewhere(missing)
+        self._units.note_shortage(team, missing)
         try:
             with trio.move_on_after(wait_s):
-                while isinstance(verdict, terms.Elsewhere):
+                while isinstance(verdict, terms.HeldElsewhere):
                     await self._units.news.wait()
-                    verdict = self._units.take(team, wish, is_again=True)
+                    verdict = self._units.try_spend(team, wish, is_again=True)
         finally:
-            self._units.note_need(team, -missing)
+            self._units.note_shortage(team, -missing)
         return verdict
 
 
-def create_gate(units: escrow.EscrowLedger, keepers: Keepers) -> AllowanceGate:
+def create_gate(
+    units: quota_ledger.QuotaLedger, keepers: QuotaHolders
+) -> AllowanceGate:
     """Return a gate."""
     return AllowanceGate(units, keepers)
--- a/packages/daemon/src/martenquay_daemon/allowances/tokens.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/quota_bucket.py
@@ -6,7 +6,7 @@
 import dataclasses
 import math
 
-__all__ = ["Parcel", "TokenPile"]
+__all__ = ["QuotaLot", "QuotaBucket"]
 
 # A unit's lifetime is counted in so many steps; one step is by how much a unit
 # may end too soon, never too late.
@@ -14,7 +14,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Parcel:
+class QuotaLot:
     """Units with one end.
 
     Attributes:
@@ -26,7 +26,7 @@
     ends_at: float
 
 
-class TokenPile:
+class QuotaBucket:
     """Units of one team at one daemon, and what it owes.
 
     Attributes:
@@ -58,10 +58,10 @@
         while start < end:
             until = min(end, start + self._step_s)
             units = rate * (until - start)
-            self.add(now, Parcel(units, start + self.life_s))
+            self.add(now, QuotaLot(units, start + self.life_s))
             start = until
 
-    def add(self, now: float, parcel: Parcel) -> float:
+    def add(self, now: float, parcel: QuotaLot) -> float:
         """Add units and pay what is owed; return what was still of use."""
         step = math.floor(parcel.ends_at / self._step_s)
         if step * self._step_s <= now or parcel.units <= 0:
@@ -73,12 +73,12 @@
             self._put(step, left)
         return parcel.units
 
-    def change_life(self, now: float, life_s: float) -> TokenPile:
+    def change_life(self, now: float, life_s: float) -> QuotaBucket:
         """Return a pile with the same units, none of which lives longer."""
-        pile = TokenPile(life_s)
+        pile = QuotaBucket(life_s)
         for step, units in self._steps.items():
             ends_at = min(step * self._step_s, now + life_s)
-            pile.add(now, Parcel(units, ends_at))
+            pile.add(now, QuotaLot(units, ends_at))
         pile.debt += self.debt
         pile.unspent = self.unspent
         return pile
@@ -104,7 +104,7 @@
             self._set(step, there - used)
         self.debt += units
 
-    def take_away(self, now: float, units: float) -> list[Parcel]:
+    def take_away(self, now: float, units: float) -> list[QuotaLot]:
         """Take out units for another daemon, those that end last.
 
         What is missing is owed, and lives as if it were minted now.
@@ -115,10 +115,10 @@
             used = min(units, there)
             units -= used
             self._set(step, there - used)
-            parcels.append(Parcel(used, step * self._step_s))
+            parcels.append(QuotaLot(used, step * self._step_s))
         if units > 0:
             self.debt += units
-            parcels.append(Parcel(units, now + self.life_s))
+            parcels.append(QuotaLot(units, now + self.life_s))
         return parcels
 
     def _set(self, step: int, units: float) -> None:
--- a/packages/daemon/src/martenquay_daemon/allowances/escrow.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/quota_ledger.py
@@ -22,15 +22,15 @@
 
 import trio
 
-from martenquay_daemon.allowances import sharing, terms, tokens
+from martenquay_daemon.allowances import quota_bucket, sharing, terms
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
     from martenquay_core.serving import catalog
-    from martenquay_daemon.allowances import rights
+    from martenquay_daemon.allowances import refill_shares
 
-__all__ = ["EscrowLedger", "Gift", "create_escrow"]
+__all__ = ["QuotaLedger", "QuotaTransfer", "create_quota_ledger"]
 
 # Over this time the demand at a daemon is measured.
 _DEMAND_MEMORY_S = 1.0
@@ -56,7 +56,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Gift:
+class QuotaTransfer:
     """Units for one daemon.
 
     Attributes:
@@ -86,7 +86,7 @@
     heard: int
     heard_at: float
     address: str
-    holdings: dict[str, sharing.Holding]
+    holdings: dict[str, sharing.QuotaBalance]
     given: dict[str, float] = dataclasses.field(default_factory=dict)
     taken: dict[str, float] = dataclasses.field(default_factory=dict)
 
@@ -124,7 +124,7 @@
     """
 
     pace: _Pace
-    pile: tokens.TokenPile
+    pile: quota_bucket.QuotaBucket
     minted_at: float
     asked: float = 0.0
     asked_at: float = 0.0
@@ -137,13 +137,15 @@
         kept = math.exp((self.asked_at - now) / _DEMAND_MEMORY_S)
         return kept * self.asked
 
-    def hold(self, now: float, may_owe: float) -> sharing.Holding:
+    def hold(self, now: float, overdraft: float) -> sharing.QuotaBalance:
         """Return what there is, for others and for reckoning with them."""
         asked = self.find_asked(now)
-        return sharing.Holding(self.pile.level, asked, self.needed, may_owe)
+        return sharing.QuotaBalance(
+            self.pile.level, asked, self.needed, overdraft
+        )
 
 
-class EscrowLedger:
+class QuotaLedger:
     """The teams' units at one daemon.
 
     Attributes:
@@ -155,26 +157,30 @@
     def __init__(
         self,
         bounds: terms.ToleranceBounds,
-        mint_rights: rights.MintRights,
-        hurry: Callable[[], None],
+        mint_rights: refill_shares.RefillShares,
+        notify_soon: Callable[[], None],
     ) -> None:
         """Begin without units.
 
         Args:
             bounds: What is tolerated.
             mint_rights: What this daemon may mint.
-            hurry: Has this daemon's units told to others soon.
+            notify_soon: Has this daemon's units told to others soon.
         """
         self.bounds = bounds
         self.rights = mint_rights
         self.news = trio.Event()
-        self._hurry = hurry
+        self._hurry = notify_soon
         self._started_at = trio.current_time()
         self._accounts: dict[str, _Account] = {}
         self._others: dict[str, _Other] = {}
 
-    def take(
-        self, team: catalog.Team, wish: terms.Wish, *, is_again: bool = False
+    def try_spend(
+        self,
+        team: catalog.Team,
+        wish: terms.AdmissionRequest,
+        *,
+        is_again: bool = False,
     ) -> terms.Verdict:
         """Spend units if they are there.
 
@@ -196,13 +202,13 @@
         """
         account = self._refill(team)
         account.promised += units
-        rate = account.pace.rate * self.rights.find_part()
+        rate = account.pace.rate * self.rights.find_usable_share()
         if rate <= 0:
             return _UNKNOWN_WAIT_S
         wait_s = (account.promised - account.pile.level) / rate
         return min(_LONGEST_WAIT_S, max(_LEAST_WAIT_S, wait_s))
 
-    def note_need(self, team: catalog.Team, units: float) -> None:
+    def note_shortage(self, team: catalog.Team, units: float) -> None:
         """Note that a request waits for units; less than 0 if no more."""
         account = self._refill(team)
         account.needed = max(0.0, account.needed + units)
@@ -215,19 +221,19 @@
             if team.rate > 0:
                 self._refill(team)
 
-    def describe(self, team: str) -> terms.Units:
+    def describe(self, team: str) -> terms.QuotaStatus:
         """Return what decides on a team's next request, for the log."""
         account = self._accounts.get(team)
         if account is None:
-            return terms.Units()
-        return terms.Units(
+            return terms.QuotaStatus()
+        return terms.QuotaStatus(
             account.pile.total,
             account.pile.debt,
-            self.rights.find_part(),
+            self.rights.find_usable_share(),
             account.find_asked(trio.current_time()),
         )
 
-    def list_holdings(self) -> dict[str, sharing.Holding]:
+    def list_holdings(self) -> dict[str, sharing.QuotaBalance]:
         """Return what this daemon has, by team."""
         now = trio.current_time()
         return {
@@ -235,9 +241,11 @@
             for team, account in self._accounts.items()
         }
 
-    def give(self, teams: Iterable[catalog.Team]) -> dict[str, Gift]:
+    def create_transfers(
+        self, teams: Iterable[catalog.Team]
+    ) -> dict[str, QuotaTransfer]:
         """Take out what others lack more; return it by receiver."""
-        gifts: dict[str, Gift] = {}
+        gifts: dict[str, QuotaTransfer] = {}
         now = trio.current_time()
         for team in teams:
             if team.rate <= 0:
@@ -247,17 +255,17 @@
                 other = self._others[member]
                 parcels = account.pile.take_away(now, units)
                 other.given[team.name] = other.given.get(team.name, 0.0) + units
-                gift = gifts.setdefault(member, Gift(other.heard, {}))
+                gift = gifts.setdefault(member, QuotaTransfer(other.heard, {}))
                 gift.parcels[team.name] = [
                     (parcel.units, parcel.ends_at - now) for parcel in parcels
                 ]
         return gifts
 
-    def hear(
+    def apply_balances(
         self,
         member: str,
         number: int,
-        holdings: dict[str, sharing.Holding],
+        holdings: dict[str, sharing.QuotaBalance],
         address: str = "",
     ) -> None:
         """Take what another daemon has told of its units."""
@@ -270,7 +278,7 @@
         if any(self._is_to_give(team) for team in holdings):
             self._hurry()
 
-    def accept(self, gift: Gift, told_at: float) -> None:
+    def accept_transfer(self, gift: QuotaTransfer, told_at: float) -> None:
         """Take units that another daemon has given.
 
         Args:
@@ -286,7 +294,9 @@
                 continue
             account.pile.expire(now)
             for units, life_s in parcels:
-                account.pile.add(now, tokens.Parcel(units, told_at + life_s))
+                account.pile.add(
+                    now, quota_bucket.QuotaLot(units, told_at + life_s)
+                )
         self.news.set()
         self.news = trio.Event()
 
@@ -299,7 +309,10 @@
         self._others.clear()
 
     def _decide(
-        self, team: catalog.Team, account: _Account, wish: terms.Wish
+        self,
+        team: catalog.Team,
+        account: _Account,
+        wish: terms.AdmissionRequest,
     ) -> terms.Verdict:
         pile = account.pile
         units = wish.units
@@ -317,13 +330,13 @@
             return terms.Admitted()
         missing = max(missing, 1.0 - pile.level)
         if self._is_elsewhere(team, missing):
-            return terms.Elsewhere(missing, self._find_holder(team, units))
+            return terms.HeldElsewhere(missing, self._find_holder(team, units))
         return terms.Refused()
 
     def _is_short(self, account: _Account, units: float) -> bool:
         """Tell whether a request would take units from those on time."""
         now = trio.current_time()
-        comes = account.pace.rate * self.rights.find_part()
+        comes = account.pace.rate * self.rights.find_usable_share()
         if account.find_asked(now) <= comes:
             return False
         full = self._find_full(account)
@@ -340,7 +353,7 @@
         for member, one in self._list_others(team).items():
             other = self._others[member]
             level = one.level - other.taken.get(team.name, 0.0)
-            is_enough = level > 0 and level + one.may_owe >= units
+            is_enough = level > 0 and level + one.overdraft >= units
             if other.address and is_enough and level > most:
                 found, most = member, level
         if not found:
@@ -356,8 +369,8 @@
         that has left the window this one owes no more than it has let end
         unspent, which is as good as paying it.
         """
-        most = self.bounds.find_most_owed()
-        held, fresh = self.rights.find_part_to_owe()
+        most = self.bounds.find_max_overdraft()
+        held, fresh = self.rights.find_overdraft_shares()
         return most * held + min(most * fresh, account.pile.unspent)
 
     def _is_elsewhere(self, team: catalog.Team, missing: float) -> bool:
@@ -377,7 +390,7 @@
     def _find_full(self, account: _Account) -> float:
         """Return the units that this daemon's part may come to."""
         full = account.pace.rate * account.pace.life_s
-        return full * self.rights.find_part()
+        return full * self.rights.find_usable_share()
 
     def _is_to_give(self, team: str) -> bool:
         """Tell whether another daemon waits for units that are here."""
@@ -398,13 +411,17 @@
         own = account.hold(trio.current_time(), self._find_most_owed(account))
         others = self._list_others(team)
         rate = account.pace.rate
-        gifts = sharing.find_gifts(own, others, rate)
+        gifts = sharing.find_transfers(own, others, rate)
         if not gifts:
-            gifts = sharing.find_flow_gifts(own, others, account.minted, rate)
+            gifts = sharing.find_scarcity_transfers(
+                own, others, account.minted, rate
+            )
         account.minted = 0.0
         return gifts
 
-    def _list_others(self, team: catalog.Team) -> dict[str, sharing.Holding]:
+    def _list_others(
+        self, team: catalog.Team
+    ) -> dict[str, sharing.QuotaBalance]:
         """Return what others have, with what was given to them since."""
         oldest = trio.current_time() - _FRESH_S
         found = {}
@@ -413,11 +430,11 @@
             if holding is None or other.heard_at < oldest:
                 continue
             given = other.given.get(team.name, 0.0)
-            found[member] = sharing.Holding(
+            found[member] = sharing.QuotaBalance(
                 holding.level + given,
                 holding.asked,
                 max(0.0, holding.needed - given),
-                holding.may_owe,
+                holding.overdraft,
             )
         return found
 
@@ -427,7 +444,7 @@
         if account is None:
             pace = self._find_pace(team)
             account = _Account(
-                pace, tokens.TokenPile(pace.life_s), self._started_at
+                pace, quota_bucket.QuotaBucket(pace.life_s), self._started_at
             )
             self._accounts[team.name] = account
         elif account.pace.team is not team or account.pace.bounds is not (
@@ -452,7 +469,7 @@
 
     def _find_pace(self, team: catalog.Team) -> _Pace:
         bounds = self.bounds
-        rate = bounds.find_mint_rate(team)
+        rate = bounds.find_refill_rate(team)
         return _Pace(team, bounds, rate, bounds.find_life(team))
 
     def _change_pace(self, account: _Account, pace: _Pace) -> None:
@@ -469,10 +486,10 @@
         account.asked_at = now
 
 
-def create_escrow(
+def create_quota_ledger(
     bounds: terms.ToleranceBounds,
-    mint_rights: rights.MintRights,
-    hurry: Callable[[], None],
-) -> EscrowLedger:
+    mint_rights: refill_shares.RefillShares,
+    notify_soon: Callable[[], None],
+) -> QuotaLedger:
     """Return a ledger without units."""
-    return EscrowLedger(bounds, mint_rights, hurry)
+    return QuotaLedger(bounds, mint_rights, notify_soon)
--- a/packages/daemon/src/martenquay_daemon/allowances/rights.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/refill_shares.py
@@ -20,18 +20,24 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator
 
-__all__ = ["LENT_S", "Loan", "MintRights", "OwnPart", "Span"]
+__all__ = [
+    "DELEGATION_S",
+    "ShareDelegation",
+    "RefillShares",
+    "RateShare",
+    "Span",
+]
 
 # A part is lent for so long and lent again twice a second. It has to outlast
 # the report that the loan counts from (up to 0.8 s old) and one digest that is
 # lost. For as long nobody mints the parts that a lost daemon had borrowed.
-LENT_S = 1.8
+DELEGATION_S = 1.8
 # No unit lives longer, so nobody mints for a time that is longer ago.
 _KEPT_S = 10.0
 
 
 @dataclasses.dataclass(frozen=True)
-class OwnPart:
+class RateShare:
     """The part of an instance.
 
     Attributes:
@@ -44,7 +50,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Loan:
+class ShareDelegation:
     """A part that its owner does not use for some time.
 
     Attributes:
@@ -102,7 +108,7 @@
     held_since: float
 
 
-class MintRights:
+class RefillShares:
     """What this daemon may mint: its own part if not lent, and borrowed ones.
 
     Attributes:
@@ -111,7 +117,7 @@
 
     def __init__(
         self,
-        find_own: Callable[[], OwnPart],
+        find_own: Callable[[], RateShare],
         window_s: float,
         find_sole_since: Callable[[], float] = lambda: -math.inf,
     ) -> None:
@@ -131,7 +137,7 @@
         self._at = self._started_at
         self._own = 0.0
         # Until then the process before may have lent what is now this one's.
-        self._own_from = self._started_at + LENT_S
+        self._own_from = self._started_at + DELEGATION_S
         self._lent = _Lent()
         self._larger_until = -math.inf
         self._borrowed: dict[str, _Borrowed] = {}
@@ -166,14 +172,14 @@
             found.append(Span(start, span.end, span.part))
         return reversed(found)
 
-    def find_part(self) -> float:
+    def find_usable_share(self) -> float:
         """Return the part that may be minted now."""
         now = trio.current_time()
         return self._find_own_now(now) + sum(
             one.span.part for one in self._list_active(now)
         )
 
-    def find_part_to_owe(self) -> tuple[float, float]:
+    def find_overdraft_shares(self) -> tuple[float, float]:
         """Return the parts on which units may be owed.
 
         Returns:
@@ -194,7 +200,7 @@
             return held + own, 0.0
         return held, own
 
-    def lend(self, receiver: str, heard: int) -> Loan | None:
+    def delegate(self, receiver: str, heard: int) -> ShareDelegation | None:
         """Lend this instance's part, for a while from now.
 
         Args:
@@ -212,16 +218,22 @@
             starts_at = max(now, last.until)
         if own.part < last.part:
             self._larger_until = last.until
-        self._lent = _Lent(receiver, own.part, starts_at, now + LENT_S)
+        self._lent = _Lent(receiver, own.part, starts_at, now + DELEGATION_S)
         starts_s = max(0.0, starts_at - now)
-        return Loan(receiver, heard, own.part, starts_s, LENT_S)
+        return ShareDelegation(
+            receiver, heard, own.part, starts_s, DELEGATION_S
+        )
 
-    def has_lent_more(self) -> bool:
+    def has_larger_delegation(self) -> bool:
         """Tell whether a loan is still good that was larger than the part."""
         return trio.current_time() < self._larger_until
 
-    def borrow(
-        self, instance: str, member: str, loan: Loan, reported_at: float
+    def accept_delegation(
+        self,
+        instance: str,
+        member: str,
+        loan: ShareDelegation,
+        reported_at: float,
     ) -> None:
         """Take another instance's part for a while.
 
@@ -254,7 +266,7 @@
         span = Span(start, end, loan.part)
         self._borrowed[instance] = _Borrowed(member, span, held_since)
 
-    def end_loans_of_others(self, instance: str, member: str) -> None:
+    def end_former_delegations(self, instance: str, member: str) -> None:
         """End what an earlier process of an instance had lent.
 
         Its next one may use the part itself, or lend it to somebody else.
@@ -272,7 +284,7 @@
         """Return how many instances lend to this daemon now."""
         return sum(1 for _ in self._list_active(trio.current_time()))
 
-    def _get_own(self) -> OwnPart:
+    def _get_own(self) -> RateShare:
         own = self._find_own()
         if own.part > 0:
             # Before the log has told of other daemons, it is not known
--- a/packages/daemon/src/martenquay_daemon/allowances/sharing.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/sharing.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-__all__ = ["Holding", "find_flow_gifts", "find_gifts"]
+__all__ = ["QuotaBalance", "find_scarcity_transfers", "find_transfers"]
 
 # Each daemon keeps a part of the units as if it were asked for so much of an
 # even part of the rate besides: the next request may come to any of them.
@@ -27,29 +27,29 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Holding:
+class QuotaBalance:
     """What a daemon has of one team's units.
 
     Attributes:
         level: Units that it may spend; less than 0 if it owes some.
         asked: Units a second that callers ask it for, lately.
         needed: Units that it lacks for a request that waits there.
-        may_owe: How far below 0 its level may come.
+        overdraft: How far below 0 its level may come.
     """
 
     level: float
     asked: float
     needed: float = 0.0
-    may_owe: float = 0.0
+    overdraft: float = 0.0
 
     @property
     def spendable(self) -> float:
         """What it may spend, or give for a request that waits."""
-        return max(0.0, self.level + self.may_owe)
+        return max(0.0, self.level + self.overdraft)
 
 
-def find_gifts(
-    own: Holding, others: Mapping[str, Holding], rate: float
+def find_transfers(
+    own: QuotaBalance, others: Mapping[str, QuotaBalance], rate: float
 ) -> dict[str, float]:
     """Return the units to be given away, by receiver.
 
@@ -68,8 +68,11 @@
     return gifts
 
 
-def find_flow_gifts(
-    own: Holding, others: Mapping[str, Holding], minted: float, rate: float
+def find_scarcity_transfers(
+    own: QuotaBalance,
+    others: Mapping[str, QuotaBalance],
+    minted: float,
+    rate: float,
 ) -> dict[str, float]:
     """Return what is passed on of what was minted while units are scarce.
 
@@ -100,7 +103,7 @@
 
 
 def _find_for_need(
-    own: Holding, others: Mapping[str, Holding]
+    own: QuotaBalance, others: Mapping[str, QuotaBalance]
 ) -> dict[str, float]:
     """Return what goes to waiting requests, each daemon a part of it."""
     needs = {name: one.needed for name, one in others.items() if one.needed > 0}
@@ -117,7 +120,7 @@
 
 
 def _find_excess(
-    own: Holding, others: Mapping[str, Holding], rate: float
+    own: QuotaBalance, others: Mapping[str, QuotaBalance], rate: float
 ) -> dict[str, float]:
     """Return what evens out holdings by what they are asked for."""
     count = 1 + len(others)
--- a/packages/daemon/src/martenquay_daemon/allowances/terms.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/terms.py
@@ -10,13 +10,13 @@
 
 __all__ = [
     "Admitted",
-    "Answer",
-    "Elsewhere",
+    "AdmissionDecision",
+    "HeldElsewhere",
     "Refused",
     "ToleranceBounds",
-    "Units",
+    "QuotaStatus",
     "Verdict",
-    "Wish",
+    "AdmissionRequest",
 ]
 
 # Units reach a runner so much later than they are spent here, at the most but
@@ -53,7 +53,7 @@
         life_s = steady_s - self.window_s - _DELAY_S
         return min(_LONGEST_LIFE_S, max(_SHORTEST_LIFE_S, life_s))
 
-    def find_mint_rate(self, team: catalog.Team) -> float:
+    def find_refill_rate(self, team: catalog.Team) -> float:
         """Return the units a second that all daemons together may mint.
 
         What is spent in a window was minted in it or one lifetime before it,
@@ -62,18 +62,18 @@
         span_s = self.window_s + self.find_life(team) + _DELAY_S
         return self._find_minted(team) / span_s
 
-    def find_most_owed(self) -> float:
+    def find_max_overdraft(self) -> float:
         """Return what all daemons together may spend before it is minted."""
         return _OWED_SLACK * self.slack
 
     def _find_minted(self, team: catalog.Team) -> float:
         allowance = team.rate * self.window_s + team.burst
         tolerated = allowance * (1 + self.overrun) + self.slack
-        return tolerated - self.find_most_owed()
+        return tolerated - self.find_max_overdraft()
 
 
 @dataclasses.dataclass(frozen=True)
-class Wish:
+class AdmissionRequest:
     """What a request asks of its team's allowance.
 
     Attributes:
@@ -81,13 +81,13 @@
         reserve: Steps of urgency to leave room for; 0 for the most urgent.
         is_late: Its caller has tried before, and its answer cannot be on time
             any more.
-        patience_s: How long it may wait where nothing is known of units yet.
+        max_wait_s: How long it may wait where nothing is known of units yet.
     """
 
     units: float
     reserve: int = 0
     is_late: bool = False
-    patience_s: float = 0.6
+    max_wait_s: float = 0.6
 
 
 @dataclasses.dataclass(frozen=True)
@@ -101,7 +101,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Elsewhere:
+class HeldElsewhere:
     """Other daemons likely have what is missing here.
 
     Attributes:
@@ -114,11 +114,11 @@
     holder: str = ""
 
 
-Verdict = Admitted | Refused | Elsewhere
+Verdict = Admitted | Refused | HeldElsewhere
 
 
 @dataclasses.dataclass(frozen=True)
-class Units:
+class QuotaStatus:
     """A team's units at this daemon, for the log.
 
     Attributes:
@@ -135,7 +135,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Answer:
+class AdmissionDecision:
     """What became of a request's wish.
 
     Attributes:
@@ -146,7 +146,7 @@
     """
 
     retry_s: float
-    units: Units = Units()
+    units: QuotaStatus = QuotaStatus()
     kept_at: str = ""
 
     @property
--- a/packages/daemon/src/martenquay_daemon/backpressure/leaving_words.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/drain_reports.py
@@ -20,7 +20,7 @@
 
     from martenquay_core.serving import runners
 
-__all__ = ["LeavingWords"]
+__all__ = ["DrainReports"]
 
 _LOG = logs.create_log("backpressure")
 # Long after a runner that leaves has ended; its id may have another process
@@ -40,17 +40,17 @@
     heard_at: float
 
 
-class LeavingWords:
+class DrainReports:
     """Runners that leave, by id.
 
     Attributes:
         observe: Told the kind and the source of each word that is new.
-        hurry: Has other daemons told soon.
+        notify_soon: Has other daemons told soon.
     """
 
     def __init__(self) -> None:
         self.observe: Callable[[str, str], None] = observers.ignore_change
-        self.hurry: Callable[[], None] = observers.tell_nobody
+        self.notify_soon: Callable[[], None] = observers.ignore_notification
         self._words: dict[str, _Word] = {}
 
     def list_ids(self) -> set[str]:
@@ -60,14 +60,14 @@
     def note_answer(self, runner: runners.Runner) -> None:
         """Note that a runner has said so in an answer."""
         if self._keep(runner.id, runner.born_ms, "answer"):
-            self.hurry()
+            self.notify_soon()
 
-    def take_told(self, told: dict[str, int | None]) -> None:
+    def apply_gossip(self, told: dict[str, int | None]) -> None:
         """Take what another daemon knows: starts of processes by runner id."""
         for runner_id, born_ms in told.items():
             self._keep(runner_id, born_ms, "daemon")
 
-    def list_heard(self) -> dict[str, int | None]:
+    def list_recent_reports(self) -> dict[str, int | None]:
         """Return what others are to be told, the newest first."""
         oldest = trio.current_time() - _TELL_S
         found = [
--- a/packages/daemon/src/martenquay_daemon/backpressure/limit_words.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/limit_reports.py
@@ -9,7 +9,12 @@
 
 import dataclasses
 
-__all__ = ["LimitWord", "choose_later_end", "fold_told", "fold_word"]
+__all__ = [
+    "LimitReport",
+    "choose_later_end",
+    "merge_gossiped_report",
+    "merge_report",
+]
 
 # A word that comes back from the daemons that were told it seems younger by
 # the time of its way; taken for a new one it would never grow old.
@@ -20,7 +25,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class LimitWord:
+class LimitReport:
     """What one answer says of a runner's limit; times are trio's.
 
     Attributes:
@@ -37,7 +42,9 @@
     heard_at: float
 
 
-def fold_word(known: LimitWord | None, word: LimitWord) -> LimitWord | None:
+def merge_report(
+    known: LimitReport | None, word: LimitReport
+) -> LimitReport | None:
     """Return the newest word of a runner; None if no limit was ever named."""
     if known is not None and _is_later_process(known, word):
         return known
@@ -61,14 +68,16 @@
     )
 
 
-def choose_later_end(known: LimitWord, word: LimitWord) -> LimitWord:
+def choose_later_end(known: LimitReport, word: LimitReport) -> LimitReport:
     """Return the later of two words that say that there is no limit."""
     if _is_later_process(known, word) or word.sent_at < known.sent_at:
         return known
     return word
 
 
-def fold_told(known: LimitWord | None, word: LimitWord) -> LimitWord | None:
+def merge_gossiped_report(
+    known: LimitReport | None, word: LimitReport
+) -> LimitReport | None:
     """Return the newest word, with one that another daemon has told."""
     if (
         known is not None
@@ -78,12 +87,12 @@
     ):
         return known
     told = dataclasses.replace(word, sent_at=word.sent_at - _WAY_S)
-    newest = fold_word(known, told)
+    newest = merge_report(known, told)
     # It is handed on as it was heard, or each hub would make it older.
     return word if newest is told else newest
 
 
-def _is_later_process(one: LimitWord, other: LimitWord) -> bool:
+def _is_later_process(one: LimitReport, other: LimitReport) -> bool:
     if one.born_ms is None or other.born_ms is None:
         return False
     return one.born_ms > other.born_ms
--- a/packages/daemon/src/martenquay_daemon/backpressure/parts.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/parts.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING
 
 from martenquay_daemon.backpressure import (
-    leaving_words,
-    rests,
+    drain_reports,
+    runner_backoffs,
     runner_gate,
     runner_limits,
     send_order,
@@ -32,16 +32,16 @@
     """
 
     limits: runner_limits.RunnerLimits
-    leaving: leaving_words.LeavingWords
-    gate: runner_gate.RunnerGate
+    leaving: drain_reports.DrainReports
+    gate: runner_gate.RunnerAdmission
 
 
 def create_backpressure(
     instance: str,
     known: roster.Roster,
-    leaving: leaving_words.LeavingWords,
+    leaving: drain_reports.DrainReports,
     observe: Callable[[str, str], None],
-    hurry: Callable[[], None],
+    notify_soon: Callable[[], None],
 ) -> Backpressure:
     """Return the parts, connected.
 
@@ -50,13 +50,13 @@
         known: The instances that share what runners take.
         leaving: The directory's: it lists none of those that leave.
         observe: Told the kind and the source of each change.
-        hurry: Has other daemons told of a change soon.
+        notify_soon: Has other daemons told of a change soon.
     """
-    order = send_order.SendOrder(instance, known)
+    order = send_order.SenderRanking(instance, known)
     limits = runner_limits.RunnerLimits(order.find_place)
-    asked_rests = rests.Rests()
+    asked_rests = runner_backoffs.RunnerBackoffs()
     for words in (limits, leaving, asked_rests):
         words.observe = observe
-    limits.hurry = leaving.hurry = hurry
-    gate = runner_gate.RunnerGate(limits, leaving, asked_rests)
+    limits.notify_soon = leaving.notify_soon = notify_soon
+    gate = runner_gate.RunnerAdmission(limits, leaving, asked_rests)
     return Backpressure(limits, leaving, gate)
--- a/packages/daemon/src/martenquay_daemon/backpressure/runner_gate.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/runner_gate.py
@@ -14,12 +14,12 @@
 
     from martenquay_core.serving import calls, runners
     from martenquay_daemon.backpressure import (
-        leaving_words,
-        rests,
+        drain_reports,
+        runner_backoffs,
         runner_limits,
     )
 
-__all__ = ["ClosedRunners", "RunnerGate"]
+__all__ = ["UnavailableRunners", "RunnerAdmission"]
 
 _LOG = logs.create_log("backpressure")
 _LEAVES = "the runner says that it leaves"
@@ -28,7 +28,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class ClosedRunners:
+class UnavailableRunners:
     """Runners that take no request of this daemon now.
 
     Attributes:
@@ -42,7 +42,7 @@
     limited: int
 
 
-class RunnerGate:
+class RunnerAdmission:
     """What runners say of themselves, for all that sends to them.
 
     A runner's own word is no guess: unlike one that failed, a runner that says
@@ -52,8 +52,8 @@
     def __init__(
         self,
         limits: runner_limits.RunnerLimits,
-        leaving: leaving_words.LeavingWords,
-        asked_rests: rests.Rests,
+        leaving: drain_reports.DrainReports,
+        asked_rests: runner_backoffs.RunnerBackoffs,
     ) -> None:
         self._limits = limits
         self._leaving = leaving
@@ -86,7 +86,7 @@
         elif not head.did_not_run:
             self._rests.note_answer(runner, sent_at)
 
-    def keep_open(
+    def filter_accepting(
         self, found: Iterable[runners.Runner]
     ) -> list[runners.Runner]:
         """Return the runners that take a request of this daemon now."""
@@ -99,7 +99,7 @@
             if runner.id not in told or not self._find_problem(runner)
         ]
 
-    def keep_whole(
+    def filter_unlimited(
         self, found: Iterable[runners.Runner]
     ) -> list[runners.Runner]:
         """Return the runners that take as much as any other."""
@@ -110,7 +110,7 @@
             if runner.id not in told or not self._limits.is_limited(runner)
         ]
 
-    def take_turn(self, runner: runners.Runner) -> str:
+    def try_admit(self, runner: runners.Runner) -> str:
         """Return why a request must not be sent now, or nothing.
 
         Asked right before it is sent: what the runner has said may be younger
@@ -141,13 +141,15 @@
         ]
         return min(filter(math.isfinite, waits), default=None)
 
-    def count_closed(self, found: Iterable[runners.Runner]) -> ClosedRunners:
+    def count_closed(
+        self, found: Iterable[runners.Runner]
+    ) -> UnavailableRunners:
         """Count the runners that take nothing now, by their first reason."""
         told = self._list_told()
         problems = collections.Counter(
             self._find_problem(runner) for runner in found if runner.id in told
         )
-        return ClosedRunners(
+        return UnavailableRunners(
             problems[_LEAVES], problems[_RESTS], problems[_OVER]
         )
 
--- a/packages/daemon/src/martenquay_daemon/backpressure/runner_limits.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/runner_limits.py
@@ -10,7 +10,7 @@
 
 from martenquay_core import logs
 from martenquay_daemon.backpressure import (
-    limit_words,
+    limit_reports,
     observers,
     send_shares,
 )
@@ -46,7 +46,7 @@
         over_since: Since when it goes by the end of a limit, in trio's time.
     """
 
-    word: limit_words.LimitWord
+    word: limit_reports.LimitReport
     is_own: bool
     since: float = -math.inf
     sent_at: float = -math.inf
@@ -58,18 +58,18 @@
 
     Attributes:
         observe: Told the kind and the source of each change.
-        hurry: Has other daemons told of a change soon.
+        notify_soon: Has other daemons told of a change soon.
     """
 
     def __init__(
         self,
-        find_place: Callable[[runners.Runner], send_shares.Place],
+        find_place: Callable[[runners.Runner], send_shares.SenderRank],
         find_share: Callable[
-            [float, send_shares.Place], send_shares.Share
+            [float, send_shares.SenderRank], send_shares.Share
         ] = send_shares.find_share,
     ) -> None:
         self.observe: Callable[[str, str], None] = observers.ignore_change
-        self.hurry: Callable[[], None] = observers.tell_nobody
+        self.notify_soon: Callable[[], None] = observers.ignore_notification
         self._find_place = find_place
         self._find_share = find_share
         self._known: dict[str, _Known] = {}
@@ -100,27 +100,27 @@
             return
         if told.limit_per_s is None and self._renew_end(runner, sent_at):
             return
-        word = limit_words.LimitWord(
+        word = limit_reports.LimitReport(
             told.limit_per_s, runner.born_ms, sent_at, trio.current_time()
         )
         known = self._find_word(runner.id)
-        folded = limit_words.fold_word(known, word)
+        folded = limit_reports.merge_report(known, word)
         if self._keep(runner.id, known, folded, is_own=True):
-            self.hurry()
+            self.notify_soon()
 
-    def take_told(
-        self, words: Iterable[tuple[str, limit_words.LimitWord]]
+    def apply_gossip(
+        self, words: Iterable[tuple[str, limit_reports.LimitReport]]
     ) -> None:
         """Take what other daemons were told, by runner id."""
         for runner_id, word in words:
             known = self._find_word(runner_id)
-            folded = limit_words.fold_told(known, word)
+            folded = limit_reports.merge_gossiped_report(known, word)
             if folded is not known:
                 self._keep(runner_id, known, folded, is_own=False)
 
-    def list_heard(
+    def list_recent_reports(
         self, *, is_relayed: bool
-    ) -> list[tuple[str, limit_words.LimitWord]]:
+    ) -> list[tuple[str, limit_reports.LimitReport]]:
         """Return what was heard lately, the newest first.
 
         Args:
@@ -152,9 +152,9 @@
         limit = known.word.limit_per_s
         assert limit is not None, "it is under a limit"
         match self._find_share(limit, self._find_place(runner)):
-            case send_shares.HolderPace() as pace:
+            case send_shares.HolderSchedule() as pace:
                 return _wait_for_pace(known, pace)
-            case send_shares.AskSlot() as slot:
+            case send_shares.ProbeSlot() as slot:
                 return _wait_for_slot(known, slot)
 
     def find_next_s(self, runner: runners.Runner) -> float:
@@ -204,20 +204,20 @@
         if known.word.heard_at < now - _FORGET_END_S:
             del self._known[runner.id]
         elif now < known.over_since + _TELL_S:
-            word = limit_words.LimitWord(None, runner.born_ms, sent_at, now)
-            known.word = limit_words.choose_later_end(known.word, word)
+            word = limit_reports.LimitReport(None, runner.born_ms, sent_at, now)
+            known.word = limit_reports.choose_later_end(known.word, word)
             known.is_own = True
         return True
 
-    def _find_word(self, runner_id: str) -> limit_words.LimitWord | None:
+    def _find_word(self, runner_id: str) -> limit_reports.LimitReport | None:
         known = self._known.get(runner_id)
         return None if known is None else known.word
 
     def _keep(
         self,
         runner_id: str,
-        before: limit_words.LimitWord | None,
-        word: limit_words.LimitWord | None,
+        before: limit_reports.LimitReport | None,
+        word: limit_reports.LimitReport | None,
         *,
         is_own: bool,
     ) -> bool:
@@ -245,7 +245,7 @@
         self,
         runner_id: str,
         old: float | None,
-        word: limit_words.LimitWord,
+        word: limit_reports.LimitReport,
         *,
         is_own: bool,
     ) -> None:
@@ -276,12 +276,12 @@
             del self._known[oldest]
 
 
-def _wait_for_pace(known: _Known, pace: send_shares.HolderPace) -> float:
+def _wait_for_pace(known: _Known, pace: send_shares.HolderSchedule) -> float:
     due_at = max(known.since + pace.first_s, known.sent_at + pace.interval_s)
     return max(0.0, due_at - trio.current_time())
 
 
-def _wait_for_slot(known: _Known, slot: send_shares.AskSlot) -> float:
+def _wait_for_slot(known: _Known, slot: send_shares.ProbeSlot) -> float:
     now = trio.current_time()
     past_s = now - known.word.heard_at - slot.first_s
     if past_s < 0:
--- a/packages/daemon/src/martenquay_daemon/backpressure/send_shares.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/send_shares.py
@@ -14,9 +14,9 @@
 import math
 
 __all__ = [
-    "AskSlot",
-    "HolderPace",
-    "Place",
+    "ProbeSlot",
+    "HolderSchedule",
+    "SenderRank",
     "Share",
     "find_pace_s",
     "find_share",
@@ -39,7 +39,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Place:
+class SenderRank:
     """Where a daemon stands among those that may send to a runner.
 
     Attributes:
@@ -52,7 +52,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class HolderPace:
+class HolderSchedule:
     """What a holder may send.
 
     Attributes:
@@ -65,7 +65,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class AskSlot:
+class ProbeSlot:
     """When another daemon may send one request, to learn of the limit's end.
 
     A slot that was not used is gone: else all would be due after a pause.
@@ -81,7 +81,7 @@
     period_s: float
 
 
-Share = HolderPace | AskSlot
+Share = HolderSchedule | ProbeSlot
 
 
 def find_pace_s(limit_per_s: float) -> float:
@@ -89,7 +89,7 @@
     return 1 / max(limit_per_s, _LEAST_PER_S)
 
 
-def find_share(limit_per_s: float, place: Place) -> Share:
+def find_share(limit_per_s: float, place: SenderRank) -> Share:
     """Return what one daemon may send; no two daemons have the same turn."""
     rate = max(limit_per_s, _LEAST_PER_S)
     daemons = max(1, place.daemons)
@@ -97,9 +97,9 @@
     holders = min(wanted, daemons)
     interval_s = holders / rate
     if place.rank < holders:
-        return HolderPace((place.rank + 1) / rate, interval_s)
+        return HolderSchedule((place.rank + 1) / rate, interval_s)
     silent_s = max(_LEAST_SILENT_S, _SILENT_INTERVALS * interval_s)
     length_s = 1 / min(_ASK_PART * rate, _MOST_ASKED_PER_S)
     number = place.rank - holders
     others = max(number + 1, daemons - holders)
-    return AskSlot(silent_s + number * length_s, length_s, others * length_s)
+    return ProbeSlot(silent_s + number * length_s, length_s, others * length_s)
--- a/packages/daemon/src/martenquay_daemon/callers/chats.py
+++ b/packages/daemon/src/martenquay_daemon/callers/chats.py
@@ -12,11 +12,11 @@
 from martenquay_core.util import blocks, serving
 from martenquay_daemon.callers import chat, exchange, gate, replies
 from martenquay_daemon.deferrable import table
-from martenquay_daemon.dispatch import book, journeys, model
+from martenquay_daemon.dispatch import model, registry, request_progress
 
 if TYPE_CHECKING:
     from martenquay_daemon.callers import teams
-    from martenquay_daemon.deferrable import desk
+    from martenquay_daemon.deferrable import manager
     from martenquay_daemon.limits import admission
     from martenquay_daemon.util import metrics
 
@@ -37,8 +37,8 @@
         routes: gate.Gate,
         entrance: admission.Admission,
         model_calls: model.ModelDispatcher,
-        deferrable: desk.DeferrableDesk,
-        requests: book.RequestBook,
+        deferrable: manager.DeferrableManager,
+        requests: registry.RequestRegistry,
         counters: metrics.DaemonMetrics,
     ) -> None:
         self._partner = partner
@@ -141,14 +141,14 @@
         team: teams.KnownTeam,
         known: gate.KnownRoute,
         asked: chat.ChatRequest,
-        sink: journeys.TokenSink,
-    ) -> Result[journeys.Usage, results.Failure]:
+        sink: request_progress.TokenSink,
+    ) -> Result[request_progress.Usage, results.Failure]:
         """Wait for room, then generate the answer into a sink."""
         prompt = asked.build_prompt()
         cost = blocks.count_tokens(prompt) + asked.max_tokens
         ask = self._gate.build_ask(team, known, cost)
         self._requests.open(
-            book.RunningRequest(
+            registry.RunningRequest(
                 request_id, team.name, known.name, known.urgency.value
             )
         )
@@ -156,7 +156,7 @@
             permit = await self._admission.enter(ask)
             if permit.is_error():
                 return Error(permit.error)
-            request = journeys.ModelRequest(
+            request = request_progress.ModelRequest(
                 request_id,
                 self._partner,
                 known.route.pool,
@@ -178,7 +178,7 @@
         known: gate.KnownRoute,
         asked: chat.ChatRequest,
         sink: chat.StreamingSink,
-        usage: journeys.Usage,
+        usage: request_progress.Usage,
     ) -> None:
         caller.count(results.ResultCode.OK, known)
         labels = {"pool": known.route.pool}
--- a/packages/daemon/src/martenquay_daemon/discovery/keyed_follower.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/keyed_follower.py
@@ -18,7 +18,7 @@
     from martenquay_core.serving import ports
     from martenquay_daemon.discovery import contact
 
-__all__ = ["FollowPace", "KeyedFollower", "RecordSink"]
+__all__ = ["ReadSchedule", "KeyedFollower", "RecordSink"]
 
 _LOG = logs.create_log("platform-log")
 # Refused calls are paid for like others; a second is soon enough to be up to
@@ -39,12 +39,12 @@
     def replace_all(self, snapshot: ports.Snapshot) -> None:
         """Take the newest record of each key; other keys are gone."""
 
-    def take(self, record: ports.KeyedRecord) -> None:
+    def apply_change(self, record: ports.KeyedRecord) -> None:
         """Take one more record."""
 
 
 @dataclasses.dataclass(frozen=True)
-class FollowPace:
+class ReadSchedule:
     """How a topic is read.
 
     Attributes:
@@ -79,7 +79,7 @@
         contact: contact.LogContact,
         topic: str,
         sink: RecordSink,
-        pace: FollowPace,
+        pace: ReadSchedule,
         is_crowded: Callable[[], bool] = lambda: False,
         is_needed: Callable[[], bool] = lambda: True,
     ) -> None:
@@ -168,7 +168,7 @@
         except ValueError as error:
             self._note_unreadable(1, str(error))
             return
-        self._sink.take(record)
+        self._sink.apply_change(record)
 
     def _note_unreadable(self, count: int, problem: str) -> None:
         """Count records that say nothing of any key; the others hold."""
--- a/packages/daemon/src/martenquay_daemon/discovery/runner_directory.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/runner_directory.py
@@ -8,7 +8,7 @@
 import trio
 
 from martenquay_core import logs
-from martenquay_daemon.backpressure import leaving_words
+from martenquay_daemon.backpressure import drain_reports
 from martenquay_daemon.discovery import runner_entries
 
 if TYPE_CHECKING:
@@ -46,7 +46,7 @@
     def __init__(
         self, codec: ports.PlatformCodec, log_contact: contact.LogContact
     ) -> None:
-        self.leaving = leaving_words.LeavingWords()
+        self.leaving = drain_reports.DrainReports()
         self.entries = runner_entries.RunnerEntries(codec)
         self.on_restart: Callable[[str], None] = _ignore
         self.on_unusable: Callable[[str], None] = _ignore
@@ -63,11 +63,11 @@
         """Take the newest entries; runners without one are gone."""
         self._apply(self.entries.replace_all(snapshot))
 
-    def take(self, record: ports.KeyedRecord) -> None:
+    def apply_change(self, record: ports.KeyedRecord) -> None:
         """Take one entry, or the end of one."""
         self._apply([self.entries.take(record)])
 
-    def take_copies(
+    def apply_copies(
         self,
         copies: list[runner_entries.RunnerCopy],
         runner_ids: set[str],
@@ -78,7 +78,7 @@
             copies: Those that this daemon may lack.
             runner_ids: All that there are.
         """
-        self._apply(self.entries.take_copies(copies, runner_ids))
+        self._apply(self.entries.apply_copies(copies, runner_ids))
 
     def find(self, runner_id: str) -> runners.Runner | None:
         """Return a runner by id."""
@@ -126,7 +126,7 @@
     def _apply(self, changes: Iterable[runner_entries.EntryChange]) -> None:
         for change in changes:
             match change:
-                case runner_entries.Told(runner=runner):
+                case runner_entries.EntryUpdated(runner=runner):
                     self._note_told(runner)
                 case runner_entries.Ended(runner_id=runner_id):
                     self._unusable.discard(runner_id)
@@ -135,7 +135,7 @@
                     runner_id=runner_id, problem=problem
                 ):
                     self._note_unusable(runner_id, problem)
-                case runner_entries.Lives():
+                case runner_entries.EntryConfirmed():
                     pass
 
     def _note_told(self, runner: runners.Runner) -> None:
--- a/packages/daemon/src/martenquay_daemon/discovery/runner_entries.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/runner_entries.py
@@ -20,10 +20,10 @@
 __all__ = [
     "Ended",
     "EntryChange",
-    "Lives",
+    "EntryConfirmed",
     "RunnerCopy",
     "RunnerEntries",
-    "Told",
+    "EntryUpdated",
     "Unusable",
 ]
 
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Told:
+class EntryUpdated:
     """An entry says something new.
 
     Attributes:
@@ -56,7 +56,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Lives:
+class EntryConfirmed:
     """An entry says only that its runner still lives."""
 
 
@@ -84,7 +84,7 @@
     problem: str
 
 
-EntryChange = Told | Lives | Ended | Unusable
+EntryChange = EntryUpdated | EntryConfirmed | Ended | Unusable
 
 
 @dataclasses.dataclass(frozen=True)
@@ -126,7 +126,7 @@
         self._note_change(record.offset)
         return Ended(record.key)
 
-    def take_copies(
+    def apply_copies(
         self, copies: Iterable[RunnerCopy], runner_ids: set[str]
     ) -> list[EntryChange]:
         """Take entries from a peer that has read further in the log.
@@ -150,7 +150,7 @@
     def _store(self, copy: RunnerCopy) -> EntryChange:
         known = self._entries.get(copy.key)
         if known is not None and copy.offset < known.copy.offset:
-            return Lives()
+            return EntryConfirmed()
         previous = known.runner if known is not None else None
         try:
             runner = self._codec.decode_runner(copy.key, copy.value)
@@ -158,14 +158,14 @@
             return self._store_unusable(copy, known, str(error))
         if previous is not None and _is_older(runner, previous):
             # Written by the process before, and late.
-            return Lives()
+            return EntryConfirmed()
         if previous is not None and not _is_change(previous, runner):
             # The copy stays at the record that said this first: heartbeats
             # of a thousand runners are not worth handing on.
-            return Lives()
+            return EntryConfirmed()
         self._entries[copy.key] = _Entry(copy, runner)
         self._note_change(copy.offset)
-        return Told(runner, previous)
+        return EntryUpdated(runner, previous)
 
     def _store_unusable(
         self, copy: RunnerCopy, known: _Entry | None, problem: str
--- a/packages/daemon/src/martenquay_daemon/dispatch/service.py
+++ b/packages/daemon/src/martenquay_daemon/dispatch/service.py
@@ -17,8 +17,8 @@
 if TYPE_CHECKING:
     from martenquay_core.platform import instances
     from martenquay_core.util import http
-    from martenquay_daemon.claims import desk
-    from martenquay_daemon.dispatch import book
+    from martenquay_daemon.claims import manager
+    from martenquay_daemon.dispatch import registry
     from martenquay_daemon.limits import ejection, retries
     from martenquay_daemon.membership import directory, table
     from martenquay_daemon.routing import loads
@@ -111,11 +111,11 @@
         fresh: http.HttpClient,
         runners: directory.RunnerDirectory,
         members: table.MemberTable,
-        claims: desk.ClaimDesk,
+        claims: manager.ClaimManager,
         load_book: loads.LoadBook,
         ejector: ejection.Ejector,
         budget: retries.RetryBudget,
-        requests: book.RequestBook,
+        requests: registry.RequestRegistry,
         counters: metrics.DaemonMetrics,
     ) -> None:
         self._reusing = reusing
--- a/packages/daemon/src/martenquay_daemon/duties/capacity_keeper.py
+++ b/packages/daemon/src/martenquay_daemon/duties/capacity_controller.py
@@ -12,10 +12,10 @@
 from martenquay_core import logs
 from martenquay_core.serving import ports
 from martenquay_daemon.duties import (
+    capacity_order,
     capacity_plan,
+    delayed_decrease,
     demand_trend,
-    order_line,
-    slow_fall,
 )
 from martenquay_daemon.engines import demand
 
@@ -29,7 +29,7 @@
     from martenquay_daemon.engines import loads, model
     from martenquay_daemon.fleet import view
 
-__all__ = ["CapacityKeeper", "CapacityParts"]
+__all__ = ["CapacityController", "CapacityParts"]
 
 _LOG = logs.create_log("capacity")
 _POLL_S = 0.5
@@ -83,15 +83,17 @@
     list_serving: Callable[[str, list[runners.Runner]], list[runners.Runner]]
 
 
-class CapacityKeeper:
+class CapacityController:
     """Keep as many runners as the load takes, as cheap as can be."""
 
     def __init__(self, parts: CapacityParts) -> None:
         self._parts = parts
-        self._lines: dict[tuple[str, str, bool], order_line.OrderLine] = {}
-        self._needs: dict[str, slow_fall.SlowFall] = {}
-        self._comforts: dict[str, slow_fall.SlowFall] = {}
-        self._rises: dict[str, slow_fall.SlowFall] = {}
+        self._lines: dict[
+            tuple[str, str, bool], capacity_order.CapacityOrder
+        ] = {}
+        self._needs: dict[str, delayed_decrease.DelayedDecrease] = {}
+        self._comforts: dict[str, delayed_decrease.DelayedDecrease] = {}
+        self._rises: dict[str, delayed_decrease.DelayedDecrease] = {}
         self._targets: dict[str, capacity_plan.CapacityTarget] = {}
         self._trends: dict[str, demand_trend.DemandTrend] = {}
         self._first_counts: dict[str, int] = {}
@@ -208,14 +210,14 @@
             comfortable = max(comfortable, first)
         # What was foreseen and is not there a boot later was no wave.
         rises = self._rises.setdefault(
-            service.name, slow_fall.SlowFall(state.limits.boot_s)
+            service.name, delayed_decrease.DelayedDecrease(state.limits.boot_s)
         )
         rise = rises.follow(now, rise)
         needed = self._needs.setdefault(
-            service.name, slow_fall.SlowFall(_LOWER_AFTER_S)
+            service.name, delayed_decrease.DelayedDecrease(_LOWER_AFTER_S)
         )
         spare = self._comforts.setdefault(
-            service.name, slow_fall.SlowFall(_LOWER_AFTER_S)
+            service.name, delayed_decrease.DelayedDecrease(_LOWER_AFTER_S)
         )
         target = capacity_plan.CapacityTarget(
             max(rise, needed.follow(now, count)),
@@ -291,7 +293,7 @@
     ) -> None:
         wanted = order.wanted
         key = (service, order.zone, order.is_reclaimable)
-        line = self._lines.setdefault(key, order_line.OrderLine())
+        line = self._lines.setdefault(key, capacity_order.CapacityOrder())
         serving = state.count(order.zone, is_reclaimable=order.is_reclaimable)
         line.note_serving(serving)
         if not line.is_due(trio.current_time(), wanted, state.limits.boot_s):
--- a/packages/daemon/src/martenquay_daemon/duties/parts.py
+++ b/packages/daemon/src/martenquay_daemon/duties/parts.py
@@ -5,9 +5,9 @@
 import dataclasses
 from typing import TYPE_CHECKING
 
-from martenquay_daemon.duties import capacity_keeper, usage_reporter
+from martenquay_daemon.duties import capacity_controller, usage_reporter
 from martenquay_daemon.fleet import announcements
-from martenquay_daemon.rollouts import keeper as rollout_keeper
+from martenquay_daemon.rollouts import controller as rollout_controller
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -98,9 +98,9 @@
 
 def _create_capacity_keeper(
     sources: DutySources, cloud: port_types.CloudPort
-) -> capacity_keeper.CapacityKeeper:
-    return capacity_keeper.CapacityKeeper(
-        capacity_keeper.CapacityParts(
+) -> capacity_controller.CapacityController:
+    return capacity_controller.CapacityController(
+        capacity_controller.CapacityParts(
             cloud=cloud,
             holder=sources.settings.instance,
             lease=sources.lease,
@@ -118,9 +118,9 @@
 
 def _create_rollout_keeper(
     sources: DutySources,
-) -> rollout_keeper.RolloutKeeper:
-    return rollout_keeper.RolloutKeeper(
-        rollout_keeper.RolloutParts(
+) -> rollout_controller.RolloutController:
+    return rollout_controller.RolloutController(
+        rollout_controller.RolloutParts(
             log=sources.ports.log,
             topics=sources.ports.topics,
             codec=sources.ports.records,
--- a/packages/daemon/src/martenquay_daemon/engines/placer.py
+++ b/packages/daemon/src/martenquay_daemon/engines/placer.py
@@ -103,7 +103,7 @@
         rng: random.Random,
         is_zone_silent: Callable[[str], bool],
         are_loads_fresh: Callable[[], bool],
-        gate: runner_gate.RunnerGate,
+        gate: runner_gate.RunnerAdmission,
         choose_versions: Callable[
             [str, list[runners.Runner]], list[runners.Runner]
         ] = _take_all,
@@ -143,7 +143,9 @@
             for runner in self._directory.list_usable(name)
             if runner.id not in excluded
         ]
-        usable = self._choose_versions(name, self._gate.keep_open(usable))
+        usable = self._choose_versions(
+            name, self._gate.filter_accepting(usable)
+        )
         if not usable:
             return None
         kept = set(self._ejector.keep_usable([r.id for r in usable]))
@@ -189,7 +191,7 @@
         One that takes a request now and then is nobody's home: what shares a
         prompt would change runners with each turn, and be read again there.
         """
-        whole = self._gate.keep_whole(candidates)
+        whole = self._gate.filter_unlimited(candidates)
         return _choose_home(call, whole) if whole else None
 
     def _sample(
--- a/packages/daemon/src/martenquay_daemon/fleet/hub.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/hub.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from martenquay_daemon.fleet import messages, trial_lines, zone_sum
+from martenquay_daemon.fleet import messages, trial_lines, zone_aggregator
 
 if TYPE_CHECKING:
     from martenquay_daemon.fleet import zones
@@ -29,7 +29,7 @@
         log_age_ms: Since the log last answered.
         members_end: Up to where all of the zone's listed daemons have read
             who announced themselves.
-        runner_words: What is known here of what runners say of themselves.
+        runner_reports: What is known here of what runners say of themselves.
     """
 
     catalog_version: int
@@ -37,7 +37,7 @@
     runners_age_ms: int
     log_age_ms: int
     members_end: int
-    runner_words: messages.RunnerWords
+    runner_reports: messages.RunnerReports
 
 
 @dataclasses.dataclass
@@ -51,7 +51,7 @@
 
     def __init__(self, table: zones.ZoneTable) -> None:
         self._table = table
-        self._sum = zone_sum.ZoneSum()
+        self._sum = zone_aggregator.ZoneAggregator()
         self._subscribers: dict[str, _Subscriber] = {}
         self._own: messages.Digest | None = None
         self._number = 0
@@ -64,7 +64,7 @@
         self._subscribers[digest.address] = _Subscriber(digest, now)
         return True
 
-    def take_own(self, digest: messages.Digest, now: float) -> None:
+    def set_own_digest(self, digest: messages.Digest, now: float) -> None:
         """Take this daemon's own digest."""
         self._own = digest
         self._sum.take(digest, now)
@@ -91,7 +91,7 @@
         """Return what to tell the hubs of other zones."""
         part = self._sum.add_up(now, silent_s)
         return messages.ZoneExchange(
-            self._summarize(part, facts), part.loads, facts.runner_words
+            self._summarize(part, facts), part.loads, facts.runner_reports
         )
 
     def create_reports(
@@ -120,7 +120,7 @@
 
     def _create_report(
         self,
-        part: zone_sum.ZonePart,
+        part: zone_aggregator.ZoneTotals,
         others: list[zones.KnownSummary],
         facts: HubFacts,
         heard: int,
@@ -133,8 +133,8 @@
         loads = dict(part.loads)
         reading = dict(part.reading)
         for known in others:
-            zone_sum.add_loads(loads, known.loads, 1)
-            zone_sum.add_reading(reading, known.summary.reading, 1)
+            zone_aggregator.add_loads(loads, known.loads, 1)
+            zone_aggregator.add_reading(reading, known.summary.reading, 1)
         if not is_full:
             summaries = [_shorten(summary) for summary in summaries]
         return messages.FleetReport(
@@ -145,11 +145,11 @@
             self._rounds,
             reading,
             self._own.orders,
-            facts.runner_words,
+            facts.runner_reports,
         )
 
     def _summarize(
-        self, part: zone_sum.ZonePart, facts: HubFacts
+        self, part: zone_aggregator.ZoneTotals, facts: HubFacts
     ) -> messages.ZoneSummary:
         own = self._own
         assert own is not None, "its own digest comes first"
--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -19,9 +19,9 @@
 from martenquay_core.peers import sockets
 from martenquay_daemon.fleet import (
     messages,
+    quota_client,
     state_copies,
     topology,
-    unit_desk,
     zone_mode,
 )
 from martenquay_daemon.fleet import pace as paces
@@ -29,7 +29,7 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable, Iterable
 
-    from martenquay_daemon.fleet import runner_news, view
+    from martenquay_daemon.fleet import runner_report_gossip, view
 
 __all__ = ["FleetLinks", "Listeners"]
 
@@ -54,11 +54,12 @@
     """Who is told what other daemons tell.
 
     Attributes:
-        take_digest: Of one other daemon, in a small fleet.
-        take_report: Of all others, in a large one.
+        apply_digest: Of one other daemon, in a small fleet.
+        apply_report: Of all others, in a large one.
         change_mode: The fleet has become large or small.
-        take_subscriber: Of a daemon that takes this one for its hub, with the
-            time at which the report was sent that its loan counts from.
+        apply_subscriber_digest: Of a daemon that takes this one for its hub,
+            with the time at which the report was sent that its loan counts
+            from.
         create_units: Returns what to tell others that keep units.
         take_units: Of one that does.
         answer_units: Decides on another daemon's request; tells the reply,
@@ -68,18 +69,18 @@
         runner_news: Of what runners say of themselves.
     """
 
-    take_digest: Callable[[messages.Digest], None]
-    take_report: Callable[[messages.FleetReport], None]
+    apply_digest: Callable[[messages.Digest], None]
+    apply_report: Callable[[messages.FleetReport], None]
     change_mode: Callable[[], None]
-    take_subscriber: Callable[[messages.Digest, float | None], None]
-    create_units: Callable[[], messages.UnitsNote]
-    take_units: Callable[[messages.UnitsNote], None]
+    apply_subscriber_digest: Callable[[messages.Digest, float | None], None]
+    create_units: Callable[[], messages.QuotaUpdate]
+    take_units: Callable[[messages.QuotaUpdate], None]
     answer_units: Callable[
-        [messages.WantUnits, Callable[[messages.UnitsReply], None]],
+        [messages.QuotaRequest, Callable[[messages.QuotaReply], None]],
         Awaitable[None],
     ]
     find_zone_end: Callable[[str], int]
-    runner_news: runner_news.RunnerNews
+    runner_news: runner_report_gossip.RunnerReportGossip
 
 
 @dataclasses.dataclass
@@ -106,8 +107,8 @@
         fleet: view.FleetView,
         state: state_copies.FleetState,
         create_digest: Callable[[], messages.Digest],
-        mesh_pace: paces.FleetPace = paces.MESH_PACE,
-        zone_pace: paces.FleetPace = paces.ZONE_PACE,
+        mesh_pace: paces.GossipIntervals = paces.MESH_PACE,
+        zone_pace: paces.GossipIntervals = paces.ZONE_PACE,
         *,
         announced: str | None = None,
     ) -> None:
@@ -116,7 +117,7 @@
         self._own_place = own
         self._announced = announced
         self._view = fleet
-        self._copies = state_copies.StateCopies(state)
+        self._copies = state_copies.StateTransfer(state)
         self._create_digest = create_digest
         self._mesh_pace = mesh_pace
         self._zone_pace = zone_pace
@@ -136,9 +137,9 @@
         # Other zones' hubs that were asked for units, and until when they are
         # kept linked.
         self._asked_hubs: dict[str, float] = {}
-        self.desk = unit_desk.UnitDesk(self)
+        self.quota_client = quota_client.QuotaClient(self)
         self._zone.find_members_end = self._find_zone_end
-        self._zone.create_runner_words = self._create_runner_words
+        self._zone.create_runner_reports = self._create_runner_words
 
     async def run(
         self, *, task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED
@@ -171,30 +172,30 @@
         """Return how many daemons are told directly."""
         return len(self._links)
 
-    def hurry(self) -> None:
+    def notify_soon(self) -> None:
         """Have the next digest sent soon, for news that cannot wait."""
         self._wake.set()
 
-    def hurry_units(self) -> None:
+    def notify_quota_soon(self) -> None:
         """Have others told soon of the units that are here."""
         self._units_wake.set()
 
-    def keeps_units(self) -> bool:
+    def holds_own_quota(self) -> bool:
         """Tell whether this daemon keeps the units that it needs."""
-        return self.is_mesh() or self._zone.is_keeper()
+        return self.is_mesh() or self._zone.is_quota_hub()
 
-    def find_keeper(self) -> zone_mode.Keeper | None:
+    def find_quota_hub(self) -> zone_mode.Keeper | None:
         """Return the hub to lend to, if there is to be one and it reports."""
-        return None if self.is_mesh() else self._zone.find_keeper()
+        return None if self.is_mesh() else self._zone.find_quota_hub()
 
     def find_sole_since(self) -> float:
         """Return since when nobody uses what the last process here lent."""
         # In a mesh nobody lends.
         return -math.inf if self.is_mesh() else self._zone.find_sole_since()
 
-    def list_keepers(self) -> list[str]:
+    def list_quota_hubs(self) -> list[str]:
         """Return the addresses to ask for units, the first choice first."""
-        return self._zone.list_keepers()
+        return self._zone.list_quota_hubs()
 
     def send_to(self, address: str, raw: bytes) -> bool:
         """Send a message to a hub, by a new link if there is none."""
@@ -206,8 +207,8 @@
     def send_now(self) -> None:
         """Tell all linked daemons at once."""
         digest = self._create_digest()
-        self._zone.take_own(digest)
-        raw = messages.encode_message(messages.DigestNote(digest))
+        self._zone.set_own_digest(digest)
+        raw = messages.encode_message(messages.DigestMessage(digest))
         for link in self._links.values():
             link.socket.send([raw])
 
@@ -260,23 +261,23 @@
             _LOG.write(f"Dropped a message that cannot be read: {error}.")
             return
         match message:
-            case messages.DigestNote(digest=digest):
+            case messages.DigestMessage(digest=digest):
                 self._take_digest(digest)
             case messages.ZoneExchange():
-                self._take_runner_words(message.runner_words)
-                self._zone.take_exchange(message)
+                self._take_runner_words(message.runner_reports)
+                self._zone.apply_exchange(message)
             case messages.FleetReport():
                 self._take_report(message)
-            case messages.WantState():
+            case messages.StateRequest():
                 reply(self._copies.create_copy(message, self._list_peers()))
-            case messages.WantUnits():
+            case messages.QuotaRequest():
                 self._answer_units(message, reply)
-            case messages.UnitsReply():
-                self.desk.take_reply(source, message)
-            case messages.UnitsNote():
+            case messages.QuotaReply():
+                self.quota_client.apply_reply(source, message)
+            case messages.QuotaUpdate():
                 if self.listeners is not None:
                     self.listeners.take_units(message)
-            case messages.StateCopy():
+            case messages.StateReply():
                 self._copies.take(message)
                 for line in message.peers:
                     self.add_peer(
@@ -287,7 +288,7 @@
 
     def _answer_units(
         self,
-        want: messages.WantUnits,
+        want: messages.QuotaRequest,
         reply: Callable[[messages.FleetMessage], None],
     ) -> None:
         """Decide on units for another daemon, in a task of its own."""
@@ -312,33 +313,33 @@
         self.add_peer(
             topology.PeerAddress(digest.address, digest.zone, digest.capacity)
         )
-        self._zone.take_digest(digest)
-        self._take_runner_words(digest.runner_words)
+        self._zone.apply_digest(digest)
+        self._take_runner_words(digest.runner_reports)
         if self.listeners is None:
             return
         if self.is_mesh():
-            self.listeners.take_digest(digest)
+            self.listeners.apply_digest(digest)
         elif digest.zone == self._own_place.zone:
             loan = digest.loan
             reported_at = loan and self._zone.find_reported(loan.heard)
-            self.listeners.take_subscriber(digest, reported_at)
+            self.listeners.apply_subscriber_digest(digest, reported_at)
 
     def _take_report(self, report: messages.FleetReport) -> None:
         if self.is_mesh():
             return
-        self._take_runner_words(report.runner_words)
-        if not self._zone.take_report(report):
+        self._take_runner_words(report.runner_reports)
+        if not self._zone.apply_report(report):
             return
         if self.listeners is not None:
-            self.listeners.take_report(report)
+            self.listeners.apply_report(report)
 
-    def _take_runner_words(self, words: messages.RunnerWords) -> None:
+    def _take_runner_words(self, words: messages.RunnerReports) -> None:
         if self.listeners is not None:
             self.listeners.runner_news.take(words)
 
-    def _create_runner_words(self) -> messages.RunnerWords:
+    def _create_runner_words(self) -> messages.RunnerReports:
         if self.listeners is None:
-            return messages.NO_WORDS
+            return messages.NO_RUNNER_REPORTS
         return self.listeners.runner_news.create(is_hub=True)
 
     def _find_zone_end(self) -> int:
@@ -363,7 +364,7 @@
     def _list_unit_keepers(self) -> Iterable[str]:
         if self.is_mesh():
             return list(self._links)
-        return self._zone.list_other_keepers()
+        return self._zone.list_other_quota_hubs()
 
     async def _tell(self) -> None:
         """Tell others of this daemon, and as a hub of the fleet."""
@@ -400,28 +401,28 @@
         if self.listeners is not None:
             self.listeners.change_mode()
 
-    def _find_pace(self) -> paces.FleetPace:
+    def _find_pace(self) -> paces.GossipIntervals:
         return self._mesh_pace if self.is_mesh() else self._zone_pace
 
-    def _find_silent(self, pace: paces.FleetPace) -> float:
+    def _find_silent(self, pace: paces.GossipIntervals) -> float:
         if self.is_mesh():
             return pace.silent_s
         return max(pace.silent_s, paces.LOST_REPORTS * self._zone.report_s)
 
-    def _is_own_due(self, pace: paces.FleetPace) -> bool:
-        due_s = pace.hurry_s if self._wake.is_set() else pace.own_s
+    def _is_own_due(self, pace: paces.GossipIntervals) -> bool:
+        due_s = pace.min_interval_s if self._wake.is_set() else pace.own_s
         return trio.current_time() >= self._told_at + due_s
 
     def _tell_own(self) -> None:
         """Make a new digest of this daemon's own and send it."""
         self._own = self._create_digest()
-        self._zone.take_own(self._own)
+        self._zone.set_own_digest(self._own)
         self._told_at = trio.current_time()
         self._wake = trio.Event()
         if not self.is_mesh():
             self._send_all(self._zone.create_notes(self._own))
             return
-        raw = messages.encode_message(messages.DigestNote(self._own))
+        raw = messages.encode_message(messages.DigestMessage(self._own))
         for address in list(self._links):
             self._send(address, raw)
 
@@ -453,7 +454,7 @@
         if source is None:
             return
         self._asked_at = now
-        raw = messages.encode_message(self._copies.create_want())
+        raw = messages.encode_message(self._copies.create_request())
         self._send(source.address, raw)
 
     def _list_states(self) -> Iterable[state_copies.PeerState]:
@@ -468,10 +469,10 @@
         if not self.is_mesh():
             yield from self._zone.list_states()
 
-    def _list_peers(self) -> list[messages.PeerLine]:
+    def _list_peers(self) -> list[messages.PeerEntry]:
         own = dataclasses.replace(self._own_place, address=self.address)
         return [
-            messages.PeerLine(p.address, p.zone, p.capacity)
+            messages.PeerEntry(p.address, p.zone, p.capacity)
             for p in [*self._known.values(), own]
         ]
 
--- a/packages/daemon/src/martenquay_daemon/fleet/messages.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/messages.py
@@ -11,30 +11,30 @@
 
 __all__ = [
     "NO_WINDOW",
-    "NO_WORDS",
+    "NO_RUNNER_REPORTS",
     "Digest",
-    "DigestNote",
+    "DigestMessage",
     "FleetMessage",
     "FleetReport",
-    "GiftLine",
-    "LoanLine",
-    "LeaseNews",
-    "LimitLine",
-    "LoadLine",
-    "OrderLine",
-    "ParcelLine",
-    "PeerLine",
-    "PoolLine",
-    "ReadingLine",
-    "RunnerWords",
-    "SideLine",
-    "StateCopy",
-    "TrialLine",
-    "UnitsNote",
-    "UnitsReply",
-    "UnitsVerdict",
-    "WantState",
-    "WantUnits",
+    "TransferEntry",
+    "DelegationEntry",
+    "LeaseStatus",
+    "LimitEntry",
+    "LoadEntry",
+    "RolloutOrderEntry",
+    "LotEntry",
+    "PeerEntry",
+    "BalanceEntry",
+    "PrefillEntry",
+    "RunnerReports",
+    "TallyEntry",
+    "StateReply",
+    "TrialEntry",
+    "QuotaUpdate",
+    "QuotaReply",
+    "QuotaVerdict",
+    "StateRequest",
+    "QuotaRequest",
     "ZoneExchange",
     "ZoneSummary",
     "decode_message",
@@ -46,7 +46,7 @@
 NO_WINDOW = 0
 
 
-class LoadLine(msgspec.Struct, frozen=True, array_like=True):
+class LoadEntry(msgspec.Struct, frozen=True, array_like=True):
     """What a daemon has at a runner.
 
     Attributes:
@@ -58,7 +58,7 @@
     unread_tokens: int
 
 
-class LimitLine(msgspec.Struct, frozen=True, array_like=True):
+class LimitEntry(msgspec.Struct, frozen=True, array_like=True):
     """What a runner said of its limit.
 
     Attributes:
@@ -74,7 +74,7 @@
     heard_ms: int
 
 
-class RunnerWords(msgspec.Struct, frozen=True, array_like=True):
+class RunnerReports(msgspec.Struct, frozen=True, array_like=True):
     """What runners have said of themselves in answers.
 
     Attributes:
@@ -82,20 +82,20 @@
         leaving: Those that leave, with the start of the process that said so.
     """
 
-    limits: dict[str, LimitLine]
+    limits: dict[str, LimitEntry]
     leaving: dict[str, int | None]
 
 
 # What runners that are well say.
-NO_WORDS = RunnerWords({}, {})
+NO_RUNNER_REPORTS = RunnerReports({}, {})
 
 
-class ReadingLine(msgspec.Struct, frozen=True, array_like=True):
+class PrefillEntry(msgspec.Struct, frozen=True, array_like=True):
     """What results say of how fast a service's engines read prompts.
 
     Attributes:
         results: How many first events count.
-        spread: As in `engines.model.ReadingSums`.
+        spread: As in `engines.model.PrefillSums`.
         slowing_ms: The same, with times in milliseconds.
     """
 
@@ -104,7 +104,7 @@
     slowing_ms: int
 
 
-class OrderLine(msgspec.Struct, frozen=True, array_like=True):
+class RolloutOrderEntry(msgspec.Struct, frozen=True, array_like=True):
     """An operator's order to move a service to a version.
 
     Attributes:
@@ -120,7 +120,7 @@
     offset: int
 
 
-class SideLine(msgspec.Struct, frozen=True, array_like=True):
+class TallyEntry(msgspec.Struct, frozen=True, array_like=True):
     """What runners of one version, or of all others, answered on a route.
 
     Attributes:
@@ -138,7 +138,7 @@
     log_squares: float
 
 
-class TrialLine(msgspec.Struct, frozen=True, array_like=True):
+class TrialEntry(msgspec.Struct, frozen=True, array_like=True):
     """What is known of a version on trial.
 
     Attributes:
@@ -147,10 +147,10 @@
     """
 
     order: int
-    routes: dict[str, tuple[SideLine, SideLine]]
+    routes: dict[str, tuple[TallyEntry, TallyEntry]]
 
 
-class LeaseNews(msgspec.Struct, frozen=True, array_like=True):
+class LeaseStatus(msgspec.Struct, frozen=True, array_like=True):
     """What the holder of the duties' lease tells candidates.
 
     Attributes:
@@ -164,23 +164,23 @@
     left_ms: int
 
 
-class PoolLine(msgspec.Struct, frozen=True, array_like=True):
+class BalanceEntry(msgspec.Struct, frozen=True, array_like=True):
     """What a daemon has of one team's units.
 
     Attributes:
         level: Units that it may spend; less than 0 if it owes some.
         asked: Units a second that callers ask it for.
         needed: Units that it lacks for requests that wait there.
-        may_owe: How far below 0 its level may come.
+        overdraft: How far below 0 its level may come.
     """
 
     level: int
     asked: int
     needed: int
-    may_owe: int
+    overdraft: int
 
 
-class ParcelLine(msgspec.Struct, frozen=True, array_like=True):
+class LotEntry(msgspec.Struct, frozen=True, array_like=True):
     """Units that one daemon hands to another.
 
     Attributes:
@@ -192,7 +192,7 @@
     life_ms: int
 
 
-class GiftLine(msgspec.Struct, frozen=True, array_like=True):
+class TransferEntry(msgspec.Struct, frozen=True, array_like=True):
     """What one daemon hands to another.
 
     Attributes:
@@ -202,10 +202,10 @@
     """
 
     heard: int
-    parcels: dict[str, list[ParcelLine]]
+    parcels: dict[str, list[LotEntry]]
 
 
-class LoanLine(msgspec.Struct, frozen=True, array_like=True):
+class DelegationEntry(msgspec.Struct, frozen=True, array_like=True):
     """Lend a part of all teams' rates.
 
     Attributes:
@@ -250,7 +250,7 @@
         reading: What its results say of engines, by service.
         trials: What versions on trial answered, by service.
         orders: Orders that it has learnt of lately.
-        runner_words: What runners have told it of themselves lately.
+        runner_reports: What runners have told it of themselves lately.
     """
 
     member: str
@@ -263,17 +263,17 @@
     log_age_ms: int
     capacity: float
     is_leaving: bool
-    lease: LeaseNews | None
+    lease: LeaseStatus | None
     window: int
-    loan: LoanLine | None
+    loan: DelegationEntry | None
     members_end: int
-    loads: dict[str, LoadLine]
+    loads: dict[str, LoadEntry]
     begun: dict[int, dict[str, int]]
     demand: dict[str, float]
-    reading: dict[str, ReadingLine]
-    trials: dict[str, TrialLine]
-    orders: list[OrderLine]
-    runner_words: RunnerWords
+    reading: dict[str, PrefillEntry]
+    trials: dict[str, TrialEntry]
+    orders: list[RolloutOrderEntry]
+    runner_reports: RunnerReports
 
 
 class ZoneSummary(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
@@ -317,18 +317,18 @@
     runners_changed: int
     runners_age_ms: int
     log_age_ms: int
-    lease: LeaseNews | None
+    lease: LeaseStatus | None
     lease_member: str
     leaving: list[str]
     window: int
     members_end: int
     begun: dict[int, dict[str, int]]
     demand: dict[str, float]
-    reading: dict[str, ReadingLine]
-    trials: dict[str, TrialLine]
+    reading: dict[str, PrefillEntry]
+    trials: dict[str, TrialEntry]
 
 
-class DigestNote(msgspec.Struct, frozen=True, array_like=True, tag="d"):
+class DigestMessage(msgspec.Struct, frozen=True, array_like=True, tag="d"):
     """What a daemon tells of itself.
 
     Attributes:
@@ -344,12 +344,12 @@
     Attributes:
         summary: Of its own zone.
         loads: What its zone's daemons have at runners, by runner id.
-        runner_words: What it knows of what runners say of themselves.
+        runner_reports: What it knows of what runners say of themselves.
     """
 
     summary: ZoneSummary
-    loads: dict[str, LoadLine]
-    runner_words: RunnerWords
+    loads: dict[str, LoadEntry]
+    runner_reports: RunnerReports
 
 
 class FleetReport(msgspec.Struct, frozen=True, array_like=True, tag="r"):
@@ -365,20 +365,20 @@
         number: Counts the hub's rounds of reports.
         reading: What all other daemons' results say of engines, by service.
         orders: Orders that the hub has learnt of lately.
-        runner_words: What it knows of what runners say of themselves.
+        runner_reports: What it knows of what runners say of themselves.
     """
 
     hub: str
     zones: list[ZoneSummary]
-    loads: dict[str, LoadLine]
+    loads: dict[str, LoadEntry]
     heard: int
     number: int
-    reading: dict[str, ReadingLine]
-    orders: list[OrderLine]
-    runner_words: RunnerWords
+    reading: dict[str, PrefillEntry]
+    orders: list[RolloutOrderEntry]
+    runner_reports: RunnerReports
 
 
-class PeerLine(msgspec.Struct, frozen=True, array_like=True):
+class PeerEntry(msgspec.Struct, frozen=True, array_like=True):
     """Where a daemon is.
 
     Attributes:
@@ -392,7 +392,7 @@
     capacity: float
 
 
-class WantState(msgspec.Struct, frozen=True, array_like=True, tag="w"):
+class StateRequest(msgspec.Struct, frozen=True, array_like=True, tag="w"):
     """Ask for what the sender cannot read from the log now.
 
     Attributes:
@@ -406,8 +406,8 @@
     number: int
 
 
-class StateCopy(msgspec.Struct, frozen=True, array_like=True, tag="s"):
-    """Answer `WantState` with what the asker lacks.
+class StateReply(msgspec.Struct, frozen=True, array_like=True, tag="s"):
+    """Answer `StateRequest` with what the asker lacks.
 
     Attributes:
         catalog: The record of the version in force, compressed; empty if the
@@ -425,13 +425,13 @@
     runners_end: int
     runners: list[runner_entries.RunnerCopy]
     runner_ids: list[str]
-    peers: list[PeerLine]
+    peers: list[PeerEntry]
     runners_age_ms: int
     regained_ms: int
     number: int
 
 
-class UnitsNote(msgspec.Struct, frozen=True, array_like=True, tag="u"):
+class QuotaUpdate(msgspec.Struct, frozen=True, array_like=True, tag="u"):
     """Tell another daemon that keeps units of one's own.
 
     Attributes:
@@ -445,11 +445,11 @@
     member: str
     address: str
     number: int
-    pools: dict[str, PoolLine]
-    gifts: dict[str, GiftLine]
+    pools: dict[str, BalanceEntry]
+    gifts: dict[str, TransferEntry]
 
 
-class WantUnits(msgspec.Struct, frozen=True, array_like=True, tag="q"):
+class QuotaRequest(msgspec.Struct, frozen=True, array_like=True, tag="q"):
     """Ask a daemon that keeps units to spend some for a request.
 
     Attributes:
@@ -469,7 +469,7 @@
     is_redirected: bool
 
 
-class UnitsVerdict(enum.IntEnum):
+class QuotaVerdict(enum.IntEnum):
     """What a daemon answers that was asked for units."""
 
     GRANTED = 0
@@ -482,8 +482,8 @@
     REDIRECTED = 4
 
 
-class UnitsReply(msgspec.Struct, frozen=True, array_like=True, tag="a"):
-    """Answer `WantUnits`.
+class QuotaReply(msgspec.Struct, frozen=True, array_like=True, tag="a"):
+    """Answer `QuotaRequest`.
 
     Attributes:
         number: Of the question.
@@ -498,7 +498,7 @@
     """
 
     number: int
-    verdict: UnitsVerdict
+    verdict: QuotaVerdict
     retry_s: float = 0.0
     holder: str = ""
     member: str = ""
@@ -509,14 +509,14 @@
 
 
 FleetMessage = (
-    DigestNote
+    DigestMessage
     | ZoneExchange
     | FleetReport
-    | WantState
-    | StateCopy
-    | UnitsNote
-    | WantUnits
-    | UnitsReply
+    | StateRequest
+    | StateReply
+    | QuotaUpdate
+    | QuotaRequest
+    | QuotaReply
 )
 
 _DECODER = msgspec.msgpack.Decoder(FleetMessage)
--- a/packages/daemon/src/martenquay_daemon/fleet/pace.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/pace.py
@@ -4,16 +4,16 @@
 
 import dataclasses
 
-__all__ = ["LOST_REPORTS", "MESH_PACE", "ZONE_PACE", "FleetPace"]
+__all__ = ["LOST_REPORTS", "MESH_PACE", "ZONE_PACE", "GossipIntervals"]
 
 
 @dataclasses.dataclass(frozen=True)
-class FleetPace:
+class GossipIntervals:
     """How often a daemon tells of itself and, as a hub, of the others.
 
     Attributes:
         own_s: Between two digests of its own.
-        hurry_s: The least time between two, for news that cannot wait.
+        min_interval_s: The least time between two, for news that cannot wait.
         step_s: Between two looks at what there is to do.
         report_s: Between two reports of a hub, at the least.
         longest_report_s: The same, however large reports are.
@@ -23,7 +23,7 @@
     """
 
     own_s: float
-    hurry_s: float
+    min_interval_s: float
     step_s: float
     report_s: float
     longest_report_s: float
@@ -39,9 +39,9 @@
 
 # In a full mesh a digest takes one step, and four may be lost. There are no
 # reports.
-MESH_PACE = FleetPace(
+MESH_PACE = GossipIntervals(
     own_s=0.25,
-    hurry_s=0.04,
+    min_interval_s=0.04,
     step_s=0.04,
     report_s=0.25,
     longest_report_s=0.8,
@@ -51,9 +51,9 @@
 )
 # Over hubs it takes three. The users allow 5 KB/s for control; a daemon's own
 # digests take the rest. A large fleet is reported on less often.
-ZONE_PACE = FleetPace(
+ZONE_PACE = GossipIntervals(
     own_s=0.5,
-    hurry_s=0.15,
+    min_interval_s=0.15,
     step_s=0.1,
     report_s=0.25,
     longest_report_s=0.8,
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_desk.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/quota_client.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-__all__ = ["AskWays", "UnitDesk"]
+__all__ = ["QuotaTransport", "QuotaClient"]
 
 _LOG = logs.create_log("allowances")
 # A keeper in the zone answers in 1 to 5 ms; one that has not by now is busy or
@@ -29,7 +29,7 @@
 # than the bound's reckoning allows for.
 _LONGEST_S = 0.2
 # Of that, a keeper may wait for units of other keepers.
-KEEPER_WAIT_S = 0.12
+HUB_WAIT_S = 0.12
 # By so much a timer may be late on a busy instance.
 _LATE_S = 0.03
 # A new link comes up within 5 to 20 ms.
@@ -47,13 +47,13 @@
 _LOOK_S = 0.03
 
 
-class AskWays(Protocol):
+class QuotaTransport(Protocol):
     """How keepers are reached."""
 
-    def keeps_units(self) -> bool:
+    def holds_own_quota(self) -> bool:
         """Tell whether this daemon keeps the units that it needs itself."""
 
-    def list_keepers(self) -> list[str]:
+    def list_quota_hubs(self) -> list[str]:
         """Return the addresses of those to ask, the first choice first."""
 
     def send_to(self, address: str, raw: bytes) -> bool:
@@ -75,8 +75,8 @@
     """
 
     first: str = ""
-    reply: messages.UnitsReply | None = None
-    refusal: messages.UnitsReply | None = None
+    reply: messages.QuotaReply | None = None
+    refusal: messages.QuotaReply | None = None
     is_waiting: bool = False
     holder: str = ""
     passed: int = 0
@@ -86,20 +86,20 @@
         """Tell whether nobody else is to be asked."""
         return self.reply is not None or self.is_waiting or bool(self.holder)
 
-    def take(self, source: str, reply: messages.UnitsReply) -> None:
+    def take(self, source: str, reply: messages.QuotaReply) -> None:
         """Take one keeper's answer."""
         match reply.verdict:
-            case messages.UnitsVerdict.GRANTED:
+            case messages.QuotaVerdict.GRANTED:
                 self.reply = reply
-            case messages.UnitsVerdict.REFUSED if source == self.first:
+            case messages.QuotaVerdict.REFUSED if source == self.first:
                 self.reply = reply
-            case messages.UnitsVerdict.REFUSED:
+            case messages.QuotaVerdict.REFUSED:
                 self.refusal = reply
-            case messages.UnitsVerdict.WAITING:
+            case messages.QuotaVerdict.WAITING:
                 self.is_waiting = True
-            case messages.UnitsVerdict.PASSED:
+            case messages.QuotaVerdict.PASSED:
                 self.passed += 1
-            case messages.UnitsVerdict.REDIRECTED:
+            case messages.QuotaVerdict.REDIRECTED:
                 self.holder = self.first = reply.holder
         self.news.set()
         self.news = trio.Event()
@@ -109,45 +109,47 @@
     del outcome, took_s
 
 
-class UnitDesk:
-    """Implement `gate.Keepers` by asking over the links.
+class QuotaClient:
+    """Implement `gate.QuotaHolders` by asking over the links.
 
     Attributes:
         observe: Told the outcome of each question and the seconds that it
             took.
     """
 
-    def __init__(self, ways: AskWays) -> None:
+    def __init__(self, ways: QuotaTransport) -> None:
         self.observe: Callable[[str, float], None] = _ignore
         self._ways = ways
         self._asks: dict[int, _Ask] = {}
         self._number = 0
         self._doubted: dict[str, float] = {}
 
-    def keeps_here(self) -> bool:
+    def holds_quota_here(self) -> bool:
         """Tell whether this daemon keeps the units that it needs itself."""
-        return self._ways.keeps_units()
+        return self._ways.holds_own_quota()
 
-    async def ask(self, team: str, wish: terms.Wish) -> terms.Answer | None:
+    async def ask(
+        self, team: str, wish: terms.AdmissionRequest
+    ) -> terms.AdmissionDecision | None:
         """Return a keeper's answer, or None if none comes in time.
 
         While all daemons take in a large configuration, or start, keepers
         answer late or have no parts yet; then the question is put again.
         """
-        end = trio.current_time() + wish.patience_s
+        end = trio.current_time() + wish.max_wait_s
         while True:
             keepers = await self._find_keepers()
             answer = await self._ask_once(team, wish, keepers)
             if answer is not None or trio.current_time() >= end:
                 return answer
 
-    async def ask_at(
-        self, address: str, team: str, wish: terms.Wish
-    ) -> terms.Answer | None:
+    async def ask_address(
+        self, address: str, team: str, wish: terms.AdmissionRequest
+    ) -> terms.AdmissionDecision | None:
         """Return one daemon's answer, or None if it says nothing."""
         return await self._ask_once(team, wish, [address], is_redirected=True)
 
-    def take_reply(self, source: str, reply: messages.UnitsReply) -> None:
+    def apply_reply(self, source: str, reply: messages.QuotaReply) -> None:
         """Take a keeper's answer; one that nobody waits for is dropped."""
         one = self._asks.get(reply.number)
         if one is not None and one.reply is None:
@@ -156,15 +158,15 @@
     async def _ask_once(
         self,
         team: str,
-        wish: terms.Wish,
+        wish: terms.AdmissionRequest,
         keepers: list[str],
         *,
         is_redirected: bool = False,
-    ) -> terms.Answer | None:
+    ) -> terms.AdmissionDecision | None:
         self._number += 1
         number = self._number
         asked_at = trio.current_time()
-        want = messages.WantUnits(
+        want = messages.QuotaRequest(
             number,
             team,
             wish.units,
@@ -182,7 +184,7 @@
         reply = one.reply or one.refusal
         if reply is None and one.is_waiting:
             # It has not got the units; to wait again would only hold it up.
-            return terms.Answer(_NO_UNITS_S)
+            return terms.AdmissionDecision(_NO_UNITS_S)
         # A process that was stopped meanwhile finds an old answer.
         if reply is None or took_s > _LONGEST_S + _LATE_S:
             self._note_silence(team, keepers, took_s)
@@ -193,16 +195,16 @@
     async def _find_keepers(self) -> list[str]:
         """Return whom to ask; wait a moment for the first one."""
         with trio.move_on_after(_FIRST_KEEPER_S):
-            while not self._ways.list_keepers():
+            while not self._ways.list_quota_hubs():
                 await trio.sleep(_LOOK_S)
         now = trio.current_time()
-        keepers = self._ways.list_keepers()[:_MOST_ASKED]
+        keepers = self._ways.list_quota_hubs()[:_MOST_ASKED]
         # Those in doubt last, the others as they are.
         keepers.sort(key=lambda one: self._doubted.get(one, 0.0) > now)
         return keepers
 
     async def _ask_each(
-        self, keepers: list[str], one: _Ask, want: messages.WantUnits
+        self, keepers: list[str], one: _Ask, want: messages.QuotaRequest
     ) -> None:
         """Ask one keeper after the other until one answers."""
         raw = messages.encode_message(want)
@@ -230,7 +232,7 @@
             with trio.move_on_after(_LINK_S if unlinked else _LONGEST_S):
                 await one.news.wait()
 
-    async def _follow(self, one: _Ask, want: messages.WantUnits) -> None:
+    async def _follow(self, one: _Ask, want: messages.QuotaRequest) -> None:
         """Ask the daemon that a keeper has named."""
         holder, one.holder = one.holder, ""
         again = msgspec.structs.replace(want, is_redirected=True)
@@ -250,8 +252,8 @@
         )
 
 
-def _read_reply(reply: messages.UnitsReply) -> terms.Answer:
-    units = terms.Units(reply.there, reply.owed, reply.part, reply.asked)
-    is_granted = reply.verdict is messages.UnitsVerdict.GRANTED
+def _read_reply(reply: messages.QuotaReply) -> terms.AdmissionDecision:
+    units = terms.QuotaStatus(reply.there, reply.owed, reply.part, reply.asked)
+    is_granted = reply.verdict is messages.QuotaVerdict.GRANTED
     retry_s = 0.0 if is_granted else reply.retry_s
-    return terms.Answer(retry_s, units, reply.member)
+    return terms.AdmissionDecision(retry_s, units, reply.member)
--- a/packages/daemon/src/martenquay_daemon/fleet/unit_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/quota_exchange.py
@@ -7,8 +7,13 @@
 
 import trio
 
-from martenquay_daemon.allowances import escrow, rights, sharing, terms
-from martenquay_daemon.fleet import messages, send_times, unit_desk
+from martenquay_daemon.allowances import (
+    quota_ledger,
+    refill_shares,
+    sharing,
+    terms,
+)
+from martenquay_daemon.fleet import messages, quota_client, send_times
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -17,9 +22,9 @@
     from martenquay_daemon.discovery import catalog_store, keyed_follower
     from martenquay_daemon.fleet import links, roster
 
-__all__ = ["UnitNews"]
+__all__ = ["QuotaExchange"]
 
-_Verdict = messages.UnitsVerdict
+_Verdict = messages.QuotaVerdict
 _MS = 1000
 # Some of a zone's daemons may be gone, or lend to another hub.
 _MOST_PARTS = 0.8
@@ -27,7 +32,7 @@
 _LENT_WITHIN_S = 2.5
 
 
-class UnitNews:
+class QuotaExchange:
     """What this daemon tells and hears of teams' units."""
 
     def __init__(
@@ -35,7 +40,7 @@
         member: str,
         zone: str,
         store: catalog_store.CatalogStore,
-        units: escrow.EscrowLedger,
+        units: quota_ledger.QuotaLedger,
         decider: gate.AllowanceGate,
         listed: roster.Roster,
         members: keyed_follower.KeyedFollower,
@@ -54,14 +59,14 @@
         self._told_end = 0
         self._lacking_since = math.inf
 
-    def create_note(self) -> messages.UnitsNote:
+    def create_note(self) -> messages.QuotaUpdate:
         """Return what to tell others that keep units."""
         self._number += 1
         self._told.note(self._number)
         teams = self._store.table.catalog.teams
         self._units.refill(teams)
-        gifts = self._units.give(teams)
-        return messages.UnitsNote(
+        gifts = self._units.create_transfers(teams)
+        return messages.QuotaUpdate(
             self._member,
             self._links.address,
             self._number,
@@ -69,38 +74,40 @@
             {member: _tell_gift(gift) for member, gift in gifts.items()},
         )
 
-    def take_note(self, note: messages.UnitsNote) -> None:
+    def apply_update(self, note: messages.QuotaUpdate) -> None:
         """Take what another daemon says of its units and hands over."""
         holdings = {
-            team: sharing.Holding(
-                line.level, line.asked, line.needed, line.may_owe
+            team: sharing.QuotaBalance(
+                line.level, line.asked, line.needed, line.overdraft
             )
             for team, line in note.pools.items()
         }
-        self._units.hear(note.member, note.number, holdings, note.address)
+        self._units.apply_balances(
+            note.member, note.number, holdings, note.address
+        )
         line = note.gifts.get(self._member)
         if line is None:
             return
         told_at = self._told.find(line.heard)
         if told_at is not None:
-            self._units.accept(_read_gift(line), told_at)
+            self._units.accept_transfer(_read_gift(line), told_at)
 
-    def is_to_lend(self) -> bool:
+    def has_share_to_delegate(self) -> bool:
         """Tell whether there is a part that no hub has yet."""
         return (
-            self._links.find_keeper() is not None
-            and self._units.rights.find_part() > 0
+            self._links.find_quota_hub() is not None
+            and self._units.rights.find_usable_share() > 0
         )
 
-    def create_loan(self) -> messages.LoanLine | None:
+    def create_delegation(self) -> messages.DelegationEntry | None:
         """Return the loan of this daemon's part, if a hub is to use it."""
-        keeper = self._links.find_keeper()
+        keeper = self._links.find_quota_hub()
         if keeper is None:
             return None
-        loan = self._units.rights.lend(keeper.member, keeper.number)
+        loan = self._units.rights.delegate(keeper.member, keeper.number)
         if loan is None:
             return None
-        return messages.LoanLine(
+        return messages.DelegationEntry(
             loan.receiver,
             loan.heard,
             loan.part,
@@ -109,7 +116,7 @@
             math.floor(loan.ends_s * _MS),
         )
 
-    def take_subscriber(
+    def apply_subscriber_digest(
         self, digest: messages.Digest, reported_at: float | None
     ) -> None:
         """Take what a daemon of this zone lends, and how far it has read.
@@ -119,29 +126,33 @@
             reported_at: When the report was sent that its loan names, in
                 trio's time; None if it names none of the last ones.
         """
-        self._roster.note_told(digest.instance, digest.members_end)
+        self._roster.note_read_end(digest.instance, digest.members_end)
         mint_rights = self._units.rights
-        mint_rights.end_loans_of_others(digest.instance, digest.member)
+        mint_rights.end_former_delegations(digest.instance, digest.member)
         line = digest.loan
         if line is None or reported_at is None or line.receiver != self._member:
             return
-        loan = rights.Loan(
+        loan = refill_shares.ShareDelegation(
             line.receiver,
             line.heard,
             line.part,
             line.starts_ms / _MS,
             line.ends_ms / _MS,
         )
-        mint_rights.borrow(digest.instance, digest.member, loan, reported_at)
+        mint_rights.accept_delegation(
+            digest.instance, digest.member, loan, reported_at
+        )
 
-    def lacks_parts(self) -> bool:
+    def lacks_shares(self) -> bool:
         """Tell whether this daemon has yet to be lent most of its zone's parts.
 
         So it is for a second after all have started, and after the keeper
         before this one was lost.
         """
-        expected = self._roster.find_zone_part(self._zone)
-        has_most = self._units.rights.find_part() >= _MOST_PARTS * expected
+        expected = self._roster.find_zone_share(self._zone)
+        has_most = (
+            self._units.rights.find_usable_share() >= _MOST_PARTS * expected
+        )
         now = trio.current_time()
         if self._links.is_mesh() or has_most:
             self._lacking_since = math.inf
@@ -156,7 +167,7 @@
         What it lent while fewer were listed was more than its part is now; a
         new daemon has to wait until that is over.
         """
-        if not self._units.rights.has_lent_more():
+        if not self._units.rights.has_larger_delegation():
             self._told_end = max(0, self._members.end)
         return self._told_end
 
@@ -166,8 +177,8 @@
 
     async def answer(
         self,
-        want: messages.WantUnits,
-        reply: Callable[[messages.UnitsReply], None],
+        want: messages.QuotaRequest,
+        reply: Callable[[messages.QuotaReply], None],
     ) -> None:
         """Decide on a request of another daemon and reply.
 
@@ -175,38 +186,38 @@
         """
         teams = self._store.table.catalog.teams
         team = next((one for one in teams if one.name == want.team), None)
-        passed = messages.UnitsReply(want.number, _Verdict.PASSED)
-        if team is None or self._units.rights.find_part() <= 0:
+        passed = messages.QuotaReply(want.number, _Verdict.PASSED)
+        if team is None or self._units.rights.find_usable_share() <= 0:
             reply(passed)
             return
-        wish = terms.Wish(want.units, want.reserve, want.is_late)
+        wish = terms.AdmissionRequest(want.units, want.reserve, want.is_late)
         # Demand is counted where callers come from, not where units are.
-        verdict = self._units.take(team, wish, is_again=want.is_redirected)
+        verdict = self._units.try_spend(team, wish, is_again=want.is_redirected)
         match verdict:
-            case terms.Refused() if self.lacks_parts():
+            case terms.Refused() if self.lacks_shares():
                 reply(passed)
                 return
-            case terms.Elsewhere() if want.is_redirected:
+            case terms.HeldElsewhere() if want.is_redirected:
                 verdict = terms.Refused()
-            case terms.Elsewhere(holder=holder) if holder:
+            case terms.HeldElsewhere(holder=holder) if holder:
                 redirected = _Verdict.REDIRECTED
                 reply(
-                    messages.UnitsReply(want.number, redirected, holder=holder)
+                    messages.QuotaReply(want.number, redirected, holder=holder)
                 )
                 return
-            case terms.Elsewhere():
-                reply(messages.UnitsReply(want.number, _Verdict.WAITING))
+            case terms.HeldElsewhere():
+                reply(messages.QuotaReply(want.number, _Verdict.WAITING))
         answer = await self._gate.settle(
-            team, wish, verdict, unit_desk.KEEPER_WAIT_S
+            team, wish, verdict, quota_client.HUB_WAIT_S
         )
         reply(self._describe(want.number, answer))
 
     def _describe(
-        self, number: int, answer: terms.Answer
-    ) -> messages.UnitsReply:
+        self, number: int, answer: terms.AdmissionDecision
+    ) -> messages.QuotaReply:
         is_granted = answer.is_admitted
         units = answer.units
-        return messages.UnitsReply(
+        return messages.QuotaReply(
             number,
             _Verdict.GRANTED if is_granted else _Verdict.REFUSED,
             answer.retry_s,
@@ -225,33 +236,33 @@
         """Drop what others told: it came in another way."""
         self._units.forget_all()
 
-    def _list_pools(self) -> dict[str, messages.PoolLine]:
+    def _list_pools(self) -> dict[str, messages.BalanceEntry]:
         return {
-            team: messages.PoolLine(
+            team: messages.BalanceEntry(
                 math.floor(one.level),
                 round(one.asked),
                 round(one.needed),
-                math.floor(one.may_owe),
+                math.floor(one.overdraft),
             )
             for team, one in self._units.list_holdings().items()
         }
 
 
-def _tell_gift(gift: escrow.Gift) -> messages.GiftLine:
+def _tell_gift(gift: quota_ledger.QuotaTransfer) -> messages.TransferEntry:
     parcels = {
         team: [
             # Rounded down: no unit may live longer by its way.
-            messages.ParcelLine(units, math.floor(life_s * _MS))
+            messages.LotEntry(units, math.floor(life_s * _MS))
             for units, life_s in found
         ]
         for team, found in gift.parcels.items()
     }
-    return messages.GiftLine(gift.heard, parcels)
+    return messages.TransferEntry(gift.heard, parcels)
 
 
-def _read_gift(line: messages.GiftLine) -> escrow.Gift:
+def _read_gift(line: messages.TransferEntry) -> quota_ledger.QuotaTransfer:
     parcels = {
         team: [(one.units, one.life_ms / _MS) for one in found]
         for team, found in line.parcels.items()
     }
-    return escrow.Gift(line.heard, parcels)
+    return quota_ledger.QuotaTransfer(line.heard, parcels)
--- a/packages/daemon/src/martenquay_daemon/fleet/roster.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/roster.py
@@ -25,7 +25,7 @@
 
     Attributes:
         counted: Set once all others reckon with this instance.
-        part_since: Since when this daemon has a part, in trio's time.
+        share_since: Since when this daemon has a part, in trio's time.
         changes: Counts what changes the list or this instance's place on it.
         removed: Set when this instance was taken off the list; then another
             one is made.
@@ -34,7 +34,7 @@
     def __init__(self, instance: str) -> None:
         self.counted = trio.Event()
         self.removed = trio.Event()
-        self.part_since = math.inf
+        self.share_since = math.inf
         self.changes = 0
         self._instance = instance
         self._listed: set[str] = set()
@@ -79,7 +79,7 @@
         self._needed_end = offset + 1
         if is_counted and not self.counted.is_set():
             # Also while no process of this instance ran.
-            self.part_since = -math.inf
+            self.share_since = -math.inf
             self.changes += 1
             self.counted.set()
 
@@ -92,16 +92,16 @@
         if instance == self._instance:
             self.counted = trio.Event()
             self._needed_end = None
-            self.part_since = math.inf
+            self.share_since = math.inf
             self.removed.set()
             self.removed = trio.Event()
 
-    def note_told(self, instance: str, end: int) -> None:
+    def note_read_end(self, instance: str, end: int) -> None:
         """Note how far another daemon has read the announcements."""
         self._told[instance] = max(end, self._told.get(instance, 0))
         self._heard_at[instance] = trio.current_time()
 
-    def note_zone_told(self, zone: str, end: int) -> None:
+    def note_zone_read_end(self, zone: str, end: int) -> None:
         """Note how far all listed daemons of a zone have read."""
         self._zones_told[zone] = max(end, self._zones_told.get(zone, 0))
 
@@ -119,7 +119,7 @@
         ]
         return min([own_end, *others])
 
-    def find_zone_part(self, zone: str) -> float:
+    def find_zone_share(self, zone: str) -> float:
         """Return the part of a zone's listed instances together."""
         if not self._listed:
             return 0.0
@@ -137,12 +137,12 @@
         others = sorted(self._listed - {self._instance})
         return [one for one in others if self._heard_at[one] < oldest]
 
-    def find_part(self) -> float:
+    def find_own_share(self) -> float:
         """Return this daemon's part; 0 while others do not reckon with it."""
         if self._needed_end is None:
             return 0.0
         if not self.counted.is_set() and self._is_read(self._needed_end):
-            self.part_since = trio.current_time()
+            self.share_since = trio.current_time()
             self.changes += 1
             self.counted.set()
             _LOG.write(
--- a/packages/daemon/src/martenquay_daemon/fleet/runner_news.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/runner_report_gossip.py
@@ -6,18 +6,18 @@
 
 import trio
 
-from martenquay_daemon.backpressure import limit_words
+from martenquay_daemon.backpressure import limit_reports
 from martenquay_daemon.fleet import messages
 
 if TYPE_CHECKING:
-    from martenquay_daemon.backpressure import leaving_words, runner_limits
+    from martenquay_daemon.backpressure import drain_reports, runner_limits
 
-__all__ = ["RunnerNews"]
+__all__ = ["RunnerReportGossip"]
 
 _MS = 1000
 
 
-class RunnerNews:
+class RunnerReportGossip:
     """What runners say, as daemons tell it to each other.
 
     Of limits a daemon tells what runners told it; a hub tells all that it
@@ -28,32 +28,32 @@
     def __init__(
         self,
         limits: runner_limits.RunnerLimits,
-        leaving: leaving_words.LeavingWords,
+        leaving: drain_reports.DrainReports,
     ) -> None:
         self._limits = limits
         self._leaving = leaving
 
-    def take(self, words: messages.RunnerWords) -> None:
+    def take(self, words: messages.RunnerReports) -> None:
         """Take what another daemon tells."""
-        self._limits.take_told(_read_words(words.limits))
-        self._leaving.take_told(words.leaving)
+        self._limits.apply_gossip(_read_words(words.limits))
+        self._leaving.apply_gossip(words.leaving)
 
-    def create(self, *, is_hub: bool) -> messages.RunnerWords:
+    def create(self, *, is_hub: bool) -> messages.RunnerReports:
         """Return what to tell, as old as it is now."""
-        limits = self._limits.list_heard(is_relayed=is_hub)
-        leaving = self._leaving.list_heard()
+        limits = self._limits.list_recent_reports(is_relayed=is_hub)
+        leaving = self._leaving.list_recent_reports()
         if not limits and not leaving:
-            return messages.NO_WORDS
-        return messages.RunnerWords(_write_words(limits), leaving)
+            return messages.NO_RUNNER_REPORTS
+        return messages.RunnerReports(_write_words(limits), leaving)
 
 
 def _write_words(
-    words: list[tuple[str, limit_words.LimitWord]],
-) -> dict[str, messages.LimitLine]:
+    words: list[tuple[str, limit_reports.LimitReport]],
+) -> dict[str, messages.LimitEntry]:
     """Return lines for words, by runner id."""
     now = trio.current_time()
     return {
-        runner_id: messages.LimitLine(
+        runner_id: messages.LimitEntry(
             word.limit_per_s,
             word.born_ms,
             round((now - word.sent_at) * _MS),
@@ -64,13 +64,13 @@
 
 
 def _read_words(
-    lines: dict[str, messages.LimitLine],
-) -> list[tuple[str, limit_words.LimitWord]]:
+    lines: dict[str, messages.LimitEntry],
+) -> list[tuple[str, limit_reports.LimitReport]]:
     now = trio.current_time()
     return [
         (
             runner_id,
-            limit_words.LimitWord(
+            limit_reports.LimitReport(
                 line.limit,
                 line.born_ms,
                 # Nobody hears of what is still to come.
--- a/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/shared_state.py
@@ -19,14 +19,14 @@
     from martenquay_daemon.engines import demand
     from martenquay_daemon.fleet import (
         links,
+        quota_exchange,
         roster,
-        runner_news,
-        unit_news,
+        runner_report_gossip,
         view,
     )
-    from martenquay_daemon.rollouts import book, tallies
+    from martenquay_daemon.rollouts import registry, tallies
 
-__all__ = ["Identity", "SharedState", "StateSources"]
+__all__ = ["Identity", "StateGossip", "StateSources"]
 
 # The source of loads that a hub has added up over all daemons.
 _FLEET = "fleet"
@@ -77,21 +77,21 @@
     store: catalog_store.CatalogStore
     directory: runner_directory.RunnerDirectory
     contact: contact.LogContact
-    units: unit_news.UnitNews
+    units: quota_exchange.QuotaExchange
     listed: roster.Roster
     loads: loads.LoadLedger
-    runner_news: runner_news.RunnerNews
+    runner_news: runner_report_gossip.RunnerReportGossip
     usage: usage_counts.UsageCounts
     meter: demand.DemandMeter
     estimates: model.RunnerModel
-    orders: book.RolloutBook
+    orders: registry.RolloutRegistry
     trials: tallies.TallyTable
     lease: lease.Lease
     links: links.FleetLinks
     fleet: view.FleetView
 
 
-class SharedState:
+class StateGossip:
     """Make this daemon's digests and spread what others' say.
 
     Attributes:
@@ -123,12 +123,12 @@
             log_age_ms=int(log_age_s * 1000),
             capacity=self._identity.capacity,
             is_leaving=self.is_leaving,
-            lease=sources.lease.create_news(),
+            lease=sources.lease.create_status(),
             window=sources.usage.find_window(),
-            loan=sources.units.create_loan(),
+            loan=sources.units.create_delegation(),
             members_end=members_end,
             loads={
-                runner_id: messages.LoadLine(load.requests, load.unread_tokens)
+                runner_id: messages.LoadEntry(load.requests, load.unread_tokens)
                 for runner_id, load in sources.loads.list_own().items()
             },
             begun=sources.usage.list_counts(),
@@ -142,13 +142,13 @@
                 _write_order(rollout)
                 for rollout in sources.orders.list_recent()
             ],
-            runner_words=sources.runner_news.create(is_hub=False),
+            runner_reports=sources.runner_news.create(is_hub=False),
         )
 
-    def take_digest(self, digest: messages.Digest) -> None:
+    def apply_digest(self, digest: messages.Digest) -> None:
         """Spread what another daemon of a small fleet tells."""
         sources = self._sources
-        sources.lease.hear(
+        sources.lease.apply_status(
             digest.member, digest.lease, is_leaving=digest.is_leaving
         )
         sources.loads.replace_source(digest.member, _list_loads(digest.loads))
@@ -159,22 +159,22 @@
             digest.member, trial_lines.read_trials(digest.trials)
         )
         self._take_orders(digest.orders)
-        sources.listed.note_told(digest.instance, digest.members_end)
+        sources.listed.note_read_end(digest.instance, digest.members_end)
 
-    def take_report(self, report: messages.FleetReport) -> None:
+    def apply_report(self, report: messages.FleetReport) -> None:
         """Spread what a hub of a large fleet tells."""
         sources = self._sources
         for summary in report.zones:
             self._hear_lease(summary)
-            sources.listed.note_zone_told(summary.zone, summary.members_end)
+            sources.listed.note_zone_read_end(summary.zone, summary.members_end)
         sources.loads.replace_source(_FLEET, _list_loads(report.loads))
         sources.estimates.replace_source(_FLEET, _list_reading(report.reading))
         zones = [trial_lines.read_trials(one.trials) for one in report.zones]
         sources.trials.replace_source(_FLEET, trial_lines.add_trials(zones))
         self._take_orders(report.orders)
-        if sources.units.is_to_lend():
+        if sources.units.has_share_to_delegate():
             # Until it is lent, this daemon's part is of no use to anybody.
-            sources.links.hurry()
+            sources.links.notify_soon()
 
     def change_mode(self) -> None:
         """Drop what was told in the other way."""
@@ -191,23 +191,23 @@
         self._sources.estimates.replace_source(member, {})
         self._sources.trials.replace_source(member, {})
 
-    def _take_orders(self, lines: list[messages.OrderLine]) -> None:
+    def _take_orders(self, lines: list[messages.RolloutOrderEntry]) -> None:
         for line in lines:
             order = rollouts.RolloutOrder(
                 line.service, line.version, line.duration_s
             )
-            self._sources.orders.take_order(line.offset, order)
+            self._sources.orders.apply_order(line.offset, order)
 
     def _hear_lease(self, summary: messages.ZoneSummary) -> None:
-        hear = self._sources.lease.hear
+        apply_status = self._sources.lease.apply_status
         if summary.lease is not None:
-            hear(summary.lease_member, summary.lease, is_leaving=False)
+            apply_status(summary.lease_member, summary.lease, is_leaving=False)
         for member in summary.leaving:
-            hear(member, None, is_leaving=True)
+            apply_status(member, None, is_leaving=True)
 
 
 def _list_loads(
-    lines: dict[str, messages.LoadLine],
+    lines: dict[str, messages.LoadEntry],
 ) -> dict[str, loads.RunnerLoad]:
     return {
         runner_id: loads.RunnerLoad(line.requests, line.unread_tokens)
@@ -215,24 +215,24 @@
     }
 
 
-def _write_order(rollout: book.Rollout) -> messages.OrderLine:
+def _write_order(rollout: registry.Rollout) -> messages.RolloutOrderEntry:
     order = rollout.order
-    return messages.OrderLine(
+    return messages.RolloutOrderEntry(
         order.service, order.version, order.duration_s, rollout.offset
     )
 
 
-def _write_reading(sums: model.ReadingSums) -> messages.ReadingLine:
-    return messages.ReadingLine(
+def _write_reading(sums: model.PrefillSums) -> messages.PrefillEntry:
+    return messages.PrefillEntry(
         round(sums.results), round(sums.spread), round(sums.slowing * _MS)
     )
 
 
 def _list_reading(
-    lines: dict[str, messages.ReadingLine],
-) -> dict[str, model.ReadingSums]:
+    lines: dict[str, messages.PrefillEntry],
+) -> dict[str, model.PrefillSums]:
     return {
-        service: model.ReadingSums(
+        service: model.PrefillSums(
             line.results, line.spread, line.slowing_ms / _MS
         )
         for service, line in lines.items()
--- a/packages/daemon/src/martenquay_daemon/fleet/state_copies.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/state_copies.py
@@ -19,7 +19,7 @@
         runner_directory,
     )
 
-__all__ = ["FleetState", "PeerState", "StateCopies"]
+__all__ = ["FleetState", "PeerState", "StateTransfer"]
 
 _LOG = logs.create_log("fleet")
 # A log that has been silent this long is asked of peers instead.
@@ -69,7 +69,7 @@
     log_age_ms: int
 
 
-class StateCopies:
+class StateTransfer:
     """Make copies, ask for them and take them."""
 
     def __init__(self, state: FleetState) -> None:
@@ -81,12 +81,12 @@
         self._lacks_some = False
 
     def create_copy(
-        self, want: messages.WantState, peers: list[messages.PeerLine]
-    ) -> messages.StateCopy:
+        self, want: messages.StateRequest, peers: list[messages.PeerEntry]
+    ) -> messages.StateReply:
         """Return what the asker lacks."""
         state = self._state
         has_newer = state.store.version > want.catalog_version
-        return messages.StateCopy(
+        return messages.StateReply(
             state.store.packed if has_newer else b"",
             state.runner_follower.end,
             [
@@ -101,17 +101,17 @@
             want.number,
         )
 
-    def create_want(self) -> messages.WantState:
+    def create_request(self) -> messages.StateRequest:
         """Return a question for all that is new."""
         state = self._state
         self._questions += 1
         self._asked.note(self._questions)
         runners_end = 0 if self._lacks_some else state.runner_follower.end
-        return messages.WantState(
+        return messages.StateRequest(
             state.store.version, runners_end, self._questions
         )
 
-    def take(self, copy: messages.StateCopy) -> None:
+    def take(self, copy: messages.StateReply) -> None:
         """Take what a peer has read further in the log."""
         state = self._state
         if copy.catalog:
@@ -130,13 +130,13 @@
                 asked_at - copy.runners_age_ms / _MS, copy_age.Step.COPIED
             )
 
-    def _take_runners(self, copy: messages.StateCopy) -> bool:
+    def _take_runners(self, copy: messages.StateReply) -> bool:
         """Take a peer's entries; tell whether all that it has are here."""
         state = self._state
         if copy.runners_end <= state.runner_follower.end:
             return not self._lacks_some
         listed = set(copy.runner_ids)
-        state.directory.take_copies(copy.runners, listed)
+        state.directory.apply_copies(copy.runners, listed)
         lacking = listed - state.directory.entries.list_ids()
         self._lacks_some = bool(lacking)
         if lacking:
--- a/packages/daemon/src/martenquay_daemon/fleet/trial_lines.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/trial_lines.py
@@ -15,10 +15,10 @@
 
 def write_trials(
     trials: dict[str, tallies.Trial],
-) -> dict[str, messages.TrialLine]:
+) -> dict[str, messages.TrialEntry]:
     """Return what to tell."""
     return {
-        service: messages.TrialLine(
+        service: messages.TrialEntry(
             trial.order,
             {
                 route: (_write_side(tally.old), _write_side(tally.new))
@@ -30,7 +30,7 @@
 
 
 def read_trials(
-    lines: dict[str, messages.TrialLine],
+    lines: dict[str, messages.TrialEntry],
 ) -> dict[str, tallies.Trial]:
     """Return what was told."""
     return {
@@ -60,8 +60,8 @@
     return total
 
 
-def _write_side(side: tallies.SideTally) -> messages.SideLine:
-    return messages.SideLine(
+def _write_side(side: tallies.OutcomeTally) -> messages.TallyEntry:
+    return messages.TallyEntry(
         side.answers,
         side.failures,
         side.timed,
@@ -70,8 +70,8 @@
     )
 
 
-def _read_side(line: messages.SideLine) -> tallies.SideTally:
-    return tallies.SideTally(
+def _read_side(line: messages.TallyEntry) -> tallies.OutcomeTally:
+    return tallies.OutcomeTally(
         line.answers,
         line.failures,
         line.timed,
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_sum.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_aggregator.py
@@ -13,7 +13,7 @@
     from martenquay_daemon.duties import usage_counts
     from martenquay_daemon.rollouts import tallies
 
-__all__ = ["ZonePart", "ZoneSum", "add_loads", "add_reading"]
+__all__ = ["ZoneTotals", "ZoneAggregator", "add_loads", "add_reading"]
 
 # Usage counts of a daemon that ended are kept until they are reported.
 _KEEP_COUNTS_S = 40.0
@@ -21,7 +21,7 @@
 
 
 @dataclasses.dataclass
-class ZonePart:
+class ZoneTotals:
     """Sums over daemons of a zone.
 
     Attributes:
@@ -40,14 +40,14 @@
     daemons: int = 0
     window: int | None = None
     leaving: list[str] = dataclasses.field(default_factory=list)
-    lease: messages.LeaseNews | None = None
+    lease: messages.LeaseStatus | None = None
     lease_member: str = ""
-    loads: dict[str, messages.LoadLine] = dataclasses.field(
+    loads: dict[str, messages.LoadEntry] = dataclasses.field(
         default_factory=dict
     )
     begun: usage_counts.WindowCounts = dataclasses.field(default_factory=dict)
     demand: dict[str, float] = dataclasses.field(default_factory=dict)
-    reading: dict[str, messages.ReadingLine] = dataclasses.field(
+    reading: dict[str, messages.PrefillEntry] = dataclasses.field(
         default_factory=dict
     )
     trials: dict[str, tallies.Trial] = dataclasses.field(default_factory=dict)
@@ -60,7 +60,7 @@
     is_replaced: bool = False
 
 
-class ZoneSum:
+class ZoneAggregator:
     """The newest digests of a zone's daemons and their sums."""
 
     def __init__(self) -> None:
@@ -91,10 +91,10 @@
         """Return the digests of the daemons that are heard."""
         return [known.digest for known in self._list_heard(now, silent_s)]
 
-    def add_up(self, now: float, silent_s: float) -> ZonePart:
+    def add_up(self, now: float, silent_s: float) -> ZoneTotals:
         """Return the sums over all daemons."""
         heard = list(self._list_heard(now, silent_s))
-        part = ZonePart(daemons=len(heard))
+        part = ZoneTotals(daemons=len(heard))
         for known in self._members.values():
             for window, teams in known.digest.begun.items():
                 _add(part.begun.setdefault(window, {}), teams, 1)
@@ -113,8 +113,8 @@
         return part
 
     def leave_out(
-        self, total: ZonePart, member: str, now: float, silent_s: float
-    ) -> ZonePart:
+        self, total: ZoneTotals, member: str, now: float, silent_s: float
+    ) -> ZoneTotals:
         """Return sums without one daemon's part."""
         known = self._members.get(member)
         if known is None:
@@ -172,8 +172,8 @@
 
 
 def add_loads(
-    total: dict[str, messages.LoadLine],
-    loads: Mapping[str, messages.LoadLine],
+    total: dict[str, messages.LoadEntry],
+    loads: Mapping[str, messages.LoadEntry],
     sign: int,
 ) -> None:
     """Add loads to a sum, or take them away with a sign of -1."""
@@ -185,18 +185,18 @@
         if requests <= 0 and unread <= 0:
             total.pop(runner_id, None)
         else:
-            total[runner_id] = messages.LoadLine(requests, unread)
+            total[runner_id] = messages.LoadEntry(requests, unread)
 
 
 def add_reading(
-    total: dict[str, messages.ReadingLine],
-    reading: Mapping[str, messages.ReadingLine],
+    total: dict[str, messages.PrefillEntry],
+    reading: Mapping[str, messages.PrefillEntry],
     sign: int,
 ) -> None:
     """Add what results say to a sum, or take it away with a sign of -1."""
     for service, line in reading.items():
-        known = total.get(service, messages.ReadingLine(0, 0, 0))
-        total[service] = messages.ReadingLine(
+        known = total.get(service, messages.PrefillEntry(0, 0, 0))
+        total[service] = messages.PrefillEntry(
             known.results + sign * line.results,
             known.spread + sign * line.spread,
             known.slowing_ms + sign * line.slowing_ms,
@@ -209,8 +209,10 @@
     )
 
 
-def _age(news: messages.LeaseNews, age_s: float) -> messages.LeaseNews | None:
+def _age(
+    news: messages.LeaseStatus, age_s: float
+) -> messages.LeaseStatus | None:
     left_ms = news.left_ms - int(age_s * _MS)
     if left_ms <= 0:
         return None
-    return messages.LeaseNews(news.fence, news.end, left_ms)
+    return messages.LeaseStatus(news.fence, news.end, left_ms)
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
@@ -87,7 +87,7 @@
         report_s: Between two of its reports.
         find_members_end: Returns how far all listed daemons of this zone have
             read who announced themselves.
-        create_runner_words: Returns what is known of what runners say.
+        create_runner_reports: Returns what is known of what runners say.
     """
 
     def __init__(
@@ -95,12 +95,12 @@
         place: topology.PeerAddress,
         fleet: view.FleetView,
         state: state_copies.FleetState,
-        zone_pace: pace.FleetPace,
+        zone_pace: pace.GossipIntervals,
     ) -> None:
         self.is_hub = False
         self.find_members_end: Callable[[], int] = lambda: 0
-        self.create_runner_words: Callable[[], messages.RunnerWords] = lambda: (
-            messages.NO_WORDS
+        self.create_runner_reports: Callable[[], messages.RunnerReports] = (
+            lambda: messages.NO_RUNNER_REPORTS
         )
         self.report_s = zone_pace.report_s
         self._is_first = False
@@ -125,18 +125,18 @@
         self._place = dataclasses.replace(self._place, address=address)
         self._board.own_address = address
 
-    def take_own(self, digest: messages.Digest) -> None:
+    def set_own_digest(self, digest: messages.Digest) -> None:
         """Take this daemon's own digest."""
         now = trio.current_time()
-        self._hub.take_own(digest, now)
+        self._hub.set_own_digest(digest, now)
         self._hub.forget_old(now)
 
-    def take_digest(self, digest: messages.Digest) -> None:
+    def apply_digest(self, digest: messages.Digest) -> None:
         """Take the digest of a daemon that takes this one for a hub."""
         if digest.zone == self._place.zone:
             self._hub.take(digest, trio.current_time())
 
-    def take_exchange(self, exchange: messages.ZoneExchange) -> None:
+    def apply_exchange(self, exchange: messages.ZoneExchange) -> None:
         """Take what another zone's hub tells."""
         summary = exchange.summary
         now = trio.current_time()
@@ -144,7 +144,7 @@
         if summary.zone != self._place.zone:
             self._view.zones.take(summary, exchange.loads, now)
 
-    def take_report(self, report: messages.FleetReport) -> bool:
+    def apply_report(self, report: messages.FleetReport) -> bool:
         """Take a hub's report; tell whether it counts."""
         if not report.zones:
             return False
@@ -211,7 +211,7 @@
 
     def create_notes(self, digest: messages.Digest) -> list[Outgoing]:
         """Return what to tell the hubs of this daemon."""
-        raw = messages.encode_message(messages.DigestNote(digest))
+        raw = messages.encode_message(messages.DigestMessage(digest))
         self._told.note(digest.number)
         return [Outgoing(address, raw) for address in self._own_hubs]
 
@@ -259,11 +259,11 @@
         """Return when this hub made a round of reports, in trio's time."""
         return self._rounds.find(number)
 
-    def is_keeper(self) -> bool:
+    def is_quota_hub(self) -> bool:
         """Tell whether this daemon keeps its zone's units."""
         return self.is_hub and self._is_first
 
-    def find_keeper(self) -> Keeper | None:
+    def find_quota_hub(self) -> Keeper | None:
         """Return the hub that is to keep this daemon's units, if any reports.
 
         The first one keeps those of the whole zone: each pile more would be
@@ -277,7 +277,7 @@
             for address, one in self._served.items()
             if one.heard_at >= oldest and address in self._own_hubs
         }
-        if self.is_keeper() or not fresh:
+        if self.is_quota_hub() or not fresh:
             return None
         first = next(a for a in self._own_hubs if a in fresh)
         is_steady = fresh[first].since <= trio.current_time() - _STEADY_S
@@ -286,13 +286,13 @@
         one = fresh[self._keeper]
         return Keeper(one.summary.hub, self._keeper, one.number)
 
-    def list_keepers(self) -> list[str]:
+    def list_quota_hubs(self) -> list[str]:
         """Return the hubs to ask for units, the first choice first.
 
         Other zones' hubs come last: they have units when those of this zone
         are gone, and none of this zone's when it is cut off.
         """
-        keeper = self.find_keeper()
+        keeper = self.find_quota_hub()
         own = [keeper.address] if keeper is not None else []
         own += [a for a in self._own_hubs if a not in own]
         key = self._place.address
@@ -304,9 +304,9 @@
         foreign.sort(key=lambda one: rendezvous.score_candidate(key, one))
         return own + foreign
 
-    def list_other_keepers(self) -> list[str]:
+    def list_other_quota_hubs(self) -> list[str]:
         """Return the other zones' hubs, if this one keeps units like them."""
-        return list(self._foreign_hubs) if self.is_keeper() else []
+        return list(self._foreign_hubs) if self.is_quota_hub() else []
 
     def find_sole_since(self) -> float:
         """Return since when no hub uses what the last process here had lent.
@@ -368,5 +368,5 @@
             state.find_runners_age_ms(),
             int(age_s * _MS),
             self.find_members_end(),
-            self.create_runner_words(),
+            self.create_runner_reports(),
         )
--- a/packages/daemon/src/martenquay_daemon/forwarding/attempt.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/attempt.py
@@ -15,8 +15,8 @@
     departure,
     event_stream,
     exchange,
-    patience,
     silence,
+    silence_limits,
 )
 from martenquay_daemon.forwarding import runner_connection as connections
 
@@ -60,8 +60,8 @@
         meter: demand.DemandMeter,
         estimates: model.RunnerModel,
         streams: lengths.StreamLengths,
-        hurry: Callable[[], None],
-        gate: runner_gate.RunnerGate,
+        notify_soon: Callable[[], None],
+        gate: runner_gate.RunnerAdmission,
     ) -> None:
         self._gate = gate
         self._codec = codec
@@ -70,7 +70,7 @@
         self._meter = meter
         self._model = estimates
         self._streams = streams
-        self._hurry = hurry
+        self._hurry = notify_soon
 
     async def make(
         self,
@@ -103,7 +103,7 @@
                     _CONNECT_S,
                     lasts_s=current.deadline - trio.current_time(),
                 ) as connection:
-                    bounds = patience.find_patience(
+                    bounds = silence_limits.find_silence_limits(
                         current, placement, may_move
                     )
                     result = await self._talk_while_there(
@@ -133,7 +133,7 @@
         placement: placer.Placement,
         connection: connections.RunnerConnection,
         running: loads.Running,
-        bounds: silence.Patience,
+        bounds: silence.SilenceLimits,
     ) -> exchange.AttemptResult:
         """Talk, but give a runner up that is gone if another may take over."""
         if not current.route.may_repeat:
@@ -177,7 +177,7 @@
     ) -> exchange.AttemptResult:
         current.check_caller()
         # The runner may have spoken since it was chosen.
-        problem = self._gate.take_turn(placement.runner)
+        problem = self._gate.try_admit(placement.runner)
         if problem:
             return exchange.Withheld(problem)
         current.stage = departure.Stage.SENDING
--- a/packages/daemon/src/martenquay_daemon/forwarding/forwarder.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/forwarder.py
@@ -14,9 +14,9 @@
     answers,
     departure,
     exchange,
-    first_tries,
     own_answers,
     request_lines,
+    retry_detector,
     stop_window,
 )
 
@@ -89,7 +89,7 @@
     attempts: attempt.AttemptMaker
     retries: retry_window.RetryWindow
     ejector: ejection.Ejector
-    runner_gate: runner_gate.RunnerGate
+    runner_gate: runner_gate.RunnerAdmission
     guard: content_guard.ContentGuard
     stop: stop_window.StopWindow
     trials: trial_notes.TrialNotes
@@ -104,7 +104,7 @@
 
     def __init__(self, parts: ForwarderParts) -> None:
         self._parts = parts
-        self._first_tries = first_tries.FirstTries()
+        self._first_tries = retry_detector.RetryDetector()
         self._lines = request_lines.RequestLines(parts.store, parts.metrics)
 
     async def handle(
@@ -195,13 +195,13 @@
         team = current.team
         if team is None:
             return None
-        wish = terms.Wish(
+        wish = terms.AdmissionRequest(
             current.units,
             self._find_reserve(current),
             current.tried_s > current.route.target_s > 0,
             _find_patience(current),
         )
-        answer = await self._parts.allowances.take(team, wish)
+        answer = await self._parts.allowances.acquire(team, wish)
         if answer.is_admitted:
             current.granted = answer
             return None
--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -10,9 +10,9 @@
 
 from martenquay_daemon import supervision
 from martenquay_daemon.allowances import (
-    escrow,
     gate,
-    rights,
+    quota_ledger,
+    refill_shares,
     terms,
 )
 from martenquay_daemon.backpressure import parts as backpressure_parts
@@ -33,12 +33,12 @@
 from martenquay_daemon.fleet import (
     announcements,
     links,
+    quota_exchange,
     roster,
-    runner_news,
+    runner_report_gossip,
     shared_state,
     state_copies,
     topology,
-    unit_news,
     view,
 )
 from martenquay_daemon.forwarding import (
@@ -52,7 +52,7 @@
     trial_notes,
 )
 from martenquay_daemon.limits import ejection
-from martenquay_daemon.quarantine import desk
+from martenquay_daemon.quarantine import manager
 from martenquay_daemon.rollouts import parts as rollout_parts
 
 if TYPE_CHECKING:
@@ -264,7 +264,7 @@
         # Hubs report at their own pace; news for them sooner than that would
         # only cost bytes, which the control traffic of 400 daemons lacks.
         if self.links.is_mesh():
-            self.links.hurry()
+            self.links.notify_soon()
 
     def _create_first_reading(self) -> first_reading.FirstReading:
         sources = {
@@ -330,10 +330,10 @@
 
     def _share_state(self) -> None:
         settings = self._settings
-        news = runner_news.RunnerNews(
+        news = runner_report_gossip.RunnerReportGossip(
             self._backpressure.limits, self._backpressure.leaving
         )
-        self._shared = shared_state.SharedState(
+        self._shared = shared_state.StateGossip(
             shared_state.Identity(
                 self.member,
                 settings.instance,
@@ -359,12 +359,12 @@
             ),
         )
         self.links.listeners = links.Listeners(
-            self._shared.take_digest,
-            self._shared.take_report,
+            self._shared.apply_digest,
+            self._shared.apply_report,
             self._shared.change_mode,
-            self._unit_news.take_subscriber,
+            self._unit_news.apply_subscriber_digest,
             self._unit_news.create_note,
-            self._unit_news.take_note,
+            self._unit_news.apply_update,
             self._unit_news.answer,
             self._unit_news.find_zone_end,
             news,
@@ -379,20 +379,20 @@
 
     def _build_allowances(self) -> None:
         bounds = self._settings.bounds
-        self._units = escrow.create_escrow(
+        self._units = quota_ledger.create_quota_ledger(
             _find_tolerance(bounds),
-            rights.MintRights(
-                lambda: rights.OwnPart(
-                    self._roster.find_part(), self._roster.part_since
+            refill_shares.RefillShares(
+                lambda: refill_shares.RateShare(
+                    self._roster.find_own_share(), self._roster.share_since
                 ),
                 bounds.allowance_window_s,
                 self.links.find_sole_since,
             ),
-            self.links.hurry_units,
+            self.links.notify_quota_soon,
         )
-        self.links.desk.observe = self.metrics.note_units_asked
-        self._gate = gate.create_gate(self._units, self.links.desk)
-        self._unit_news = unit_news.UnitNews(
+        self.links.quota_client.observe = self.metrics.note_units_asked
+        self._gate = gate.create_gate(self._units, self.links.quota_client)
+        self._unit_news = quota_exchange.QuotaExchange(
             self.member,
             self._settings.zone,
             self._store,
@@ -403,11 +403,13 @@
             self.links,
         )
 
-        self._gate.lacks_parts = self._unit_news.lacks_parts
+        self._gate.lacks_shares = self._unit_news.lacks_shares
 
     def _build_quarantine(self) -> None:
         topic = self._ports.topics.strikes
-        self._quarantine = desk.create_desk(self._ports.log, topic)
+        self._quarantine = manager.create_quarantine_manager(
+            self._ports.log, topic
+        )
         self._quarantine.on_strike = self.metrics.count_strike
         self._quarantine.may_tidy = self._is_lease_held
         self._strike_follower = keyed_follower.KeyedFollower(
--- a/packages/daemon/src/martenquay_daemon/parts.py
+++ b/packages/daemon/src/martenquay_daemon/parts.py
@@ -12,11 +12,11 @@
 from martenquay_daemon import answers
 from martenquay_daemon.callers import app as caller_app
 from martenquay_daemon.callers import chats, gate, services, teams
-from martenquay_daemon.claims import desk as claim_desk
+from martenquay_daemon.claims import manager as claim_manager
 from martenquay_daemon.configuration import changes, follower, publisher, store
-from martenquay_daemon.deferrable import desk as deferrable_desk
+from martenquay_daemon.deferrable import manager as deferrable_manager
 from martenquay_daemon.deferrable import worker
-from martenquay_daemon.dispatch import book, model, service
+from martenquay_daemon.dispatch import model, registry, service
 from martenquay_daemon.journal import health, shards
 from martenquay_daemon.limits import admission, ejection, retries
 from martenquay_daemon.membership import directory, links, table
@@ -73,7 +73,7 @@
         self._engines = engine.EngineClient(reusing)
         self.metrics = metrics.create_metrics()
         self.health = health.LogHealth()
-        self.requests = book.RequestBook()
+        self.requests = registry.RequestRegistry()
         self._build_membership(member)
         self._build_configuration()
         self._build_routing()
@@ -190,7 +190,7 @@
         claim_map = shards.ShardMap(
             self.members, "claims", limits.claim_shards, limits.shard_followers
         )
-        self.claims = claim_desk.ClaimDesk(
+        self.claims = claim_manager.ClaimManager(
             self._log_client,
             self.health,
             claim_map,
@@ -237,7 +237,7 @@
         self._gate = gate.Gate(
             settings.partner, self.config, self.runners, self.members
         )
-        self.deferrable = deferrable_desk.DeferrableDesk(
+        self.deferrable = deferrable_manager.DeferrableManager(
             self._log_client,
             self.health,
             work_map,
--- a/packages/daemon/src/martenquay_daemon/quarantine/desk.py
+++ b/packages/daemon/src/martenquay_daemon/quarantine/manager.py
@@ -19,7 +19,7 @@
 
     from martenquay_core.serving import ports
 
-__all__ = ["QuarantineDesk", "create_desk"]
+__all__ = ["QuarantineManager", "create_quarantine_manager"]
 
 _LOG = logs.create_log("quarantine")
 # What runs on a healthy log takes 4 ms; after an outage the first try of each
@@ -32,7 +32,7 @@
 _FOREIGN_LINE_S = 10.0
 
 
-class QuarantineDesk:
+class QuarantineManager:
     """Keep the strikes that are known, and write those that are found.
 
     It implements `keyed_follower.RecordSink` for the strikes' topic.
@@ -44,7 +44,7 @@
     """
 
     def __init__(
-        self, log: ports.LogPort, topic: str, table: strikes.StrikeTable
+        self, log: ports.LogPort, topic: str, table: strikes.CrashTable
     ) -> None:
         self.on_strike: Callable[[], None] = _ignore
         self.may_tidy: Callable[[], bool] = lambda: False
@@ -52,7 +52,7 @@
         self._topic = topic
         self._table = table
         table.on_dropped = self._tidy
-        self._unwritten: dict[strikes.Strike, bytes] = {}
+        self._unwritten: dict[strikes.CrashRecord, bytes] = {}
         self._has_news = trio.Event()
         self._told_foreign_at = -math.inf
 
@@ -81,7 +81,7 @@
             crash: What else the log tells of it.
         """
         self.on_strike()
-        strike = strikes.Strike(content, seen + 1, runner)
+        strike = strikes.CrashRecord(content, seen + 1, runner)
         if not self._table.add(strike):
             return
         self._tell(strike, "this daemon", crash)
@@ -113,7 +113,7 @@
                 contents=len(self._table),
             )
 
-    def take(self, record: ports.KeyedRecord) -> None:
+    def apply_change(self, record: ports.KeyedRecord) -> None:
         """Take one strike, or the end of one."""
         strike = self._decode(record)
         if strike is None:
@@ -152,22 +152,22 @@
             self._has_news = trio.Event()
         return True
 
-    def _write(self, strike: strikes.Strike, payload: bytes) -> None:
+    def _write(self, strike: strikes.CrashRecord, payload: bytes) -> None:
         self._unwritten[strike] = payload
         self._has_news.set()
 
-    def _tidy(self, dropped: list[strikes.Strike]) -> None:
+    def _tidy(self, dropped: list[strikes.CrashRecord]) -> None:
         if not self.may_tidy():
             return
         for strike in dropped:
             self._write(strike, records.encode_end(self._log, strike))
 
-    def _is_known(self, strike: strikes.Strike) -> bool:
+    def _is_known(self, strike: strikes.CrashRecord) -> bool:
         return self._table.has(strike)
 
-    def _decode(self, record: ports.KeyedRecord) -> strikes.Strike | None:
+    def _decode(self, record: ports.KeyedRecord) -> strikes.CrashRecord | None:
         try:
-            return records.decode_strike(record)
+            return records.decode_crash(record)
         except ValueError as error:
             now = trio.current_time()
             if now >= self._told_foreign_at + _FOREIGN_LINE_S:
@@ -177,7 +177,7 @@
 
     def _tell(
         self,
-        strike: strikes.Strike,
+        strike: strikes.CrashRecord,
         found_at: str,
         crash: records.Crash | None,
     ) -> None:
@@ -198,7 +198,9 @@
     pass
 
 
-def create_desk(log: ports.LogPort, topic: str) -> QuarantineDesk:
+def create_quarantine_manager(
+    log: ports.LogPort, topic: str
+) -> QuarantineManager:
     """Return a desk that knows of no strike."""
-    table = strikes.StrikeTable(trio.current_time)
-    return QuarantineDesk(log, topic, table)
+    table = strikes.CrashTable(trio.current_time)
+    return QuarantineManager(log, topic, table)
--- a/packages/daemon/src/martenquay_daemon/rollouts/records.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/records.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from martenquay_core import logs
-from martenquay_daemon.rollouts import book
+from martenquay_daemon.rollouts import registry
 
 if TYPE_CHECKING:
     from martenquay_core.serving import ports
@@ -26,7 +26,7 @@
     why: str = ""
 
 
-def encode_step(log: ports.LogPort, step: book.Step) -> bytes:
+def encode_step(log: ports.LogPort, step: registry.Step) -> bytes:
     """Return the payload of a step's record."""
     record = _StepRecord(
         step.order,
@@ -42,26 +42,26 @@
 class StepSink:
     """Implement `keyed_follower.RecordSink` for steps."""
 
-    def __init__(self, rollouts: book.RolloutBook) -> None:
+    def __init__(self, rollouts: registry.RolloutRegistry) -> None:
         self._book = rollouts
 
     def replace_all(self, snapshot: ports.Snapshot) -> None:
         """Take the newest step of each service; a missing one holds on."""
         for record in snapshot.records:
-            self.take(record)
+            self.apply_change(record)
 
-    def take(self, record: ports.KeyedRecord) -> None:
+    def apply_change(self, record: ports.KeyedRecord) -> None:
         """Take one step."""
         if record.value is None:
             return
         try:
             found = msgspec.json.decode(record.value, type=_StepRecord)
-            phase = book.Phase(found.phase)
+            phase = registry.Phase(found.phase)
         except ValueError as error:
             _LOG.write(f"A record of {record.key} is no step: {error}.")
             return
-        self._book.take_step(
-            book.Step(
+        self._book.apply_step(
+            registry.Step(
                 record.key,
                 found.order,
                 found.version,
@@ -77,7 +77,7 @@
     """Implement `keyed_follower.RecordSink` for operators' orders."""
 
     def __init__(
-        self, codec: ports.PlatformCodec, rollouts: book.RolloutBook
+        self, codec: ports.PlatformCodec, rollouts: registry.RolloutRegistry
     ) -> None:
         self._codec = codec
         self._book = rollouts
@@ -85,9 +85,9 @@
     def replace_all(self, snapshot: ports.Snapshot) -> None:
         """Take the newest records; a missing one changes nothing."""
         for record in snapshot.records:
-            self.take(record)
+            self.apply_change(record)
 
-    def take(self, record: ports.KeyedRecord) -> None:
+    def apply_change(self, record: ports.KeyedRecord) -> None:
         """Take the record if it is an order."""
         if record.value is None:
             return
@@ -97,4 +97,4 @@
             _LOG.write(f"Order {record.key} cannot be read: {error}.")
             return
         if order is not None:
-            self._book.take_order(record.offset, order)
+            self._book.apply_order(record.offset, order)
--- a/packages/daemon/src/martenquay_daemon/rollouts/book.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/registry.py
@@ -15,7 +15,7 @@
 from martenquay_core import logs
 from martenquay_core.serving import rollouts
 
-__all__ = ["Phase", "Rollout", "RolloutBook", "Step"]
+__all__ = ["Phase", "Rollout", "RolloutRegistry", "Step"]
 
 _LOG = logs.create_log("rollouts")
 # Who starts reads all orders; who runs hears of a new one from others within a
@@ -102,7 +102,7 @@
         return Phase.CANARY if self.step is None else self.step.phase
 
 
-class RolloutBook:
+class RolloutRegistry:
     """Orders and steps by service."""
 
     def __init__(self) -> None:
@@ -136,7 +136,7 @@
         step = self._steps.get(service)
         return set() if step is None else set(step.refused)
 
-    def take_order(self, offset: int, order: rollouts.RolloutOrder) -> None:
+    def apply_order(self, offset: int, order: rollouts.RolloutOrder) -> None:
         """Take an operator's order; an older one changes nothing."""
         known = self._rollouts.get(order.service)
         if known is not None and known.offset >= offset:
@@ -155,7 +155,7 @@
         if step is not None and step.order == offset:
             rollout.step = step
 
-    def take_step(self, step: Step) -> bool:
+    def apply_step(self, step: Step) -> bool:
         """Take a step; tell whether it leads on."""
         known = self._steps.get(step.service)
         if known is not None and not _leads_on(known, step):
--- a/tests/allowance_fleet.py
+++ b/tests/allowance_fleet.py
@@ -7,7 +7,12 @@
 
 import trio
 
-from martenquay_daemon.allowances import escrow, rights, sharing, terms
+from martenquay_daemon.allowances import (
+    quota_ledger,
+    refill_shares,
+    sharing,
+    terms,
+)
 from martenquay_daemon.fleet import roster, send_times
 from tests import serving_builders as builders
 
@@ -36,34 +41,38 @@
     return allowance * (1 + BOUNDS.overrun) + BOUNDS.slack
 
 
-def build_rights(part: float = 1.0) -> rights.MintRights:
+def build_rights(part: float = 1.0) -> refill_shares.RefillShares:
     """Return what a daemon may mint that always had a part of the rate."""
-    own = rights.OwnPart(part, -math.inf)
-    return rights.MintRights(lambda: own, BOUNDS.window_s)
+    own = refill_shares.RateShare(part, -math.inf)
+    return refill_shares.RefillShares(lambda: own, BOUNDS.window_s)
 
 
 def build_escrow(
     part: float = 1.0, bounds: terms.ToleranceBounds = BOUNDS
-) -> escrow.EscrowLedger:
+) -> quota_ledger.QuotaLedger:
     """Return the units of one daemon with a part of the rate."""
-    return escrow.create_escrow(bounds, build_rights(part), lambda: None)
+    return quota_ledger.create_quota_ledger(
+        bounds, build_rights(part), lambda: None
+    )
 
 
 class OwnKeeper:
-    """Implement `gate.Keepers` for a daemon that keeps its own units."""
+    """Implement `gate.QuotaHolders` for a daemon that keeps its own units."""
 
-    def keeps_here(self) -> bool:
+    def holds_quota_here(self) -> bool:
         """Tell that it does."""
         return True
 
-    async def ask(self, team: str, wish: terms.Wish) -> terms.Answer | None:
+    async def ask(
+        self, team: str, wish: terms.AdmissionRequest
+    ) -> terms.AdmissionDecision | None:
         """Return nothing: nobody else keeps any."""
         del team, wish
         return None
 
-    async def ask_at(
-        self, address: str, team: str, wish: terms.Wish
-    ) -> terms.Answer | None:
+    async def ask_address(
+        self, address: str, team: str, wish: terms.AdmissionRequest
+    ) -> terms.AdmissionDecision | None:
         """Return nothing: nobody else is reached."""
         del address, team, wish
         return None
@@ -103,8 +112,8 @@
     member: str
     number: int
     members_end: int
-    holdings: dict[str, sharing.Holding]
-    gifts: dict[str, escrow.Gift]
+    holdings: dict[str, sharing.QuotaBalance]
+    gifts: dict[str, quota_ledger.QuotaTransfer]
 
 
 @dataclasses.dataclass(frozen=True)
@@ -136,13 +145,15 @@
         self._roster = roster.Roster(instance)
         self._told = send_times.SendTimes()
         self._waiting: list[_Waiting] = []
-        mint_rights = rights.MintRights(
-            lambda: rights.OwnPart(
-                self._roster.find_part(), self._roster.part_since
+        mint_rights = refill_shares.RefillShares(
+            lambda: refill_shares.RateShare(
+                self._roster.find_own_share(), self._roster.share_since
             ),
             BOUNDS.window_s,
         )
-        self._units = escrow.create_escrow(BOUNDS, mint_rights, self._hurry)
+        self._units = quota_ledger.create_quota_ledger(
+            BOUNDS, mint_rights, self._hurry
+        )
         self._units.refill([TEAM])
 
     def _hurry(self) -> None:
@@ -168,11 +179,11 @@
 
     def ask(self, units: float) -> bool:
         """Ask for units for the team; tell whether they may be spent."""
-        match self._units.take(TEAM, terms.Wish(units)):
+        match self._units.try_spend(TEAM, terms.AdmissionRequest(units)):
             case terms.Admitted():
                 return True
-            case terms.Elsewhere(missing=missing):
-                self._units.note_need(TEAM, missing)
+            case terms.HeldElsewhere(missing=missing):
+                self._units.note_shortage(TEAM, missing)
                 until = trio.current_time() + _WAIT_S
                 self._waiting.append(_Waiting(units, missing, until))
         return False
@@ -181,14 +192,14 @@
         """Return the units of requests that were let in after a wait."""
         admitted = []
         for one in list(self._waiting):
-            verdict = self._units.take(
-                TEAM, terms.Wish(one.units), is_again=True
+            verdict = self._units.try_spend(
+                TEAM, terms.AdmissionRequest(one.units), is_again=True
             )
             is_admitted = isinstance(verdict, terms.Admitted)
             if is_admitted:
                 admitted.append(one.units)
             if is_admitted or trio.current_time() >= one.until:
-                self._units.note_need(TEAM, -one.missing)
+                self._units.note_shortage(TEAM, -one.missing)
                 self._waiting.remove(one)
         return admitted
 
@@ -198,7 +209,7 @@
         self.is_hurried = False
         self._number += 1
         self._told.note(self._number)
-        gifts = self._units.give([TEAM])
+        gifts = self._units.create_transfers([TEAM])
         return News(
             self.instance,
             self.member,
@@ -213,9 +224,9 @@
         if news.number <= self._heard.get(news.member, 0):
             return
         self._heard[news.member] = news.number
-        self._roster.note_told(news.instance, news.members_end)
-        self._units.hear(news.member, news.number, news.holdings)
+        self._roster.note_read_end(news.instance, news.members_end)
+        self._units.apply_balances(news.member, news.number, news.holdings)
         gift = news.gifts.get(self.member)
         told_at = self._told.find(gift.heard) if gift is not None else None
         if gift is not None and told_at is not None:
-            self._units.accept(gift, told_at)
+            self._units.accept_transfer(gift, told_at)
--- a/tests/entry_world.py
+++ b/tests/entry_world.py
@@ -57,7 +57,7 @@
             self.contact,
             _TOPIC,
             directory,
-            keyed_follower.FollowPace(wait_s=1.0),
+            keyed_follower.ReadSchedule(wait_s=1.0),
         )
         self.state = state_copies.FleetState(
             catalog_store.create_store(records),
@@ -65,7 +65,7 @@
             self._follower,
             self.contact,
         )
-        self.copies = state_copies.StateCopies(self.state)
+        self.copies = state_copies.StateTransfer(self.state)
         self.contact.note_answer()
 
     @property
@@ -79,7 +79,7 @@
 
     async def copy_from(self, other: Daemon, delay_s: float) -> None:
         """Ask another daemon and take its copy, `delay_s` later."""
-        want = self.copies.create_want()
+        want = self.copies.create_request()
         answer = other.copies.create_copy(want, [])
         await trio.sleep(delay_s)
         self.copies.take(answer)
--- a/tests/placing_days.py
+++ b/tests/placing_days.py
@@ -121,7 +121,7 @@
         self.ledger = loads.LoadLedger()
         estimates = model.RunnerModel()
         spread = 100 * 2000**2
-        learnt = model.ReadingSums(100, spread, spread / _LEARNT_TOKENS_PER_S)
+        learnt = model.PrefillSums(100, spread, spread / _LEARNT_TOKENS_PER_S)
         estimates.replace_source("fleet", {"model": learnt})
         self.placer = placer.Placer(
             "a",
@@ -267,7 +267,7 @@
             address=f"127.0.0.1:{number}",
             slots=_SLOTS,
         )
-        directory.take(ports.KeyedRecord(number, f"r-{number}", value))
+        directory.apply_change(ports.KeyedRecord(number, f"r-{number}", value))
     return directory
 
 
--- a/tests/serving_builders.py
+++ b/tests/serving_builders.py
@@ -13,8 +13,8 @@
     topics,
 )
 from martenquay_daemon.backpressure import (
-    leaving_words,
-    rests,
+    drain_reports,
+    runner_backoffs,
     runner_gate,
     runner_limits,
     send_shares,
@@ -129,14 +129,16 @@
     rank: int = 0, daemons: int = 1
 ) -> runner_limits.RunnerLimits:
     """Return the limits of a daemon that has the same place for each runner."""
-    place = send_shares.Place(rank, daemons)
+    place = send_shares.SenderRank(rank, daemons)
     return runner_limits.RunnerLimits(lambda _: place)
 
 
-def build_runner_gate() -> runner_gate.RunnerGate:
+def build_runner_gate() -> runner_gate.RunnerAdmission:
     """Return what a daemon that is alone has been told of runners: nothing."""
-    return runner_gate.RunnerGate(
-        build_runner_limits(), leaving_words.LeavingWords(), rests.Rests()
+    return runner_gate.RunnerAdmission(
+        build_runner_limits(),
+        drain_reports.DrainReports(),
+        runner_backoffs.RunnerBackoffs(),
     )
 
 
@@ -163,7 +165,7 @@
         "reading": {},
         "trials": {},
         "orders": [],
-        "runner_words": messages.NO_WORDS,
+        "runner_reports": messages.NO_RUNNER_REPORTS,
     }
     return messages.Digest(**(fields | changes))
 
--- a/tests/serving_scene.py
+++ b/tests/serving_scene.py
@@ -32,8 +32,8 @@
     trial_notes,
 )
 from martenquay_daemon.limits import ejection
-from martenquay_daemon.quarantine import desk
-from martenquay_daemon.rollouts import book, tallies, versions
+from martenquay_daemon.quarantine import manager
+from martenquay_daemon.rollouts import registry, tallies, versions
 from martenquay_platform import codec
 from martenquay_standins.ports import log
 from martenquay_standins.ports import runner as scripted
@@ -109,7 +109,7 @@
             log_contact,
             builders.TOPICS.runners,
             self.directory,
-            keyed_follower.FollowPace(wait_s=1.0),
+            keyed_follower.ReadSchedule(wait_s=1.0),
             is_needed=lambda: False,
         )
         self.entries = refresher.create_refresher(
@@ -124,18 +124,20 @@
         self.hurries = 0
         self.runner_gate = builders.build_runner_gate()
         ejector = ejection.Ejector()
-        self.quarantine = desk.create_desk(self.log, builders.TOPICS.strikes)
+        self.quarantine = manager.create_quarantine_manager(
+            self.log, builders.TOPICS.strikes
+        )
         self.strikes = keyed_follower.KeyedFollower(
             self.log,
             log_contact,
             builders.TOPICS.strikes,
             self.quarantine,
-            keyed_follower.FollowPace(wait_s=1.0),
+            keyed_follower.ReadSchedule(wait_s=1.0),
         )
         rng = random.Random(1)
         header_codec = codec.create_codec()
         bounds = retry_window.RetryBounds(0.2, 10.0, 100.0)
-        orders = book.RolloutBook()
+        orders = registry.RolloutRegistry()
         tolerance = terms.ToleranceBounds(8.0, 0.0, 0.0)
         self.parts = forwarder.ForwarderParts(
             store=self.store,
@@ -228,7 +230,7 @@
         )
         key = self._records.runners[value].id
         offset = self.log.put(builders.TOPICS.runners, key, value)
-        self.directory.take(ports.KeyedRecord(offset, key, value))
+        self.directory.apply_change(ports.KeyedRecord(offset, key, value))
         self.follower.skip_to(offset + 1)
 
     def let_leave(self, number: int) -> None:
@@ -244,7 +246,7 @@
         """Have the entry of a runner lapse."""
         found = self._records.runners[b"runner %d" % number]
         offset = self.log.put(builders.TOPICS.runners, found.id, b"")
-        self.directory.take(ports.KeyedRecord(offset, found.id, None))
+        self.directory.apply_change(ports.KeyedRecord(offset, found.id, None))
 
     async def ask(self, raw: bytes) -> Reply:
         """Send bytes on a connection of their own and read one answer."""
--- a/tests/test_allowances/test_escrow.py
+++ b/tests/test_allowances/test_quota_ledger.py
@@ -6,27 +6,35 @@
 
 import trio
 
-from martenquay_daemon.allowances import escrow, gate, rights, sharing, terms
+from martenquay_daemon.allowances import (
+    gate,
+    quota_ledger,
+    refill_shares,
+    sharing,
+    terms,
+)
 from tests import allowance_fleet, clocked
 from tests import serving_builders as builders
 
 _TEAM = allowance_fleet.TEAM
 _BOUNDS = allowance_fleet.BOUNDS
-_RATE = _BOUNDS.find_mint_rate(_TEAM)
+_RATE = _BOUNDS.find_refill_rate(_TEAM)
 _LIFE_S = _BOUNDS.find_life(_TEAM)
 
 
-async def _fill(units: escrow.EscrowLedger) -> None:
+async def _fill(units: quota_ledger.QuotaLedger) -> None:
     """Let a lifetime pass, in which the units come that there may be."""
     units.refill([_TEAM])
     await trio.sleep(_LIFE_S)
     units.refill([_TEAM])
 
 
-def _count_admitted(units: escrow.EscrowLedger, wish: terms.Wish) -> int:
+def _count_admitted(
+    units: quota_ledger.QuotaLedger, wish: terms.AdmissionRequest
+) -> int:
     """Ask until it is refused; return how often it was not."""
     count = 0
-    while isinstance(units.take(_TEAM, wish), terms.Admitted):
+    while isinstance(units.try_spend(_TEAM, wish), terms.Admitted):
         count += 1
     return count
 
@@ -36,7 +44,7 @@
         async def scenario() -> None:
             units = allowance_fleet.build_escrow()
             await _fill(units)
-            count = _count_admitted(units, terms.Wish(100.0))
+            count = _count_admitted(units, terms.AdmissionRequest(100.0))
             self.assertLessEqual(100.0 * count, _RATE * _LIFE_S)
             self.assertGreater(100.0 * count, 0.8 * _RATE * _LIFE_S)
 
@@ -47,10 +55,10 @@
             team = builders.build_team(rate=rate, burst=burst)
             for overrun, slack in ((0.1, 72_000.0), (0.1, 0.0)):
                 bounds = terms.ToleranceBounds(8.0, overrun, slack)
-                minted = bounds.find_mint_rate(team)
+                minted = bounds.find_refill_rate(team)
                 self.assertGreater(minted, 0.95 * rate)
                 span_s = 8.0 + bounds.find_life(team)
-                most = minted * span_s + bounds.find_most_owed()
+                most = minted * span_s + bounds.find_max_overdraft()
                 allowance = rate * 8.0 + burst
                 self.assertLess(most, allowance * (1 + overrun) + slack)
 
@@ -58,14 +66,15 @@
         async def scenario() -> None:
             units = allowance_fleet.build_escrow()
             await _fill(units)
-            _count_admitted(units, terms.Wish(100.0))
+            _count_admitted(units, terms.AdmissionRequest(100.0))
             self.assertIsInstance(
-                units.take(_TEAM, terms.Wish(8_000.0)), terms.Refused
+                units.try_spend(_TEAM, terms.AdmissionRequest(8_000.0)),
+                terms.Refused,
             )
             await trio.sleep(_BOUNDS.window_s)
             units.refill([_TEAM])
-            large = terms.Wish(_RATE * _LIFE_S + 20_000.0)
-            self.assertIsInstance(units.take(_TEAM, large), terms.Admitted)
+            large = terms.AdmissionRequest(_RATE * _LIFE_S + 20_000.0)
+            self.assertIsInstance(units.try_spend(_TEAM, large), terms.Admitted)
             self.assertGreater(units.describe(_TEAM.name).owed, 10_000.0)
 
         self.run_clocked(scenario)
@@ -75,9 +84,11 @@
             units = allowance_fleet.build_escrow()
             await _fill(units)
             # More is asked for than comes.
-            units.take(_TEAM, terms.Wish(2 * _RATE))
-            late = _count_admitted(units, terms.Wish(500.0, is_late=True))
-            on_time = _count_admitted(units, terms.Wish(500.0))
+            units.try_spend(_TEAM, terms.AdmissionRequest(2 * _RATE))
+            late = _count_admitted(
+                units, terms.AdmissionRequest(500.0, is_late=True)
+            )
+            on_time = _count_admitted(units, terms.AdmissionRequest(500.0))
             self.assertGreater(late, 10)
             self.assertGreater(on_time, 0.8 * late)
 
@@ -89,10 +100,12 @@
         async def scenario() -> None:
             units = allowance_fleet.build_escrow()
             await _fill(units)
-            units.take(_TEAM, terms.Wish(0.6 * _RATE * _LIFE_S))
+            units.try_spend(
+                _TEAM, terms.AdmissionRequest(0.6 * _RATE * _LIFE_S)
+            )
             await trio.sleep(0.8)
-            wish = terms.Wish(200.0, is_late=True)
-            self.assertIsInstance(units.take(_TEAM, wish), terms.Admitted)
+            wish = terms.AdmissionRequest(200.0, is_late=True)
+            self.assertIsInstance(units.try_spend(_TEAM, wish), terms.Admitted)
 
         self.run_clocked(scenario)
 
@@ -104,15 +117,15 @@
             await _fill(giver)
             told_at = trio.current_time()
             there = giver.describe(_TEAM.name).there
-            holding = sharing.Holding(0.0, 20_000.0)
-            giver.hear("b", 7, {_TEAM.name: holding})
-            gift = giver.give([_TEAM])["b"]
+            holding = sharing.QuotaBalance(0.0, 20_000.0)
+            giver.apply_balances("b", 7, {_TEAM.name: holding})
+            gift = giver.create_transfers([_TEAM])["b"]
             given = sum(units for units, _ in gift.parcels[_TEAM.name])
             self.assertEqual(7, gift.heard)
             self.assertAlmostEqual(
                 there - given, giver.describe(_TEAM.name).there
             )
-            receiver.accept(gift, told_at)
+            receiver.accept_transfer(gift, told_at)
             self.assertAlmostEqual(given, receiver.describe(_TEAM.name).there)
             await trio.sleep(_LIFE_S)
             receiver.refill([_TEAM])
@@ -126,8 +139,9 @@
             receiver.refill([_TEAM])
             told_at = trio.current_time()
             await trio.sleep(2.0)
-            receiver.accept(
-                escrow.Gift(1, {_TEAM.name: [(900.0, 0.9)]}), told_at
+            receiver.accept_transfer(
+                quota_ledger.QuotaTransfer(1, {_TEAM.name: [(900.0, 0.9)]}),
+                told_at,
             )
             self.assertEqual(0.0, receiver.describe(_TEAM.name).there)
 
@@ -137,9 +151,11 @@
         async def scenario() -> None:
             giver = allowance_fleet.build_escrow(0.5)
             await _fill(giver)
-            giver.hear("b", 1, {_TEAM.name: sharing.Holding(0.0, 20_000.0)})
+            giver.apply_balances(
+                "b", 1, {_TEAM.name: sharing.QuotaBalance(0.0, 20_000.0)}
+            )
             await trio.sleep(1.5)
-            self.assertEqual({}, giver.give([_TEAM]))
+            self.assertEqual({}, giver.create_transfers([_TEAM]))
 
         self.run_clocked(scenario)
 
@@ -159,10 +175,13 @@
     ) -> None:
         async def scenario() -> None:
             parts = [0.5]
-            mint_rights = rights.MintRights(
-                lambda: rights.OwnPart(parts[0], -math.inf), _BOUNDS.window_s
+            mint_rights = refill_shares.RefillShares(
+                lambda: refill_shares.RateShare(parts[0], -math.inf),
+                _BOUNDS.window_s,
+            )
+            units = quota_ledger.create_quota_ledger(
+                _BOUNDS, mint_rights, lambda: None
             )
-            units = escrow.create_escrow(_BOUNDS, mint_rights, lambda: None)
             units.refill([_TEAM])
             await trio.sleep(0.4)
             parts[0] = 0.25
@@ -175,24 +194,26 @@
 
 
 class _FarKeeper:
-    """Implement `gate.Keepers` with one answer."""
+    """Implement `gate.QuotaHolders` with one answer."""
 
-    def __init__(self, answer: terms.Answer | None) -> None:
-        self.asked: list[tuple[str, terms.Wish]] = []
+    def __init__(self, answer: terms.AdmissionDecision | None) -> None:
+        self.asked: list[tuple[str, terms.AdmissionRequest]] = []
         self._answer = answer
 
-    def keeps_here(self) -> bool:
+    def holds_quota_here(self) -> bool:
         """Tell that this daemon does not."""
         return False
 
-    async def ask(self, team: str, wish: terms.Wish) -> terms.Answer | None:
+    async def ask(
+        self, team: str, wish: terms.AdmissionRequest
+    ) -> terms.AdmissionDecision | None:
         """Return the answer."""
         self.asked.append((team, wish))
         return self._answer
 
-    async def ask_at(
-        self, address: str, team: str, wish: terms.Wish
-    ) -> terms.Answer | None:
+    async def ask_address(
+        self, address: str, team: str, wish: terms.AdmissionRequest
+    ) -> terms.AdmissionDecision | None:
         """Return the answer."""
         self.asked.append((address, wish))
         return self._answer
@@ -201,8 +222,8 @@
 class AllowanceGateTest(clocked.ClockedTestCase):
     def _build(
         self,
-        units: escrow.EscrowLedger,
-        keepers: gate.Keepers | None = None,
+        units: quota_ledger.QuotaLedger,
+        keepers: gate.QuotaHolders | None = None,
     ) -> gate.AllowanceGate:
         keepers = keepers or allowance_fleet.OwnKeeper()
         return gate.create_gate(units, keepers)
@@ -212,12 +233,14 @@
             units = allowance_fleet.build_escrow(0.0)
             units.refill([_TEAM])
             one = self._build(units)
-            units.hear("b", 1, {_TEAM.name: sharing.Holding(9_000.0, 0.0)})
+            units.apply_balances(
+                "b", 1, {_TEAM.name: sharing.QuotaBalance(9_000.0, 0.0)}
+            )
             told_at = trio.current_time()
             answers: list[bool] = []
 
             async def ask() -> None:
-                answer = await one.take(_TEAM, terms.Wish(500.0))
+                answer = await one.acquire(_TEAM, terms.AdmissionRequest(500.0))
                 answers.append(answer.is_admitted)
 
             async with trio.open_nursery() as nursery:
@@ -225,8 +248,10 @@
                 await trio.sleep(0.08)
                 needed = units.list_holdings()[_TEAM.name].needed
                 self.assertAlmostEqual(500.0, needed)
-                gift = escrow.Gift(1, {_TEAM.name: [(600.0, 0.9)]})
-                units.accept(gift, told_at)
+                gift = quota_ledger.QuotaTransfer(
+                    1, {_TEAM.name: [(600.0, 0.9)]}
+                )
+                units.accept_transfer(gift, told_at)
             self.assertEqual([True], answers)
             self.assertEqual(0.0, units.list_holdings()[_TEAM.name].needed)
 
@@ -237,9 +262,11 @@
             units = allowance_fleet.build_escrow(0.0)
             units.refill([_TEAM])
             one = self._build(units)
-            units.hear("b", 1, {_TEAM.name: sharing.Holding(9_000.0, 0.0)})
+            units.apply_balances(
+                "b", 1, {_TEAM.name: sharing.QuotaBalance(9_000.0, 0.0)}
+            )
             started = trio.current_time()
-            answer = await one.take(_TEAM, terms.Wish(500.0))
+            answer = await one.acquire(_TEAM, terms.AdmissionRequest(500.0))
             self.assertGreater(answer.retry_s, 0.0)
             self.assertLessEqual(trio.current_time() - started, 0.21)
 
@@ -250,9 +277,11 @@
             units = allowance_fleet.build_escrow(0.0)
             units.refill([_TEAM])
             one = self._build(units)
-            units.hear("b", 1, {_TEAM.name: sharing.Holding(10.0, 0.0)})
+            units.apply_balances(
+                "b", 1, {_TEAM.name: sharing.QuotaBalance(10.0, 0.0)}
+            )
             started = trio.current_time()
-            answer = await one.take(_TEAM, terms.Wish(500.0))
+            answer = await one.acquire(_TEAM, terms.AdmissionRequest(500.0))
             self.assertGreater(answer.retry_s, 0.0)
             self.assertEqual(started, trio.current_time())
 
@@ -262,29 +291,34 @@
         async def scenario() -> None:
             units = allowance_fleet.build_escrow()
             await _fill(units)
-            keeper = _FarKeeper(terms.Answer(0.7, kept_at="hub"))
+            keeper = _FarKeeper(terms.AdmissionDecision(0.7, kept_at="hub"))
             one = self._build(units, keeper)
-            answer = await one.take(_TEAM, terms.Wish(500.0))
+            answer = await one.acquire(_TEAM, terms.AdmissionRequest(500.0))
             self.assertEqual(0.7, answer.retry_s)
-            self.assertEqual([(_TEAM.name, terms.Wish(500.0))], keeper.asked)
+            self.assertEqual(
+                [(_TEAM.name, terms.AdmissionRequest(500.0))], keeper.asked
+            )
 
         self.run_clocked(scenario)
 
     def test_a_keeper_waits_for_parts_that_are_yet_to_be_lent(self) -> None:
         async def scenario() -> None:
             parts = [0.0]
-            mint_rights = rights.MintRights(
-                lambda: rights.OwnPart(parts[0], -math.inf), _BOUNDS.window_s
+            mint_rights = refill_shares.RefillShares(
+                lambda: refill_shares.RateShare(parts[0], -math.inf),
+                _BOUNDS.window_s,
+            )
+            units = quota_ledger.create_quota_ledger(
+                _BOUNDS, mint_rights, lambda: None
             )
-            units = escrow.create_escrow(_BOUNDS, mint_rights, lambda: None)
             units.refill([_TEAM])
             one = self._build(units)
-            one.lacks_parts = lambda: parts[0] == 0.0
-            answers: list[terms.Answer] = []
+            one.lacks_shares = lambda: parts[0] == 0.0
+            answers: list[terms.AdmissionDecision] = []
 
             async def ask() -> None:
-                wish = terms.Wish(500.0, patience_s=1.0)
-                answers.append(await one.take(_TEAM, wish))
+                wish = terms.AdmissionRequest(500.0, max_wait_s=1.0)
+                answers.append(await one.acquire(_TEAM, wish))
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(ask)
@@ -295,10 +329,10 @@
             self.assertTrue(answers[0].is_admitted)
             # It is not held for longer than it may wait.
             parts[0] = 0.0
-            units.take(_TEAM, terms.Wish(10 * _RATE))
+            units.try_spend(_TEAM, terms.AdmissionRequest(10 * _RATE))
             started = trio.current_time()
-            wish = terms.Wish(9 * _RATE, patience_s=0.3)
-            answer = await one.take(_TEAM, wish)
+            wish = terms.AdmissionRequest(9 * _RATE, max_wait_s=0.3)
+            answer = await one.acquire(_TEAM, wish)
             self.assertFalse(answer.is_admitted)
             self.assertLess(trio.current_time() - started, 0.4)
 
@@ -309,7 +343,7 @@
             units = allowance_fleet.build_escrow()
             await _fill(units)
             one = self._build(units, _FarKeeper(None))
-            answer = await one.take(_TEAM, terms.Wish(500.0))
+            answer = await one.acquire(_TEAM, terms.AdmissionRequest(500.0))
             self.assertTrue(answer.is_admitted)
 
         self.run_clocked(scenario)
@@ -318,8 +352,8 @@
         async def scenario() -> None:
             units = allowance_fleet.build_escrow(0.0)
             one = self._build(units)
-            wish = terms.Wish(1e9)
-            answer = await one.take(builders.build_team(), wish)
+            wish = terms.AdmissionRequest(1e9)
+            answer = await one.acquire(builders.build_team(), wish)
             self.assertTrue(answer.is_admitted)
 
         self.run_clocked(scenario)
--- a/tests/test_allowances/test_rights.py
+++ b/tests/test_allowances/test_refill_shares.py
@@ -6,13 +6,15 @@
 
 import trio
 
-from martenquay_daemon.allowances import rights
+from martenquay_daemon.allowances import refill_shares
 from tests import allowance_fleet, clocked
 
 _WINDOW_S = allowance_fleet.BOUNDS.window_s
 
 
-def _sum_spans(one: rights.MintRights, since: float = -math.inf) -> float:
+def _sum_spans(
+    one: refill_shares.RefillShares, since: float = -math.inf
+) -> float:
     """Return the seconds of the whole rate that may be minted."""
     one.advance()
     return sum(s.part * (s.end - s.start) for s in one.list_spans(since))
@@ -23,11 +25,11 @@
         async def scenario() -> None:
             lender = allowance_fleet.build_rights(0.1)
             await trio.sleep(1.0)
-            loan = lender.lend("hub.1", 7)
+            loan = lender.delegate("hub.1", 7)
             self.assertAlmostEqual(0.1, loan.part)
-            self.assertEqual(0.0, lender.find_part())
-            await trio.sleep(rights.LENT_S + 0.5)
-            self.assertAlmostEqual(0.1, lender.find_part())
+            self.assertEqual(0.0, lender.find_usable_share())
+            await trio.sleep(refill_shares.DELEGATION_S + 0.5)
+            self.assertAlmostEqual(0.1, lender.find_usable_share())
             self.assertAlmostEqual(0.15, _sum_spans(lender))
 
         self.run_clocked(scenario)
@@ -38,15 +40,15 @@
             lender = allowance_fleet.build_rights(0.1)
             reported_at = trio.current_time()
             await trio.sleep(0.5)
-            loan = lender.lend("hub.1", 7)
+            loan = lender.delegate("hub.1", 7)
             # However late it comes, it ends before the lender mints again.
             await trio.sleep(0.8)
-            hub.borrow("entry-1", "entry-1.1", loan, reported_at)
-            self.assertAlmostEqual(0.1, hub.find_part())
+            hub.accept_delegation("entry-1", "entry-1.1", loan, reported_at)
+            self.assertAlmostEqual(0.1, hub.find_usable_share())
             await trio.sleep(5.0)
-            left_s = rights.LENT_S - 0.5 - 0.8
+            left_s = refill_shares.DELEGATION_S - 0.5 - 0.8
             self.assertAlmostEqual(0.1 * left_s, _sum_spans(hub))
-            self.assertEqual(0.0, hub.find_part())
+            self.assertEqual(0.0, hub.find_usable_share())
 
         self.run_clocked(scenario)
 
@@ -55,10 +57,10 @@
             hub = allowance_fleet.build_rights(0.0)
             lender = allowance_fleet.build_rights(0.1)
             reported_at = trio.current_time()
-            loan = lender.lend("hub.1", 7)
-            await trio.sleep(rights.LENT_S + 0.1)
-            hub.borrow("entry-1", "entry-1.1", loan, reported_at)
-            self.assertEqual(0.0, hub.find_part())
+            loan = lender.delegate("hub.1", 7)
+            await trio.sleep(refill_shares.DELEGATION_S + 0.1)
+            hub.accept_delegation("entry-1", "entry-1.1", loan, reported_at)
+            self.assertEqual(0.0, hub.find_usable_share())
 
         self.run_clocked(scenario)
 
@@ -70,17 +72,21 @@
             first = allowance_fleet.build_rights(0.0)
             second = allowance_fleet.build_rights(0.0)
             now = trio.current_time()
-            first.borrow("e", "e.1", lender.lend("hub.1", 1), now)
+            first.accept_delegation(
+                "e", "e.1", lender.delegate("hub.1", 1), now
+            )
             await trio.sleep(0.6)
             now = trio.current_time()
             for _ in range(4):
-                loan = lender.lend("hub.2", 3)
-                second.borrow("e", "e.1", loan, trio.current_time())
-                total = sum(one.find_part() for one in (lender, first, second))
+                loan = lender.delegate("hub.2", 3)
+                second.accept_delegation("e", "e.1", loan, trio.current_time())
+                total = sum(
+                    one.find_usable_share() for one in (lender, first, second)
+                )
                 self.assertAlmostEqual(0.1, total)
                 await trio.sleep(0.5)
-            self.assertEqual(0.0, first.find_part())
-            self.assertAlmostEqual(0.1, second.find_part())
+            self.assertEqual(0.0, first.find_usable_share())
+            self.assertAlmostEqual(0.1, second.find_usable_share())
 
         self.run_clocked(scenario)
 
@@ -89,14 +95,14 @@
             hub = allowance_fleet.build_rights(0.0)
             lender = allowance_fleet.build_rights(0.1)
             now = trio.current_time()
-            loan = lender.lend("hub.1", 1)
-            hub.borrow("e", "e.1", loan, now)
+            loan = lender.delegate("hub.1", 1)
+            hub.accept_delegation("e", "e.1", loan, now)
             await trio.sleep(0.5)
-            hub.end_loans_of_others("e", "e.2")
-            self.assertEqual(0.0, hub.find_part())
+            hub.end_former_delegations("e", "e.2")
+            self.assertEqual(0.0, hub.find_usable_share())
             # A message of the process before that comes only now.
-            hub.borrow("e", "e.1", loan, trio.current_time())
-            self.assertEqual(0.0, hub.find_part())
+            hub.accept_delegation("e", "e.1", loan, trio.current_time())
+            self.assertEqual(0.0, hub.find_usable_share())
             self.assertAlmostEqual(0.05, _sum_spans(hub))
 
         self.run_clocked(scenario)
@@ -106,20 +112,22 @@
     ) -> None:
         async def scenario() -> None:
             sole_since = [math.inf]
-            own = rights.OwnPart(0.1, -math.inf)
-            one = rights.MintRights(
+            own = refill_shares.RateShare(0.1, -math.inf)
+            one = refill_shares.RefillShares(
                 lambda: own, _WINDOW_S, lambda: sole_since[0]
             )
             await trio.sleep(0.4)
-            self.assertEqual(0.0, one.find_part())
-            self.assertIsNone(one.lend("hub.1", 1))
+            self.assertEqual(0.0, one.find_usable_share())
+            self.assertIsNone(one.delegate("hub.1", 1))
             sole_since[0] = trio.current_time()
             await trio.sleep(0.1)
-            self.assertAlmostEqual(0.1, one.find_part())
+            self.assertAlmostEqual(0.1, one.find_usable_share())
             self.assertAlmostEqual(0.01, _sum_spans(one))
-            other = rights.MintRights(lambda: own, _WINDOW_S, lambda: math.inf)
-            await trio.sleep(rights.LENT_S + 0.1)
-            self.assertAlmostEqual(0.1, other.find_part())
+            other = refill_shares.RefillShares(
+                lambda: own, _WINDOW_S, lambda: math.inf
+            )
+            await trio.sleep(refill_shares.DELEGATION_S + 0.1)
+            self.assertAlmostEqual(0.1, other.find_usable_share())
 
         self.run_clocked(scenario)
 
@@ -129,36 +137,40 @@
             lender = allowance_fleet.build_rights(0.1)
             while trio.current_time() < 0.9 * _WINDOW_S:
                 now = trio.current_time()
-                hub.borrow("e", "e.1", lender.lend("hub.1", 1), now)
+                hub.accept_delegation(
+                    "e", "e.1", lender.delegate("hub.1", 1), now
+                )
                 await trio.sleep(0.5)
-            held, fresh = hub.find_part_to_owe()
+            held, fresh = hub.find_overdraft_shares()
             self.assertEqual((0.0, 0.2), (held, fresh))
             for _ in range(4):
                 now = trio.current_time()
-                hub.borrow("e", "e.1", lender.lend("hub.1", 1), now)
+                hub.accept_delegation(
+                    "e", "e.1", lender.delegate("hub.1", 1), now
+                )
                 await trio.sleep(0.5)
-            held, fresh = hub.find_part_to_owe()
+            held, fresh = hub.find_overdraft_shares()
             self.assertAlmostEqual(0.3, held)
             self.assertEqual(0.0, fresh)
             # The lender itself does not: the hub may.
-            self.assertEqual((0.0, 0.0), lender.find_part_to_owe())
+            self.assertEqual((0.0, 0.0), lender.find_overdraft_shares())
 
         self.run_clocked(scenario)
 
     def test_a_larger_loan_of_before_is_told_while_it_is_good(self) -> None:
         async def scenario() -> None:
             parts = [0.2]
-            one = rights.MintRights(
-                lambda: rights.OwnPart(parts[0], -math.inf), _WINDOW_S
+            one = refill_shares.RefillShares(
+                lambda: refill_shares.RateShare(parts[0], -math.inf), _WINDOW_S
             )
-            one.lend("hub.1", 1)
+            one.delegate("hub.1", 1)
             parts[0] = 0.1
-            self.assertFalse(one.has_lent_more())
+            self.assertFalse(one.has_larger_delegation())
             await trio.sleep(0.5)
-            self.assertAlmostEqual(0.1, one.lend("hub.1", 2).part)
-            self.assertTrue(one.has_lent_more())
-            await trio.sleep(rights.LENT_S)
-            self.assertFalse(one.has_lent_more())
+            self.assertAlmostEqual(0.1, one.delegate("hub.1", 2).part)
+            self.assertTrue(one.has_larger_delegation())
+            await trio.sleep(refill_shares.DELEGATION_S)
+            self.assertFalse(one.has_larger_delegation())
 
         self.run_clocked(scenario)
 
@@ -168,12 +180,16 @@
             lender = allowance_fleet.build_rights(0.1)
             await trio.sleep(1.0)
             start = trio.current_time()
-            hub.borrow("e", "e.1", lender.lend("hub.1", 1), start)
+            hub.accept_delegation(
+                "e", "e.1", lender.delegate("hub.1", 1), start
+            )
             await trio.sleep(6.0)
             hub.advance()
             spans = list(hub.list_spans(0.0))
             self.assertEqual(1, len(spans))
             self.assertAlmostEqual(start, spans[0].start)
-            self.assertAlmostEqual(start + rights.LENT_S, spans[0].end)
+            self.assertAlmostEqual(
+                start + refill_shares.DELEGATION_S, spans[0].end
+            )
 
         self.run_clocked(scenario)
