--- a/tests/test_backpressure/test_runner_gate.py
+++ b/tests/test_backpressure/test_runner_gate.py
@@ -18,7 +18,7 @@
 
 
 def _note(
-    gate: runner_gate.RunnerGate,
+    gate: runner_gate.RunnerAdmission,
     told: signals.RunnerSignals,
     *,
     did_not_run: bool = False,
@@ -32,10 +32,10 @@
         async def scenario() -> None:
             for told in (_LIMITED, _LEAVES, _RESTS):
                 gate = builders.build_runner_gate()
-                self.assertEqual([_RUNNER], gate.keep_open([_RUNNER]))
+                self.assertEqual([_RUNNER], gate.filter_accepting([_RUNNER]))
                 _note(gate, told, did_not_run=told is _RESTS)
-                self.assertTrue(gate.take_turn(_RUNNER), told)
-                self.assertEqual([], gate.keep_open([_RUNNER]))
+                self.assertTrue(gate.try_admit(_RUNNER), told)
+                self.assertEqual([], gate.filter_accepting([_RUNNER]))
 
         self.run_clocked(scenario)
 
@@ -44,9 +44,9 @@
             gate = builders.build_runner_gate()
             _note(gate, _LIMITED)
             await trio.sleep(1.0)
-            self.assertEqual([_RUNNER], gate.keep_open([_RUNNER]))
-            self.assertEqual("", gate.take_turn(_RUNNER))
-            self.assertTrue(gate.take_turn(_RUNNER))
+            self.assertEqual([_RUNNER], gate.filter_accepting([_RUNNER]))
+            self.assertEqual("", gate.try_admit(_RUNNER))
+            self.assertTrue(gate.try_admit(_RUNNER))
 
         self.run_clocked(scenario)
 
@@ -68,10 +68,10 @@
             other = builders.build_runner(id="runner-2")
             _note(gate, _RESTS, did_not_run=True)
             found = gate.count_closed([_RUNNER, other])
-            self.assertEqual(runner_gate.ClosedRunners(0, 1, 0), found)
+            self.assertEqual(runner_gate.UnavailableRunners(0, 1, 0), found)
             _note(gate, _LEAVES)
             found = gate.count_closed([_RUNNER, other])
-            self.assertEqual(runner_gate.ClosedRunners(1, 0, 0), found)
+            self.assertEqual(runner_gate.UnavailableRunners(1, 0, 0), found)
 
         self.run_clocked(scenario)
 
--- a/tests/test_backpressure/test_runner_limits.py
+++ b/tests/test_backpressure/test_runner_limits.py
@@ -9,7 +9,7 @@
 
 from martenquay_core.serving import runners, signals
 from martenquay_daemon.backpressure import (
-    limit_words,
+    limit_reports,
     runner_limits,
     send_shares,
 )
@@ -118,12 +118,12 @@
         async def scenario() -> None:
             limits = builders.build_runner_limits(rank=5, daemons=6)
             now = trio.current_time()
-            word = limit_words.LimitWord(1.0, 7, now - 0.2, now - 0.1)
-            limits.take_told([(_RUNNER.id, word)])
+            word = limit_reports.LimitReport(1.0, 7, now - 0.2, now - 0.1)
+            limits.apply_gossip([(_RUNNER.id, word)])
             self.assertFalse(_take_turn(limits, _RUNNER))
             # Only what a runner said to this daemon is told as its own.
-            self.assertEqual([], limits.list_heard(is_relayed=False))
-            relayed = dict(limits.list_heard(is_relayed=True))
+            self.assertEqual([], limits.list_recent_reports(is_relayed=False))
+            relayed = dict(limits.list_recent_reports(is_relayed=True))
             self.assertEqual(word.heard_at, relayed[_RUNNER.id].heard_at)
 
         self.run_clocked(scenario)
@@ -157,9 +157,9 @@
             told = builders.build_runner_limits()
             late = builders.build_runner_limits(rank=5, daemons=6)
             told.note_answer(_RUNNER, _LIMITED, trio.current_time())
-            words = told.list_heard(is_relayed=False)
+            words = told.list_recent_reports(is_relayed=False)
             await trio.sleep(0.4)
-            late.take_told(
+            late.apply_gossip(
                 [
                     (one, dataclasses.replace(w, heard_at=w.heard_at + 0.4))
                     for one, w in words
@@ -170,7 +170,7 @@
                 told.note_answer(
                     _RUNNER, signals.NO_SIGNALS, trio.current_time()
                 )
-                late.take_told(told.list_heard(is_relayed=False))
+                late.apply_gossip(told.list_recent_reports(is_relayed=False))
             self.assertFalse(late.is_limited(_RUNNER))
 
         self.run_clocked(scenario)
@@ -185,7 +185,7 @@
                     _RUNNER, signals.NO_SIGNALS, trio.current_time()
                 )
             # Answers of a runner that is well are no news.
-            self.assertEqual([], limits.list_heard(is_relayed=True))
+            self.assertEqual([], limits.list_recent_reports(is_relayed=True))
             self.assertEqual(set(), limits.list_ids())
 
         self.run_clocked(scenario)
@@ -201,7 +201,9 @@
                 limits.is_limited(builders.build_runner(id="runner-0"))
             )
             self.assertTrue(limits.is_limited(runner))
-            self.assertEqual(32, len(limits.list_heard(is_relayed=True)))
+            self.assertEqual(
+                32, len(limits.list_recent_reports(is_relayed=True))
+            )
 
         self.run_clocked(scenario)
 
@@ -234,10 +236,10 @@
         self,
     ) -> None:
         def keep_alone(
-            limit: float, place: send_shares.Place
+            limit: float, place: send_shares.SenderRank
         ) -> send_shares.Share:
             del place
-            return send_shares.find_share(limit, send_shares.Place(0, 1))
+            return send_shares.find_share(limit, send_shares.SenderRank(0, 1))
 
         async def scenario() -> None:
             day = limit_days.LimitDay(25, 1.0, 1)
--- a/tests/test_discovery/test_refresher.py
+++ b/tests/test_discovery/test_refresher.py
@@ -26,7 +26,7 @@
         """Take a snapshot's keys."""
         self.keys = [record.key for record in snapshot.records]
 
-    def take(self, record: ports.KeyedRecord) -> None:
+    def apply_change(self, record: ports.KeyedRecord) -> None:
         """Take one key."""
         self.keys.append(record.key)
 
@@ -41,7 +41,7 @@
                 contact.LogContact(),
                 "runners",
                 self.sink,
-                keyed_follower.FollowPace(wait_s=1.0),
+                keyed_follower.ReadSchedule(wait_s=1.0),
                 is_needed=lambda: is_needed,
             )
             self.refresher = refresher.create_refresher(
--- a/tests/test_discovery/test_runner_directory.py
+++ b/tests/test_discovery/test_runner_directory.py
@@ -36,11 +36,13 @@
         value = repr(runner).encode()
         self.records.runners[value] = runner
         self.offset += 1
-        self.directory.take(ports.KeyedRecord(self.offset, runner.id, value))
+        self.directory.apply_change(
+            ports.KeyedRecord(self.offset, runner.id, value)
+        )
 
     def _drop(self, key: str) -> None:
         self.offset += 1
-        self.directory.take(ports.KeyedRecord(self.offset, key, None))
+        self.directory.apply_change(ports.KeyedRecord(self.offset, key, None))
 
     def _list(self) -> list[str]:
         return sorted(r.id for r in self.directory.list_usable("desk"))
@@ -91,7 +93,7 @@
             self._build()
             self._put(id="r-1")
             self._put(id="r-2", address="127.0.0.1:2")
-            self.directory.take_copies([], {"r-2"})
+            self.directory.apply_copies([], {"r-2"})
             self.assertEqual(["r-2"], self._list())
 
         self.run_clocked(scenario)
@@ -168,8 +170,8 @@
             self.directory.on_unusable = noted.append
             self._put(id="r-1")
             self._put(id="r-2", address="127.0.0.1:2")
-            self.directory.take(ports.KeyedRecord(9, "r-1", b"broken"))
-            self.directory.take(ports.KeyedRecord(10, "r-1", b"broken"))
+            self.directory.apply_change(ports.KeyedRecord(9, "r-1", b"broken"))
+            self.directory.apply_change(ports.KeyedRecord(10, "r-1", b"broken"))
             self.assertEqual(["r-2"], self._list())
             self.assertEqual(["r-1", "r-1"], noted)
             self.offset = 10
@@ -187,7 +189,7 @@
             good = self.directory.entries.list_copies()
             bad = runner_entries.RunnerCopy("r-2", 5, b"broken")
             self._build_reader()
-            self.directory.take_copies([bad, *good], {"r-1", "r-2"})
+            self.directory.apply_copies([bad, *good], {"r-1", "r-2"})
             self.assertEqual(["r-1"], self._list())
             self.assertEqual({"r-1", "r-2"}, self.directory.entries.list_ids())
 
@@ -245,7 +247,7 @@
             self._put(id="r-1")
             old = self.directory.entries.list_copies()
             self._put(id="r-1", is_leaving=True)
-            self.directory.take_copies(old, {copy.key for copy in old})
+            self.directory.apply_copies(old, {copy.key for copy in old})
             self.assertEqual([], self._list())
 
         self.run_clocked(scenario)
--- a/tests/test_engines/test_placer.py
+++ b/tests/test_engines/test_placer.py
@@ -5,7 +5,7 @@
 import random
 
 from martenquay_core.serving import calls, catalog, ports
-from martenquay_daemon.backpressure import rests, runner_gate
+from martenquay_daemon.backpressure import runner_backoffs, runner_gate
 from martenquay_daemon.discovery import contact, runner_directory
 from martenquay_daemon.engines import loads, model, placer
 from martenquay_daemon.limits import ejection
@@ -43,14 +43,16 @@
                 slots=_RUNNER_SLOTS,
             )
             records.runners[b"%d" % number] = runner
-            directory.take(ports.KeyedRecord(number, runner.id, b"%d" % number))
+            directory.apply_change(
+                ports.KeyedRecord(number, runner.id, b"%d" % number)
+            )
         self.ledger = loads.LoadLedger()
         self.estimates = model.RunnerModel()
         self.silent: set[str] = set()
         self.ejector = ejection.Ejector()
         self.limits = builders.build_runner_limits()
-        self.gate = runner_gate.RunnerGate(
-            self.limits, directory.leaving, rests.Rests()
+        self.gate = runner_gate.RunnerAdmission(
+            self.limits, directory.leaving, runner_backoffs.RunnerBackoffs()
         )
         return placer.Placer(
             "a",
--- a/tests/test_fleet/test_catalog_copies.py
+++ b/tests/test_fleet/test_catalog_copies.py
@@ -40,7 +40,7 @@
         log_contact,
         "runners",
         directory,
-        keyed_follower.FollowPace(wait_s=1.0),
+        keyed_follower.ReadSchedule(wait_s=1.0),
     )
     return state_copies.FleetState(
         catalog_store.create_store(codec), directory, follower, log_contact
@@ -56,9 +56,9 @@
         async def scenario() -> int:
             hub = _build_state()
             hub.store.offer(_build_record(), "the test")
-            asker = state_copies.StateCopies(_build_state())
-            copies = state_copies.StateCopies(hub)
-            copy = copies.create_copy(asker.create_want(), [])
+            asker = state_copies.StateTransfer(_build_state())
+            copies = state_copies.StateTransfer(hub)
+            copy = copies.create_copy(asker.create_request(), [])
             return len(messages.encode_message(copy))
 
         size = trio.run(scenario)
@@ -68,9 +68,9 @@
         async def scenario() -> None:
             hub, own = _build_state(), _build_state()
             hub.store.offer(_build_record(), "the test")
-            asker = state_copies.StateCopies(own)
-            want = asker.create_want()
-            asker.take(state_copies.StateCopies(hub).create_copy(want, []))
+            asker = state_copies.StateTransfer(own)
+            want = asker.create_request()
+            asker.take(state_copies.StateTransfer(hub).create_copy(want, []))
             self.assertEqual(hub.store.table.catalog, own.store.table.catalog)
             # It can be handed on from there.
             self.assertEqual(hub.store.packed, own.store.packed)
--- a/tests/test_fleet/test_links.py
+++ b/tests/test_fleet/test_links.py
@@ -21,19 +21,19 @@
     links,
     messages,
     pace,
-    runner_news,
+    quota_client,
+    runner_report_gossip,
     state_copies,
     topology,
-    unit_desk,
     view,
 )
 from martenquay_standins.ports import log
 from tests import serving_builders as builders
 
 _HANG_S = 30.0
-_PACE = pace.FleetPace(
+_PACE = pace.GossipIntervals(
     own_s=0.02,
-    hurry_s=0.005,
+    min_interval_s=0.005,
     step_s=0.005,
     report_s=0.02,
     longest_report_s=0.1,
@@ -57,8 +57,8 @@
         self.number = 0
         self.digests: list[messages.Digest] = []
         self.subscribers: set[str] = set()
-        self.notes: list[messages.UnitsNote] = []
-        self.asked: list[messages.WantUnits] = []
+        self.notes: list[messages.QuotaUpdate] = []
+        self.asked: list[messages.QuotaRequest] = []
         self.reports: list[messages.FleetReport] = []
         self.view = view.FleetView(self.name)
         self.contact = contact.LogContact()
@@ -69,7 +69,7 @@
             self.contact,
             "runners",
             self.directory,
-            keyed_follower.FollowPace(wait_s=1.0),
+            keyed_follower.ReadSchedule(wait_s=1.0),
         )
         state = state_copies.FleetState(
             self.store, self.directory, self.follower, self.contact
@@ -80,7 +80,7 @@
             place, self.view, state, self._digest, _PACE, _PACE
         )
         self.limits = builders.build_runner_limits()
-        self.runner_news = runner_news.RunnerNews(
+        self.runner_news = runner_report_gossip.RunnerReportGossip(
             self.limits, self.directory.leaving
         )
         self.links.listeners = links.Listeners(
@@ -99,16 +99,16 @@
         """Return where others reach it."""
         return dataclasses.replace(self.place, address=self.links.address)
 
-    def _create_units(self) -> messages.UnitsNote:
-        return messages.UnitsNote(
+    def _create_units(self) -> messages.QuotaUpdate:
+        return messages.QuotaUpdate(
             f"{self.name}.aa", self.links.address, self.number, {}, {}
         )
 
     async def _answer_units(self, want, reply) -> None:
         self.asked.append(want)
-        verdict = messages.UnitsVerdict.GRANTED
+        verdict = messages.QuotaVerdict.GRANTED
         reply(
-            messages.UnitsReply(want.number, verdict, member=f"{self.name}.aa")
+            messages.QuotaReply(want.number, verdict, member=f"{self.name}.aa")
         )
 
     def _digest(self):
@@ -124,8 +124,8 @@
             runners_changed=self.directory.entries.changed_end,
             log_age_ms=int(age_s * 1000),
             capacity=self.place.capacity,
-            loads={self.name: messages.LoadLine(1, 10)},
-            runner_words=self.runner_news.create(is_hub=False),
+            loads={self.name: messages.LoadEntry(1, 10)},
+            runner_reports=self.runner_news.create(is_hub=False),
         )
 
 
@@ -188,7 +188,7 @@
         async def scenario(daemons: list[_Daemon]) -> None:
             first, second = daemons
             sink = catalog_sink.CatalogSink(first.store, "config")
-            sink.take(ports.KeyedRecord(0, "config", b"3"))
+            sink.apply_change(ports.KeyedRecord(0, "config", b"3"))
             second.links.add_peer(first.find_place())
             while second.store.version != 3:
                 await trio.sleep(0.01)
@@ -199,7 +199,7 @@
         async def scenario(daemons: list[_Daemon]) -> None:
             first, second = daemons
             first.contact.note_answer()
-            first.directory.take(ports.KeyedRecord(4, "r-1", b"r"))
+            first.directory.apply_change(ports.KeyedRecord(4, "r-1", b"r"))
             first.follower.skip_to(5)
             second.links.add_peer(first.find_place())
             while not second.directory.list_usable("desk"):
@@ -214,7 +214,7 @@
             _introduce(daemons)
             # Also from a daemon that is no hub.
             sink = catalog_sink.CatalogSink(daemons[-1].store, "config")
-            sink.take(ports.KeyedRecord(0, "config", b"3"))
+            sink.apply_change(ports.KeyedRecord(0, "config", b"3"))
             while any(one.store.version != 3 for one in daemons):
                 await trio.sleep(0.01)
 
@@ -236,7 +236,9 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(read)
                 for one in hubs:
-                    one.directory.take(ports.KeyedRecord(4, "r-1", b"r"))
+                    one.directory.apply_change(
+                        ports.KeyedRecord(4, "r-1", b"r")
+                    )
                     one.follower.skip_to(5)
                 while any(
                     not one.directory.list_usable("desk") for one in daemons
@@ -247,7 +249,9 @@
                 for one in daemons[4:]:
                     self.assertFalse(one.links.needs_log())
                 for one in hubs:
-                    one.directory.take(ports.KeyedRecord(6, "r-1", None))
+                    one.directory.apply_change(
+                        ports.KeyedRecord(6, "r-1", None)
+                    )
                     one.follower.skip_to(7)
                 while any(one.directory.list_usable("desk") for one in daemons):
                     await trio.sleep(0.01)
@@ -305,20 +309,20 @@
 
     def test_in_a_large_fleet_a_hub_answers_for_units(self) -> None:
         # All daemons run in this one process, which may be busy for longer.
-        self.patch(unit_desk, "_HEDGE_S", _HANG_S)
-        self.patch(unit_desk, "_LONGEST_S", _HANG_S)
+        self.patch(quota_client, "_HEDGE_S", _HANG_S)
+        self.patch(quota_client, "_LONGEST_S", _HANG_S)
 
         async def scenario(daemons: list[_Daemon]) -> None:
             _introduce(daemons)
             asker = daemons[-1]
             # The last one is in the zone of the second, its first hub.
             while (
-                keeper := asker.links.find_keeper()
+                keeper := asker.links.find_quota_hub()
             ) is None or keeper.member != "entry-1.aa":
                 await trio.sleep(0.01)
-            self.assertFalse(asker.links.desk.keeps_here())
-            wish = terms.Wish(500.0, 1)
-            answer = await asker.links.desk.ask("florists", wish)
+            self.assertFalse(asker.links.quota_client.holds_quota_here())
+            wish = terms.AdmissionRequest(500.0, 1)
+            answer = await asker.links.quota_client.ask("florists", wish)
             self.assertTrue(answer.is_admitted)
             self.assertEqual("entry-1.aa", answer.kept_at)
             self.assertEqual("florists", daemons[1].asked[0].team)
@@ -331,7 +335,7 @@
         async def scenario(daemons: list[_Daemon]) -> None:
             _introduce(daemons)
             asker = daemons[-1]
-            while not (asker.links.find_keeper() and asker.reports):
+            while not (asker.links.find_quota_hub() and asker.reports):
                 await trio.sleep(0.01)
 
             async def say_nothing(want, reply) -> None:
@@ -344,8 +348,8 @@
             found = set()
             with trio.move_on_after(5.0):
                 while not found:
-                    answer = await asker.links.desk.ask(
-                        "florists", terms.Wish(500.0)
+                    answer = await asker.links.quota_client.ask(
+                        "florists", terms.AdmissionRequest(500.0)
                     )
                     found = {answer.kept_at} if answer else set()
             self.assertTrue(found <= {"entry-0.aa", "entry-2.aa"})
@@ -363,8 +367,8 @@
                 notes = daemons[number].notes
                 while not any(n.member == f"entry-{keeper}.aa" for n in notes):
                     await trio.sleep(0.01)
-            self.assertTrue(daemons[0].links.desk.keeps_here())
-            self.assertFalse(daemons[2].links.desk.keeps_here())
+            self.assertTrue(daemons[0].links.quota_client.holds_quota_here())
+            self.assertFalse(daemons[2].links.quota_client.holds_quota_here())
             self.assertEqual([], daemons[-1].notes)
 
         self._run(scenario, 18, 2)
--- a/tests/test_fleet/test_order_copies.py
+++ b/tests/test_fleet/test_order_copies.py
@@ -8,9 +8,9 @@
 from tests import clocked
 from tests import serving_builders as builders
 
-_FACTS = hub.HubFacts(3, 0, 0, 0, 0, messages.NO_WORDS)
+_FACTS = hub.HubFacts(3, 0, 0, 0, 0, messages.NO_RUNNER_REPORTS)
 _SILENT_S = 2.0
-_ORDER = messages.OrderLine("model", "v2", 12.0, 7)
+_ORDER = messages.RolloutOrderEntry("model", "v2", 12.0, 7)
 
 
 class OrderCopyTest(clocked.ClockedTestCase):
@@ -18,7 +18,7 @@
         async def scenario() -> None:
             now = trio.current_time()
             reporter = hub.ZoneHub(zones.ZoneTable())
-            reporter.take_own(builders.build_digest(orders=[_ORDER]), now)
+            reporter.set_own_digest(builders.build_digest(orders=[_ORDER]), now)
             listener = builders.build_digest(
                 member="entry-3.aa",
                 instance="entry-3",
--- a/tests/test_fleet/test_unit_desk.py
+++ b/tests/test_fleet/test_quota_client.py
@@ -5,18 +5,18 @@
 import trio
 
 from martenquay_daemon.allowances import terms
-from martenquay_daemon.fleet import messages, unit_desk
+from martenquay_daemon.fleet import messages, quota_client
 from tests import clocked
 
-_WISH = terms.Wish(500.0, 1)
-_GRANTED = messages.UnitsVerdict.GRANTED
-_REFUSED = messages.UnitsVerdict.REFUSED
-_PASSED = messages.UnitsVerdict.PASSED
-_REDIRECTED = messages.UnitsVerdict.REDIRECTED
+_WISH = terms.AdmissionRequest(500.0, 1)
+_GRANTED = messages.QuotaVerdict.GRANTED
+_REFUSED = messages.QuotaVerdict.REFUSED
+_PASSED = messages.QuotaVerdict.PASSED
+_REDIRECTED = messages.QuotaVerdict.REDIRECTED
 
 
 class _Ways:
-    """Implement `unit_desk.AskWays` with keepers that answer as told.
+    """Implement `quota_client.QuotaTransport` with keepers that answer as told.
 
     Attributes:
         keepers: Their addresses.
@@ -26,19 +26,19 @@
 
     def __init__(self) -> None:
         self.keepers = ["hub-1", "hub-2", "far-1", "far-2"]
-        self.answers: dict[str, list[tuple[float, messages.UnitsVerdict]]] = {}
+        self.answers: dict[str, list[tuple[float, messages.QuotaVerdict]]] = {}
         self.sent: list[str] = []
         self.holder = ""
         self.unlinked: set[str] = set()
         self.redirected: list[str] = []
         self.nursery: trio.Nursery | None = None
-        self.desk: unit_desk.UnitDesk | None = None
+        self.desk: quota_client.QuotaClient | None = None
 
-    def keeps_units(self) -> bool:
+    def holds_own_quota(self) -> bool:
         """Tell that others do."""
         return False
 
-    def list_keepers(self) -> list[str]:
+    def list_quota_hubs(self) -> list[str]:
         """Return whom to ask."""
         return list(self.keepers)
 
@@ -51,7 +51,7 @@
         if want.is_redirected:
             self.redirected.append(address)
         for after_s, verdict in self.answers.get(address, []):
-            reply = messages.UnitsReply(
+            reply = messages.QuotaReply(
                 want.number, verdict, 0.6, self.holder, address
             )
             self.nursery.start_soon(self._reply, after_s, address, reply)
@@ -59,7 +59,7 @@
 
     async def _reply(self, after_s: float, address: str, reply) -> None:
         await trio.sleep(after_s)
-        self.desk.take_reply(address, reply)
+        self.desk.apply_reply(address, reply)
 
 
 class UnitDeskTest(clocked.ClockedTestCase):
@@ -67,7 +67,7 @@
         async def run() -> None:
             self.ways = _Ways()
             self.outcomes: list[str] = []
-            self.desk = unit_desk.UnitDesk(self.ways)
+            self.desk = quota_client.QuotaClient(self.ways)
             self.desk.observe = lambda outcome, _: self.outcomes.append(outcome)
             self.ways.desk = self.desk
             async with trio.open_nursery() as nursery:
@@ -140,11 +140,11 @@
     def test_a_daemon_that_keeps_units_asks_one_other_only(self) -> None:
         async def scenario() -> None:
             self.ways.answers["far-1"] = [(0.003, _GRANTED)]
-            answer = await self.desk.ask_at("far-1", "florists", _WISH)
+            answer = await self.desk.ask_address("far-1", "florists", _WISH)
             self.assertTrue(answer.is_admitted)
             self.assertEqual(["far-1"], self.ways.redirected)
             self.assertIsNone(
-                await self.desk.ask_at("far-2", "florists", _WISH)
+                await self.desk.ask_address("far-2", "florists", _WISH)
             )
 
         self._run(scenario)
@@ -152,7 +152,7 @@
     def test_a_request_that_waited_in_vain_is_not_held_up_again(self) -> None:
         async def scenario() -> None:
             self.ways.answers["hub-1"] = [
-                (0.003, messages.UnitsVerdict.WAITING)
+                (0.003, messages.QuotaVerdict.WAITING)
             ]
             started = trio.current_time()
             answer = await self.desk.ask("florists", _WISH)
@@ -164,7 +164,7 @@
     def test_a_keeper_that_waits_for_units_is_not_asked_around(self) -> None:
         async def scenario() -> None:
             self.ways.answers["hub-1"] = [
-                (0.003, messages.UnitsVerdict.WAITING),
+                (0.003, messages.QuotaVerdict.WAITING),
                 (0.11, _GRANTED),
             ]
             answer = await self.desk.ask("florists", _WISH)
--- a/tests/test_fleet/test_unit_news.py
+++ b/tests/test_fleet/test_quota_exchange.py
@@ -4,14 +4,14 @@
 
 import trio
 
-from martenquay_daemon.allowances import escrow, gate, rights
+from martenquay_daemon.allowances import gate, quota_ledger, refill_shares
 from martenquay_daemon.discovery import catalog_store
-from martenquay_daemon.fleet import messages, roster, unit_news, zone_mode
+from martenquay_daemon.fleet import messages, quota_exchange, roster, zone_mode
 from tests import allowance_fleet, clocked
 from tests import serving_builders as builders
 
 _TEAM = allowance_fleet.TEAM
-_Verdict = messages.UnitsVerdict
+_Verdict = messages.QuotaVerdict
 
 
 class _Links:
@@ -28,7 +28,7 @@
         self.keeper: zone_mode.Keeper | None = None
         self.is_small = False
 
-    def find_keeper(self) -> zone_mode.Keeper | None:
+    def find_quota_hub(self) -> zone_mode.Keeper | None:
         """Return the keeper."""
         return self.keeper
 
@@ -44,16 +44,16 @@
 
 
 class UnitNewsTest(clocked.ClockedTestCase):
-    def _build(self, part: float) -> unit_news.UnitNews:
+    def _build(self, part: float) -> quota_exchange.QuotaExchange:
         records = builders.FakeRecords()
         records.catalogs[b"catalog"] = builders.build_catalog(teams=(_TEAM,))
         store = catalog_store.create_store(records)
         store.offer(b"catalog", "the test")
         self.part = part
-        self.rights = rights.MintRights(
-            lambda: rights.OwnPart(self.part, 0.0), 8.0
+        self.rights = refill_shares.RefillShares(
+            lambda: refill_shares.RateShare(self.part, 0.0), 8.0
         )
-        self.units = escrow.create_escrow(
+        self.units = quota_ledger.create_quota_ledger(
             allowance_fleet.BOUNDS, self.rights, lambda: None
         )
         self.units.refill([_TEAM])
@@ -66,7 +66,7 @@
                 zone="a" if number < 2 else "b",
             )
         self.links = _Links()
-        return unit_news.UnitNews(
+        return quota_exchange.QuotaExchange(
             "entry-1.aa",
             "a",
             store,
@@ -78,10 +78,13 @@
         )
 
     async def _ask(
-        self, news: unit_news.UnitNews, units: float, team: str = _TEAM.name
-    ) -> list[messages.UnitsVerdict]:
-        replies: list[messages.UnitsReply] = []
-        want = messages.WantUnits(7, team, units, 0, False, False)
+        self,
+        news: quota_exchange.QuotaExchange,
+        units: float,
+        team: str = _TEAM.name,
+    ) -> list[messages.QuotaVerdict]:
+        replies: list[messages.QuotaReply] = []
+        want = messages.QuotaRequest(7, team, units, 0, False, False)
         await news.answer(want, replies.append)
         return [reply.verdict for reply in replies]
 
@@ -129,9 +132,9 @@
     def test_a_small_fleets_daemon_lacks_nobodys_parts(self) -> None:
         async def scenario() -> None:
             news = self._build(0.25)
-            self.assertTrue(news.lacks_parts())
+            self.assertTrue(news.lacks_shares())
             self.links.is_small = True
-            self.assertFalse(news.lacks_parts())
+            self.assertFalse(news.lacks_shares())
 
         self.run_clocked(scenario)
 
@@ -139,18 +142,18 @@
         async def scenario() -> None:
             lender = self._build(0.25)
             await trio.sleep(0.1)
-            self.assertIsNone(lender.create_loan())
+            self.assertIsNone(lender.create_delegation())
             self.links.keeper = zone_mode.Keeper("entry-0.bb", "h:1", 9)
-            self.assertTrue(lender.is_to_lend())
-            line = lender.create_loan()
+            self.assertTrue(lender.has_share_to_delegate())
+            line = lender.create_delegation()
             self.assertEqual(("entry-0.bb", 9), (line.receiver, line.heard))
-            self.assertFalse(lender.is_to_lend())
+            self.assertFalse(lender.has_share_to_delegate())
             digest = builders.build_digest(
                 member="entry-1.aa", instance="entry-1", loan=line
             )
             hub = self._build(0.0)
             # It is meant for another process.
-            hub.take_subscriber(digest, trio.current_time())
-            self.assertEqual(0.0, self.rights.find_part())
+            hub.apply_subscriber_digest(digest, trio.current_time())
+            self.assertEqual(0.0, self.rights.find_usable_share())
 
         self.run_clocked(scenario)
--- a/tests/test_fleet/test_state_copies.py
+++ b/tests/test_fleet/test_state_copies.py
@@ -25,7 +25,7 @@
         log_contact,
         "runners",
         directory,
-        keyed_follower.FollowPace(wait_s=1.0),
+        keyed_follower.ReadSchedule(wait_s=1.0),
     )
     return state_copies.FleetState(
         catalog_store.create_store(records), directory, follower, log_contact
@@ -36,14 +36,14 @@
     def test_age_counts_from_the_question_that_the_copy_answers(self) -> None:
         async def scenario() -> None:
             own, other = _build_state(), _build_state()
-            asker = state_copies.StateCopies(own)
-            peer = state_copies.StateCopies(other)
+            asker = state_copies.StateTransfer(own)
+            peer = state_copies.StateTransfer(other)
             now = trio.current_time()
             other.runner_follower.skip_to(5)
             other.runner_follower.copy_age.confirmed_at = now - 0.3
-            first = peer.create_copy(asker.create_want(), [])
+            first = peer.create_copy(asker.create_request(), [])
             await trio.sleep(2.0)
-            asker.create_want()
+            asker.create_request()
             # The first answer is late; the second question does not count.
             asker.take(first)
             age_s = own.runner_follower.copy_age.age_s
@@ -56,8 +56,8 @@
     ) -> None:
         async def scenario() -> None:
             own = _build_state()
-            asker = state_copies.StateCopies(own)
-            asker.take(messages.StateCopy(b"", 5, [], [], [], 10, 0, 44))
+            asker = state_copies.StateTransfer(own)
+            asker.take(messages.StateReply(b"", 5, [], [], [], 10, 0, 44))
             self.assertIsNone(own.runner_follower.copy_age.note_use())
 
         self.run_clocked(scenario)
--- a/tests/test_fleet/test_usage_handover.py
+++ b/tests/test_fleet/test_usage_handover.py
@@ -16,7 +16,7 @@
 from tests import serving_builders as builders
 
 _WINDOW = 7
-_FACTS = hub.HubFacts(3, 0, 0, 0, 0, messages.NO_WORDS)
+_FACTS = hub.HubFacts(3, 0, 0, 0, 0, messages.NO_RUNNER_REPORTS)
 _SILENT_S = 2.0
 
 
@@ -26,8 +26,8 @@
         now = trio.current_time()
         reporter = hub.ZoneHub(zones.ZoneTable())
         fields = {"window": _WINDOW + 1, "begun": {_WINDOW: {"florists": 9}}}
-        reporter.take_own(builders.build_digest(**fields), now)
-        lease = messages.LeaseNews(1, 1, 3000) if to_holder else None
+        reporter.set_own_digest(builders.build_digest(**fields), now)
+        lease = messages.LeaseStatus(1, 1, 3000) if to_holder else None
         listener = builders.build_digest(
             member="entry-3.aa",
             instance="entry-3",
@@ -49,7 +49,7 @@
     def test_a_zone_whose_counts_were_left_out_is_not_done(self) -> None:
         async def scenario() -> None:
             fleet = self._hear(self._report(to_holder=False))
-            self.assertEqual({}, fleet.sum_begun(_WINDOW))
+            self.assertEqual({}, fleet.sum_started(_WINDOW))
             self.assertFalse(fleet.has_closed(_WINDOW))
 
         self.run_clocked(scenario)
@@ -69,7 +69,7 @@
     def test_a_zone_whose_counts_were_told_is_done(self) -> None:
         async def scenario() -> None:
             fleet = self._hear(self._report(to_holder=True))
-            self.assertEqual({"florists": 9}, fleet.sum_begun(_WINDOW))
+            self.assertEqual({"florists": 9}, fleet.sum_started(_WINDOW))
             self.assertTrue(fleet.has_closed(_WINDOW))
 
         self.run_clocked(scenario)
--- a/tests/test_fleet/test_zone_sum.py
+++ b/tests/test_fleet/test_zone_aggregator.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from martenquay_daemon.fleet import messages, zone_sum
+from martenquay_daemon.fleet import messages, zone_aggregator
 from tests import serving_builders as builders
 
 _SILENT_S = 2.0
@@ -13,7 +13,7 @@
 class ZoneSumTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.sum = zone_sum.ZoneSum()
+        self.sum = zone_aggregator.ZoneAggregator()
 
     def _take(self, name: str, number: int, now: float, **changes) -> None:
         self.sum.take(
@@ -23,7 +23,7 @@
             now,
         )
 
-    def _add_up(self, now: float) -> zone_sum.ZonePart:
+    def _add_up(self, now: float) -> zone_aggregator.ZoneTotals:
         return self.sum.add_up(now, _SILENT_S)
 
     def test_a_silent_daemon_has_no_load_but_its_counts_stay(self) -> None:
@@ -31,7 +31,7 @@
             "entry-1",
             1,
             0.0,
-            loads={"r-1": messages.LoadLine(2, 50)},
+            loads={"r-1": messages.LoadEntry(2, 50)},
             begun={7: {"florists": 3}},
         )
         part = self._add_up(5.0)
@@ -40,10 +40,10 @@
 
     def test_leaving_one_out_is_adding_up_the_others(self) -> None:
         fields = {
-            "loads": {"r-1": messages.LoadLine(2, 50)},
+            "loads": {"r-1": messages.LoadEntry(2, 50)},
             "begun": {7: {"florists": 3}},
             "demand": {"model": 10.0},
-            "reading": {"model": messages.ReadingLine(5, 900, 40)},
+            "reading": {"model": messages.PrefillEntry(5, 900, 40)},
         }
         self._take("entry-1", 1, 0.0, **fields, window=8)
         others = self._add_up(0.0)
@@ -61,8 +61,8 @@
         self.assertEqual(1, self._add_up(0.2).daemons)
 
     def test_what_is_left_of_the_lease_grows_less_on_the_way(self) -> None:
-        news = messages.LeaseNews(4, 9, 2000)
+        news = messages.LeaseStatus(4, 9, 2000)
         self._take("entry-1", 1, 0.0, lease=news)
         part = self._add_up(0.5)
-        self.assertEqual(messages.LeaseNews(4, 9, 1500), part.lease)
+        self.assertEqual(messages.LeaseStatus(4, 9, 1500), part.lease)
         self.assertEqual("entry-1.aa", part.lease_member)
--- a/tests/test_fleet/test_zone_mode.py
+++ b/tests/test_fleet/test_zone_mode.py
@@ -42,7 +42,7 @@
             self.contact,
             "runners",
             directory,
-            keyed_follower.FollowPace(wait_s=1.0),
+            keyed_follower.ReadSchedule(wait_s=1.0),
         )
         state = state_copies.FleetState(
             catalog_store.create_store(records),
@@ -62,7 +62,7 @@
             number=number,
             log_age_ms=age_ms,
         )
-        return one.take_report(
+        return one.apply_report(
             messages.FleetReport(
                 "entry-1.aa",
                 [summary],
@@ -71,7 +71,7 @@
                 number,
                 {},
                 [],
-                messages.NO_WORDS,
+                messages.NO_RUNNER_REPORTS,
             )
         )
 
@@ -89,9 +89,16 @@
                 zone="a", address=_FIRST.address, runners_age_ms=600
             )
             report = messages.FleetReport(
-                "entry-1.aa", [summary], {}, 7, 1, {}, [], messages.NO_WORDS
+                "entry-1.aa",
+                [summary],
+                {},
+                7,
+                1,
+                {},
+                [],
+                messages.NO_RUNNER_REPORTS,
             )
-            one.take_report(report)
+            one.apply_report(report)
             # However late the report is, it was made after that digest.
             confirmed_at = self.follower.copy_age.confirmed_at
             self.assertAlmostEqual(told_at - 0.6, confirmed_at)
@@ -107,9 +114,16 @@
                 zone="a", address=_FIRST.address, runners_changed=40
             )
             report = messages.FleetReport(
-                "entry-1.aa", [summary], {}, 7, 1, {}, [], messages.NO_WORDS
+                "entry-1.aa",
+                [summary],
+                {},
+                7,
+                1,
+                {},
+                [],
+                messages.NO_RUNNER_REPORTS,
             )
-            one.take_report(report)
+            one.apply_report(report)
             self.assertEqual(math.inf, self.follower.copy_age.age_s)
 
         self.run_clocked(scenario)
@@ -154,7 +168,7 @@
                 {_FIRST.address, _SECOND.address},
                 one.select_peers([_FIRST, _SECOND, *_OTHERS[1:]]),
             )
-            one.take_digest(
+            one.apply_digest(
                 builders.build_digest(zone="a", address=_OTHERS[1].address)
             )
             peers = one.select_peers([_FIRST, _SECOND, *_OTHERS[1:]])
--- a/tests/test_promises/test_suspension.py
+++ b/tests/test_promises/test_suspension.py
@@ -11,7 +11,7 @@
 import trio
 import trio.testing
 
-from martenquay_daemon.allowances import rights
+from martenquay_daemon.allowances import refill_shares
 from martenquay_daemon.discovery import copy_age
 from martenquay_daemon.duties import lease
 from martenquay_daemon.fleet import view
@@ -45,7 +45,7 @@
                     await trio.sleep(0.1)
                 self.clock.jump(_SLEEP_S)
                 self.assertFalse(found.is_held())
-                self.assertIsNone(found.create_news())
+                self.assertIsNone(found.create_status())
                 nursery.cancel_scope.cancel()
 
         self._run(scenario)
@@ -55,14 +55,14 @@
             hub = allowance_fleet.build_rights(0.0)
             lender = allowance_fleet.build_rights(0.1)
             reported_at = trio.current_time()
-            loan = lender.lend("hub.1", 7)
-            hub.borrow("entry-1", "entry-1.1", loan, reported_at)
-            self.assertAlmostEqual(0.1, hub.find_part())
+            loan = lender.delegate("hub.1", 7)
+            hub.accept_delegation("entry-1", "entry-1.1", loan, reported_at)
+            self.assertAlmostEqual(0.1, hub.find_usable_share())
             self.clock.jump(_SLEEP_S)
-            self.assertEqual(0.0, hub.find_part())
+            self.assertEqual(0.0, hub.find_usable_share())
             hub.advance()
             minted_s = sum(s.end - s.start for s in hub.list_spans(0.0))
-            self.assertLessEqual(minted_s, rights.LENT_S)
+            self.assertLessEqual(minted_s, refill_shares.DELEGATION_S)
 
         self._run(scenario)
 
@@ -99,9 +99,9 @@
 
     def test_a_quarantine_lasts_as_long_as_was_told(self) -> None:
         async def scenario() -> None:
-            table = strikes.StrikeTable(trio.current_time)
+            table = strikes.CrashTable(trio.current_time)
             for number in range(strikes.MOST_ROUNDS):
-                table.add(strikes.Strike("a", number, "runner-1"))
+                table.add(strikes.CrashRecord("a", number, "runner-1"))
             told_s = table.find_hold("a")
             self.clock.jump(_SLEEP_S)
             self.assertEqual(told_s - _SLEEP_S, table.find_hold("a"))
--- a/tests/test_rollouts/test_keeper.py
+++ b/tests/test_rollouts/test_controller.py
@@ -13,7 +13,7 @@
 from martenquay_daemon.duties import lease
 from martenquay_daemon.engines import loads
 from martenquay_daemon.fleet import view
-from martenquay_daemon.rollouts import book, keeper, records, tallies
+from martenquay_daemon.rollouts import controller, records, registry, tallies
 from martenquay_standins.ports import log
 from tests import clocked
 from tests import serving_builders as builders
@@ -26,7 +26,7 @@
 
     def __init__(self, name: str, platform: log.MemoryLog) -> None:
         self.log = platform
-        self.book = book.RolloutBook()
+        self.book = registry.RolloutRegistry()
         self.trials = tallies.TallyTable()
         self.ledger = loads.LoadLedger()
         codec = builders.FakeRecords()
@@ -40,26 +40,28 @@
                 software=software,
                 address=f"127.0.0.1:{number}",
             )
-            self.directory.take(ports.KeyedRecord(number, f"r-{number}", value))
+            self.directory.apply_change(
+                ports.KeyedRecord(number, f"r-{number}", value)
+            )
         self.orders = keyed_follower.KeyedFollower(
             platform,
             log_contact,
             _TOPICS.catalog,
             records.OrderSink(codec, self.book),
-            keyed_follower.FollowPace(wait_s=2.0),
+            keyed_follower.ReadSchedule(wait_s=2.0),
         )
         self.follower = keyed_follower.KeyedFollower(
             platform,
             log_contact,
             _TOPICS.rollouts,
             records.StepSink(self.book),
-            keyed_follower.FollowPace(wait_s=2.0),
+            keyed_follower.ReadSchedule(wait_s=2.0),
         )
         self.lease = lease.create_lease(
             platform, "lease", f"{name}.aa", name, 3.0, view.FleetView(name)
         )
-        self.keeper = keeper.RolloutKeeper(
-            keeper.RolloutParts(
+        self.keeper = controller.RolloutController(
+            controller.RolloutParts(
                 log=platform,
                 topics=_TOPICS,
                 codec=codec,
@@ -145,10 +147,12 @@
             with one.ledger.count("r-0", 100):
                 await trio.sleep(5.8)
                 self.assertIs(
-                    book.Phase.SWITCHING, one.book.find("model").phase
+                    registry.Phase.SWITCHING, one.book.find("model").phase
                 )
             await trio.sleep(0.5)
-            self.assertIs(book.Phase.COMPLETED, one.book.find("model").phase)
+            self.assertIs(
+                registry.Phase.COMPLETED, one.book.find("model").phase
+            )
 
         self._run(scenario)
 
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -8,7 +8,12 @@
 
 import trio
 
-from martenquay_daemon.allowances import escrow, gate, rights, terms
+from martenquay_daemon.allowances import (
+    gate,
+    quota_ledger,
+    refill_shares,
+    terms,
+)
 from martenquay_daemon.discovery import (
     catalog_store,
     contact,
@@ -18,11 +23,11 @@
 from martenquay_daemon.fleet import (
     messages,
     pace,
+    quota_client,
+    quota_exchange,
     roster,
     state_copies,
     topology,
-    unit_desk,
-    unit_news,
     view,
     zone_mode,
 )
@@ -37,7 +42,7 @@
 __all__ = ["Announced", "FleetRecord", "ZoneDaemon"]
 
 _PACE = pace.ZONE_PACE
-# As in `unit_desk`, by which a real daemon asks.
+# As in `quota_client`, by which a real daemon asks.
 _HEDGE_S = 0.04
 _LONGEST_S = 0.2
 # As in `links`.
@@ -103,7 +108,7 @@
 
 
 class _Links:
-    """What `UnitNews` asks of a daemon's links."""
+    """What `QuotaExchange` asks of a daemon's links."""
 
     def is_mesh(self) -> bool:
         """Tell that the fleet is large."""
@@ -111,7 +116,7 @@
 
     def __init__(self, zone: zone_mode.ZoneMode, address: str) -> None:
         self.address = address
-        self.find_keeper = zone.find_keeper
+        self.find_quota_hub = zone.find_quota_hub
 
 
 class ZoneDaemon:
@@ -163,7 +168,7 @@
             log_contact,
             "runners",
             directory,
-            keyed_follower.FollowPace(wait_s=1.0),
+            keyed_follower.ReadSchedule(wait_s=1.0),
         )
         self._view = view.FleetView(instance)
         self._view.is_mesh = False
@@ -173,18 +178,18 @@
             state_copies.FleetState(store, directory, follower, log_contact),
             _PACE,
         )
-        self._rights = rights.MintRights(
-            lambda: rights.OwnPart(
-                self._roster.find_part(), self._roster.part_since
+        self._rights = refill_shares.RefillShares(
+            lambda: refill_shares.RateShare(
+                self._roster.find_own_share(), self._roster.share_since
             ),
             allowance_fleet.BOUNDS.window_s,
             self._zone.find_sole_since,
         )
-        self.units = escrow.create_escrow(
+        self.units = quota_ledger.create_quota_ledger(
             allowance_fleet.BOUNDS, self._rights, self._hurry
         )
         self.units.refill([allowance_fleet.TEAM])
-        self._news = unit_news.UnitNews(
+        self._news = quota_exchange.QuotaExchange(
             self._member,
             place.zone,
             store,
@@ -248,18 +253,20 @@
 
     def ask(self, units: float) -> bool:
         """Ask for units for the team; tell whether they may be spent now."""
-        keepers = self._zone.list_keepers()[:_MOST_ASKED]
+        keepers = self._zone.list_quota_hubs()[:_MOST_ASKED]
         self._number += 1
         one = _Ask(units, trio.current_time(), keepers, self._number)
-        if keepers and not self._zone.is_keeper():
+        if keepers and not self._zone.is_quota_hub():
             self._asks[one.number] = one
             self._ask_next(one)
             return False
         one.keepers = []
-        match self.units.take(allowance_fleet.TEAM, terms.Wish(units)):
+        match self.units.try_spend(
+            allowance_fleet.TEAM, terms.AdmissionRequest(units)
+        ):
             case terms.Admitted():
                 return True
-            case terms.Elsewhere(holder=holder) if holder:
+            case terms.HeldElsewhere(holder=holder) if holder:
                 self._asks[one.number] = one
                 self._ask_at(holder, one, is_redirected=True)
         return False
@@ -267,80 +274,82 @@
     def hear(self, address: str, message: messages.FleetMessage) -> float:
         """Take a message; return units that it lets a request spend."""
         match message:
-            case messages.DigestNote(digest=digest):
+            case messages.DigestMessage(digest=digest):
                 self._hear_digest(digest)
             case messages.ZoneExchange():
-                self._zone.take_exchange(message)
+                self._zone.apply_exchange(message)
             case messages.FleetReport():
-                if self._zone.take_report(message):
+                if self._zone.apply_report(message):
                     self._hear_zones(message)
-            case messages.UnitsNote():
-                self._news.take_note(message)
-            case messages.WantUnits():
+            case messages.QuotaUpdate():
+                self._news.apply_update(message)
+            case messages.QuotaRequest():
                 self._decide(address, message)
-            case messages.UnitsReply():
+            case messages.QuotaReply():
                 return self._hear_reply(message)
         return 0.0
 
     def _hear_digest(self, digest: messages.Digest) -> None:
         if not self._view.take(digest):
             return
-        self._zone.take_digest(digest)
+        self._zone.apply_digest(digest)
         if digest.zone != self._place.zone:
             return
         loan = digest.loan
         reported_at = loan and self._zone.find_reported(loan.heard)
-        self._news.take_subscriber(digest, reported_at)
+        self._news.apply_subscriber_digest(digest, reported_at)
 
     def _hear_zones(self, report: messages.FleetReport) -> None:
         for summary in report.zones:
-            self._roster.note_zone_told(summary.zone, summary.members_end)
+            self._roster.note_zone_read_end(summary.zone, summary.members_end)
 
-    def _hear_reply(self, reply: messages.UnitsReply) -> float:
+    def _hear_reply(self, reply: messages.QuotaReply) -> float:
         one = self._asks.get(reply.number)
         match reply.verdict:
             case _ if one is None:
                 return 0.0
-            case messages.UnitsVerdict.WAITING:
+            case messages.QuotaVerdict.WAITING:
                 one.keepers.clear()
                 return 0.0
-            case messages.UnitsVerdict.PASSED:
+            case messages.QuotaVerdict.PASSED:
                 if one.keepers:
                     self._ask_next(one)
                 return 0.0
-            case messages.UnitsVerdict.REDIRECTED:
+            case messages.QuotaVerdict.REDIRECTED:
                 one.keepers.clear()
                 self._ask_at(reply.holder, one, is_redirected=True)
                 return 0.0
-            case messages.UnitsVerdict.REFUSED:
+            case messages.QuotaVerdict.REFUSED:
                 return 0.0
         del self._asks[reply.number]
         is_late = trio.current_time() - one.asked_at > _LONGEST_S
         return 0.0 if is_late else one.units
 
-    def _decide(self, address: str, want: messages.WantUnits) -> None:
-        wish = terms.Wish(want.units, want.reserve, want.is_late)
-        if self._rights.find_part() <= 0:
-            passed = messages.UnitsVerdict.PASSED
-            self._tell(address, messages.UnitsReply(want.number, passed))
+    def _decide(self, address: str, want: messages.QuotaRequest) -> None:
+        wish = terms.AdmissionRequest(want.units, want.reserve, want.is_late)
+        if self._rights.find_usable_share() <= 0:
+            passed = messages.QuotaVerdict.PASSED
+            self._tell(address, messages.QuotaReply(want.number, passed))
             return
         is_again = want.is_redirected
-        match self.units.take(allowance_fleet.TEAM, wish, is_again=is_again):
+        match self.units.try_spend(
+            allowance_fleet.TEAM, wish, is_again=is_again
+        ):
             case terms.Admitted():
                 self._reply(address, want.number, 0.0)
-            case terms.Elsewhere() if want.is_redirected:
+            case terms.HeldElsewhere() if want.is_redirected:
                 self._reply(address, want.number, 0.5)
-            case terms.Elsewhere(holder=holder) if holder:
-                redirected = messages.UnitsVerdict.REDIRECTED
+            case terms.HeldElsewhere(holder=holder) if holder:
+                redirected = messages.QuotaVerdict.REDIRECTED
                 self._tell(
                     address,
-                    messages.UnitsReply(want.number, redirected, holder=holder),
+                    messages.QuotaReply(want.number, redirected, holder=holder),
                 )
-            case terms.Elsewhere(missing=missing):
-                waiting = messages.UnitsVerdict.WAITING
-                self._tell(address, messages.UnitsReply(want.number, waiting))
-                self.units.note_need(allowance_fleet.TEAM, missing)
-                until = trio.current_time() + unit_desk.KEEPER_WAIT_S
+            case terms.HeldElsewhere(missing=missing):
+                waiting = messages.QuotaVerdict.WAITING
+                self._tell(address, messages.QuotaReply(want.number, waiting))
+                self.units.note_shortage(allowance_fleet.TEAM, missing)
+                until = trio.current_time() + quota_client.HUB_WAIT_S
                 self._waits.append(
                     _Wait(address, want.number, want.units, missing, until)
                 )
@@ -349,22 +358,24 @@
 
     def _tell_units(self, now: float) -> None:
         due_s = _HURRY_S if self._is_hurried else _PACE.units_s
-        if now < self._noted_at + due_s or not self._zone.is_keeper():
+        if now < self._noted_at + due_s or not self._zone.is_quota_hub():
             return
         self._noted_at = now
         self._is_hurried = False
         note = self._news.create_note()
-        for address in self._zone.list_other_keepers():
+        for address in self._zone.list_other_quota_hubs():
             self._tell(address, note)
 
     def _take_waits(self, now: float) -> None:
         for one in list(self._waits):
-            verdict = self.units.take(
-                allowance_fleet.TEAM, terms.Wish(one.units), is_again=True
+            verdict = self.units.try_spend(
+                allowance_fleet.TEAM,
+                terms.AdmissionRequest(one.units),
+                is_again=True,
             )
             is_admitted = isinstance(verdict, terms.Admitted)
             if is_admitted or now >= one.until:
-                self.units.note_need(allowance_fleet.TEAM, -one.missing)
+                self.units.note_shortage(allowance_fleet.TEAM, -one.missing)
                 self._waits.remove(one)
                 self._reply(one.address, one.number, 0.0 if is_admitted else 1)
 
@@ -382,16 +393,16 @@
         self, address: str, one: _Ask, *, is_redirected: bool = False
     ) -> None:
         team = allowance_fleet.TEAM.name
-        want = messages.WantUnits(
+        want = messages.QuotaRequest(
             one.number, team, one.units, 0, False, is_redirected
         )
         self._tell(address, want)
 
     def _reply(self, address: str, number: int, retry_s: float) -> None:
-        verdict = messages.UnitsVerdict.GRANTED
+        verdict = messages.QuotaVerdict.GRANTED
         if retry_s > 0:
-            verdict = messages.UnitsVerdict.REFUSED
-        reply = messages.UnitsReply(number, verdict, retry_s)
+            verdict = messages.QuotaVerdict.REFUSED
+        reply = messages.QuotaReply(number, verdict, retry_s)
         self._tell(address, reply)
 
     def _tell_own(self, now: float) -> None:
@@ -405,10 +416,10 @@
             address=self.address,
             number=self._number,
             capacity=self._place.capacity,
-            loan=self._news.create_loan(),
+            loan=self._news.create_delegation(),
             members_end=members_end,
         )
-        self._zone.take_own(digest)
+        self._zone.set_own_digest(digest)
         for one in self._zone.create_notes(digest):
             self._tell(one.address, messages.decode_message(one.raw))
             self._zone.note_sent(one.address)
@@ -418,7 +429,7 @@
             self._tell(one.address, messages.decode_message(one.raw))
             self._zone.note_sent(one.address)
         own, reports = self._zone.create_reports()
-        if self._zone.take_report(own):
+        if self._zone.apply_report(own):
             self._hear_zones(own)
         for one in reports:
             self._tell(one.address, messages.decode_message(one.raw))
