--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -29,15 +29,15 @@
 )
 from martenquay_daemon.duties import lease, usage_counts
 from martenquay_daemon.duties import parts as duty_parts
-from martenquay_daemon.engines import demand, lengths, loads, model, placer
+from martenquay_daemon.engines import demand, durations, loads, model, placer
 from martenquay_daemon.fleet import (
     announcements,
     links,
     quota_exchange,
     roster,
     runner_report_gossip,
-    shared_state,
     state_copies,
+    state_gossip,
     topology,
     view,
 )
@@ -333,21 +333,21 @@
         news = runner_report_gossip.RunnerReportGossip(
             self._backpressure.limits, self._backpressure.leaving
         )
-        self._shared = shared_state.StateGossip(
-            shared_state.Identity(
+        self._shared = state_gossip.StateGossip(
+            state_gossip.Identity(
                 self.member,
                 settings.instance,
                 settings.zone,
                 settings.link_mbps,
             ),
-            shared_state.StateSources(
+            state_gossip.StateSources(
                 store=self._store,
                 directory=self._directory,
                 contact=self._contact,
-                units=self._unit_news,
+                quota_exchange=self._unit_news,
                 listed=self._roster,
                 loads=self._loads,
-                runner_news=news,
+                runner_report_gossip=news,
                 usage=self._usage,
                 meter=self._meter,
                 estimates=self._estimates,
@@ -363,7 +363,7 @@
             self._shared.apply_report,
             self._shared.change_mode,
             self._unit_news.apply_subscriber_digest,
-            self._unit_news.create_note,
+            self._unit_news.create_update,
             self._unit_news.apply_update,
             self._unit_news.answer,
             self._unit_news.find_zone_end,
@@ -375,7 +375,7 @@
         """Drop what was learnt of a runner's process before this one."""
         self._ejector.forget(runner_id)
         self._loads.forget_runner(runner_id)
-        self._backpressure.gate.forget(runner_id)
+        self._backpressure.admission.forget(runner_id)
 
     def _build_allowances(self) -> None:
         bounds = self._settings.bounds
@@ -431,7 +431,7 @@
         self._loads = loads.LoadLedger()
         self._meter = demand.DemandMeter()
         self._estimates = model.RunnerModel()
-        streams = lengths.StreamLengths()
+        streams = durations.StreamDurations()
         self._stop_window = stop_window.StopWindow(streams)
         self._usage = usage_counts.UsageCounts(bounds.window_s)
         self._ejector = ejection.Ejector()
@@ -462,7 +462,7 @@
                 self._rng,
                 self._view.is_zone_silent,
                 lambda: self._view.is_mesh,
-                self._backpressure.gate,
+                self._backpressure.admission,
                 self._rollouts.versions.choose,
             ),
             attempts=attempt.AttemptMaker(
@@ -473,11 +473,11 @@
                 self._estimates,
                 streams,
                 self._tell_peers_soon,
-                self._backpressure.gate,
+                self._backpressure.admission,
             ),
             retries=self._retries,
             ejector=self._ejector,
-            runner_gate=self._backpressure.gate,
+            runner_admission=self._backpressure.admission,
             guard=content_guard.ContentGuard(self._quarantine, self._directory),
             stop=self._stop_window,
             trials=trial_notes.TrialNotes(
--- a/packages/daemon/src/martenquay_daemon/rollouts/records.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/records.py
@@ -1,4 +1,4 @@
-"""Write steps into their topic of the platform's log and read them."""
+"""Encode and decode rollout steps, and register records read from the log."""
 
 from __future__ import annotations
 
@@ -43,24 +43,27 @@
     """Implement `keyed_follower.RecordSink` for steps."""
 
     def __init__(self, rollouts: registry.RolloutRegistry) -> None:
-        self._book = rollouts
+        self._registry = rollouts
 
     def replace_all(self, snapshot: ports.Snapshot) -> None:
-        """Take the newest step of each service; a missing one holds on."""
+        """Register each service's newest step; missing ones stay."""
         for record in snapshot.records:
             self.apply_change(record)
 
     def apply_change(self, record: ports.KeyedRecord) -> None:
-        """Take one step."""
+        """Register one step."""
         if record.value is None:
             return
         try:
             found = msgspec.json.decode(record.value, type=_StepRecord)
             phase = registry.Phase(found.phase)
         except ValueError as error:
-            _LOG.write(f"A record of {record.key} is no step: {error}.")
+            _LOG.write(
+                f"Skipped a rollout step of {record.key}, which cannot be "
+                f"decoded: {error}."
+            )
             return
-        self._book.apply_step(
+        self._registry.apply_step(
             registry.Step(
                 record.key,
                 found.order,
@@ -80,21 +83,24 @@
         self, codec: ports.PlatformCodec, rollouts: registry.RolloutRegistry
     ) -> None:
         self._codec = codec
-        self._book = rollouts
+        self._registry = rollouts
 
     def replace_all(self, snapshot: ports.Snapshot) -> None:
-        """Take the newest records; a missing one changes nothing."""
+        """Register the newest orders; missing ones stay."""
         for record in snapshot.records:
             self.apply_change(record)
 
     def apply_change(self, record: ports.KeyedRecord) -> None:
-        """Take the record if it is an order."""
+        """Register the record if it is a rollout order."""
         if record.value is None:
             return
         try:
             order = self._codec.decode_rollout(record.key, record.value)
         except ValueError as error:
-            _LOG.write(f"Order {record.key} cannot be read: {error}.")
+            _LOG.write(
+                f"Skipped rollout order {record.key}, which cannot be "
+                f"decoded: {error}."
+            )
             return
         if order is not None:
-            self._book.apply_order(record.offset, order)
+            self._registry.apply_order(record.offset, order)
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -22,11 +22,11 @@
 )
 from martenquay_daemon.fleet import (
     messages,
-    pace,
     quota_client,
     quota_exchange,
     roster,
     state_copies,
+    timing,
     topology,
     view,
     zone_mode,
@@ -41,7 +41,7 @@
 
 __all__ = ["Announced", "FleetRecord", "ZoneDaemon"]
 
-_PACE = pace.ZONE_PACE
+_PACE = timing.ZONE_INTERVALS
 # As in `quota_client`, by which a real daemon asks.
 _HEDGE_S = 0.04
 _LONGEST_S = 0.2
@@ -237,7 +237,7 @@
         """Do what is due, several times a second."""
         now = trio.current_time()
         self._zone.select_peers(self._known.values())
-        if now >= self._told_at + _PACE.own_s:
+        if now >= self._told_at + _PACE.digest_s:
             self._tell_own(now)
         if self._zone.is_report_due(is_hurried=False):
             self._report()
@@ -357,12 +357,12 @@
                 self._reply(address, want.number, 0.5)
 
     def _tell_units(self, now: float) -> None:
-        due_s = _HURRY_S if self._is_hurried else _PACE.units_s
+        due_s = _HURRY_S if self._is_hurried else _PACE.quota_update_s
         if now < self._noted_at + due_s or not self._zone.is_quota_hub():
             return
         self._noted_at = now
         self._is_hurried = False
-        note = self._news.create_note()
+        note = self._news.create_update()
         for address in self._zone.list_other_quota_hubs():
             self._tell(address, note)
 
