--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -74,7 +74,8 @@
     Mutation(
         "silent runners are asked",
         f"{DAEMON}/forwarding/silence.py",
-        "        if is_gone and connection.heard_at == heard_at:",
+        "        if is_unreachable and connection.last_activity_at == "
+        "last_activity_at:",
         "        if False:",
         f"{_FORWARDER}_streams.StreamTest",
     ),
@@ -255,8 +256,8 @@
     Mutation(
         "silent callers that take nothing are given up",
         f"{DAEMON}/forwarding/caller_connection.py",
-        "_PIECE_S = 5.0",
-        "_PIECE_S = 3600.0",
+        "_SEND_TIMEOUT_S = 5.0",
+        "_SEND_TIMEOUT_S = 3600.0",
         "tests.test_forwarding.test_caller_connection",
     ),
     Mutation(
--- a/packages/daemon/src/martenquay_daemon/forwarding/caller_connection.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/caller_connection.py
@@ -21,25 +21,25 @@
 if TYPE_CHECKING:
     from martenquay_core.serving import calls, catalog, ports
 
-__all__ = ["CallHandler", "CallerConnection", "ConnectionRules"]
+__all__ = ["CallHandler", "CallerConnection", "ListenerState"]
 
 _LOG = logs.create_log("callers")
 _RECEIVE_BYTES = 65_536
 # What a caller may send ahead while its request is still being answered.
-_AHEAD_BYTES = 65_536
+_MAX_PIPELINED_BYTES = 65_536
 # For this long unread bytes are thrown away after a refusal, so that closing
 # does not reset the connection before the caller has read it.
-_LINGER_S = 1.0
+_LINGER_TIMEOUT_S = 1.0
 # A caller has to take a piece of an answer in this time. One that takes a few
 # bytes now and then is live to the kernel, and would hold its answer for ever.
-_PIECE_BYTES = 65_536
-_PIECE_S = 5.0
+_SEND_CHUNK_BYTES = 65_536
+_SEND_TIMEOUT_S = 5.0
 # A request may be on its way, or unread, when a stop comes to a resting
 # connection. An assumption: far above a way in one region, and with the
 # listener's wait below the 0.3 s that a stop may take longer for it.
-_LAST_LOOK_S = 0.2
+_FINAL_READ_S = 0.2
 # A head line and the separators that h11 takes apart.
-_LINE_OVERHEAD = 4
+_HEADER_LINE_OVERHEAD_BYTES = 4
 
 
 class CallHandler(Protocol):
@@ -54,7 +54,7 @@
         """Answer one request."""
 
 
-class ConnectionRules(Protocol):
+class ListenerState(Protocol):
     """What binds all caller connections.
 
     Attributes:
@@ -70,17 +70,17 @@
 
 
 @dataclasses.dataclass
-class _RefusedError(Exception):
+class _RequestRejectedError(Exception):
     """The request cannot be taken."""
 
     answer: answers.OwnAnswer
 
 
-class _CallerGoneError(Exception):
+class _CallerDisconnectedError(Exception):
     """The caller closed the connection."""
 
 
-class _Writer:
+class _AnswerWriter:
     """Write one answer to the connection."""
 
     def __init__(self, connection: CallerConnection) -> None:
@@ -126,18 +126,18 @@
         stream: trio.SocketStream,
         codec: ports.CallCodec,
         handler: CallHandler,
-        rules: ConnectionRules,
+        listener_state: ListenerState,
     ) -> None:
         self.is_idle = True
         self._stream = stream
         self._codec = codec
         self._handler = handler
-        self._rules = rules
-        self._limits = rules.find_limits()
+        self._listener_state = listener_state
+        self._limits = listener_state.find_limits()
         self._http = h11.Connection(
             h11.SERVER, max_incomplete_event_size=self._limits.header_bytes
         )
-        self._is_cut = False
+        self._has_partial_write = False
         self._received_at = 0.0
         # The request that is being read, as far as its head has told.
         self._call_id = ""
@@ -153,7 +153,7 @@
         try:
             while await self._serve_one():
                 self._http.start_next_cycle()
-        except _CallerGoneError:
+        except _CallerDisconnectedError:
             departure.log_departure(
                 self._call_id, departure.Stage.READING, self._received_at
             )
@@ -166,7 +166,7 @@
     def close_if_idle(self) -> None:
         """Close soon if no request is under way or comes in just now."""
         if self.is_idle and self._idle_scope is not None:
-            self._bound_rest(self._idle_scope)
+            self._shorten_idle_wait(self._idle_scope)
 
     async def send_head(
         self, status: int, headers: calls.Headers, length: int | None
@@ -175,13 +175,13 @@
         headers = list(headers)
         if length is not None:
             headers.append((b"content-length", str(length).encode()))
-        if self._rules.is_closing:
+        if self._listener_state.is_closing:
             headers.append((b"connection", b"close"))
         await self.send_event(
             h11.Response(status_code=status, headers=headers, reason=b"")
         )
 
-    def take_bytes(self, data: bytes) -> h11.Event | type[h11.NEED_DATA]:
+    def receive_bytes(self, data: bytes) -> h11.Event | type[h11.NEED_DATA]:
         """Take bytes that the caller has sent; return what they begin."""
         self._http.receive_data(data)
         return self._parse_event()
@@ -197,47 +197,49 @@
             trio.BrokenResourceError: The caller is gone or takes nothing, or
                 an earlier piece was sent in part.
         """
-        if self._is_cut:
+        if self._has_partial_write:
             raise trio.BrokenResourceError("a piece was sent in part")
         data = self._http.send(event)
         if data:
-            self._is_cut = True
-            await self._send_in_time(data)
-            self._is_cut = False
+            self._has_partial_write = True
+            await self._send_with_timeout(data)
+            self._has_partial_write = False
 
-    async def _send_in_time(self, data: bytes) -> None:
+    async def _send_with_timeout(self, data: bytes) -> None:
         view = memoryview(data)
-        for begin in range(0, len(data), _PIECE_BYTES):
-            with trio.move_on_after(_PIECE_S) as scope:
-                await self._stream.send_all(view[begin : begin + _PIECE_BYTES])
+        for offset in range(0, len(data), _SEND_CHUNK_BYTES):
+            with trio.move_on_after(_SEND_TIMEOUT_S) as scope:
+                await self._stream.send_all(
+                    view[offset : offset + _SEND_CHUNK_BYTES]
+                )
             if scope.cancelled_caught:
-                _LOG.write("A caller takes nothing.", waited_s=_PIECE_S)
+                _LOG.write("A caller takes nothing.", waited_s=_SEND_TIMEOUT_S)
                 raise trio.BrokenResourceError("the caller takes nothing")
 
     async def _serve_one(self) -> bool:
         """Serve one request; tell whether another may follow."""
-        self._limits = self._rules.find_limits()
+        self._limits = self._listener_state.find_limits()
         self.is_idle = True
         self._call_id = ""
         try:
             call = await self._read_call()
-        except _RefusedError as refused:
-            await self._refuse(refused.answer)
+        except _RequestRejectedError as rejected:
+            await self._reject(rejected.answer)
             return False
         if call is None:
             return False
-        writer = await self._answer(call)
+        writer = await self._handle_call(call)
         if writer.is_aborted or not writer.has_started:
             return False
         if self._http.our_state is not h11.DONE:
             return False
         return self._http.their_state is h11.DONE
 
-    async def _answer(self, call: calls.Call) -> _Writer:
+    async def _handle_call(self, call: calls.Call) -> _AnswerWriter:
         """Have the call answered while watching whether the caller leaves."""
-        writer = _Writer(self)
+        writer = _AnswerWriter(self)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._watch_caller, nursery.cancel_scope)
+            nursery.start_soon(self._watch_for_disconnect, nursery.cancel_scope)
             try:
                 await self._handler.handle(call, self._received_at, writer)
             except (trio.BrokenResourceError, trio.ClosedResourceError):
@@ -245,17 +247,19 @@
                 writer.abort()
             except Exception as error:  # noqa: BLE001
                 # The caller would see only a reset, with nothing to go by.
-                where = traceback.format_exception(error)
+                trace_lines = traceback.format_exception(error)
                 _LOG.write(
                     f"A request failed: {error!r}.",
                     request=call.id,
-                    trace="".join(where),
+                    trace="".join(trace_lines),
                 )
-                await self._answer_fault(call, writer)
+                await self._answer_handler_error(call, writer)
             nursery.cancel_scope.cancel()
         return writer
 
-    async def _answer_fault(self, call: calls.Call, writer: _Writer) -> None:
+    async def _answer_handler_error(
+        self, call: calls.Call, writer: _AnswerWriter
+    ) -> None:
         """Say that the request may have run, or break off what has begun."""
         if writer.has_started:
             writer.abort()
@@ -267,9 +271,9 @@
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             writer.abort()
 
-    async def _watch_caller(self, scope: trio.CancelScope) -> None:
-        ahead = 0
-        while ahead < _AHEAD_BYTES:
+    async def _watch_for_disconnect(self, scope: trio.CancelScope) -> None:
+        pipelined_bytes = 0
+        while pipelined_bytes < _MAX_PIPELINED_BYTES:
             try:
                 data = await self._stream.receive_some(_RECEIVE_BYTES)
             except (trio.BrokenResourceError, trio.ClosedResourceError):
@@ -277,7 +281,7 @@
             if not data:
                 scope.cancel()
                 return
-            ahead += len(data)
+            pipelined_bytes += len(data)
             self._http.receive_data(data)
         # The rest has to wait for its turn, and the close stands behind it.
         await departure.wait_until_left(self._stream.socket)
@@ -291,7 +295,7 @@
         headers = [(bytes(n).lower(), bytes(v)) for n, v in head.headers]
         method = head.method.decode("latin-1")
         target = head.target.decode("latin-1")
-        self._check_head(target, headers)
+        self._check_size_limits(target, headers)
         call = self._codec.decode_call(method, target, headers)
         self._call_id = call.id
         body = await self._read_body(headers)
@@ -300,7 +304,7 @@
     async def _read_head(self) -> h11.Request | None:
         event = self._parse_event()
         if event is h11.NEED_DATA:
-            if not await self._wait_first_bytes():
+            if not await self._wait_for_first_bytes():
                 return None
         else:
             self._received_at = trio.current_time()
@@ -317,9 +321,9 @@
                 event = h11.NEED_DATA
         code = results.ResultCode.SLOW_CALLER
         message = "the request's head did not arrive in time"
-        raise _RefusedError(answers.create_own_answer(code, message))
+        raise _RequestRejectedError(answers.create_own_answer(code, message))
 
-    async def _wait_first_bytes(self) -> bool:
+    async def _wait_for_first_bytes(self) -> bool:
         """Wait for a request to begin; False when the rest is over."""
         buffered, _ = self._http.trailing_data
         if buffered:
@@ -327,62 +331,65 @@
             return True
         with trio.move_on_after(self._limits.idle_s) as scope:
             self._idle_scope = scope
-            if self._rules.is_stopped:
-                self._bound_rest(scope)
+            if self._listener_state.is_stopped:
+                self._shorten_idle_wait(scope)
             await self._receive()
             self._received_at = trio.current_time()
         self._idle_scope = None
         return not scope.cancelled_caught
 
-    def _bound_rest(self, scope: trio.CancelScope) -> None:
+    def _shorten_idle_wait(self, scope: trio.CancelScope) -> None:
         # A cancelled read would leave unread what the kernel has already, and
         # the close would reset it.
-        last = trio.current_time() + _LAST_LOOK_S
-        scope.deadline = min(scope.deadline, last)
+        final_read_at = trio.current_time() + _FINAL_READ_S
+        scope.deadline = min(scope.deadline, final_read_at)
 
-    def _check_head(self, target: str, headers: calls.Headers) -> None:
+    def _check_size_limits(self, target: str, headers: calls.Headers) -> None:
         size = len(target) + sum(
-            len(name) + len(value) + _LINE_OVERHEAD for name, value in headers
+            len(name) + len(value) + _HEADER_LINE_OVERHEAD_BYTES
+            for name, value in headers
         )
         code = results.ResultCode.MALFORMED_REQUEST
         if size > self._limits.header_bytes:
             answer = answers.create_own_answer(
                 code, "the request's head is too large", status=431
             )
-            raise _RefusedError(answer)
+            raise _RequestRejectedError(answer)
         length = dict(headers).get(b"content-length", b"0")
         if length.isdigit() and int(length) > self._limits.body_bytes:
-            raise _RefusedError(self._describe_large_body())
+            raise _RequestRejectedError(self._create_body_too_large())
 
     async def _read_body(self, headers: calls.Headers) -> bytes:
         if self._http.they_are_waiting_for_100_continue:
             await self.send_event(
                 h11.InformationalResponse(status_code=100, headers=[])
             )
-        pieces: list[bytes] = []
+        chunks: list[bytes] = []
         size = 0
         while True:
             event = self._parse_event()
             match event:
                 case h11.EndOfMessage():
-                    return b"".join(pieces)
+                    return b"".join(chunks)
                 case h11.Data(data=data):
-                    pieces.append(bytes(data))
+                    chunks.append(bytes(data))
                     size += len(data)
                 case h11.ConnectionClosed():
-                    raise _CallerGoneError
+                    raise _CallerDisconnectedError
                 case _:
-                    await self._receive_in_time()
+                    await self._receive_with_timeout()
             if size > self._limits.body_bytes:
-                raise _RefusedError(self._describe_large_body())
+                raise _RequestRejectedError(self._create_body_too_large())
 
-    async def _receive_in_time(self) -> None:
+    async def _receive_with_timeout(self) -> None:
         with trio.move_on_after(self._limits.header_s) as scope:
             await self._receive()
         if scope.cancelled_caught:
             code = results.ResultCode.SLOW_CALLER
             message = "the request's body did not arrive in time"
-            raise _RefusedError(answers.create_own_answer(code, message))
+            raise _RequestRejectedError(
+                answers.create_own_answer(code, message)
+            )
 
     async def _receive(self) -> None:
         try:
@@ -390,7 +397,7 @@
         except trio.BrokenResourceError:
             data = b""
         if not data and not self.is_idle:
-            raise _CallerGoneError
+            raise _CallerDisconnectedError
         self._http.receive_data(data)
 
     def _parse_event(self) -> h11.Event | type[h11.NEED_DATA]:
@@ -402,15 +409,15 @@
                 f"the request is malformed: {error}",
                 status=error.error_status_hint,
             )
-            raise _RefusedError(answer) from error
+            raise _RequestRejectedError(answer) from error
 
-    def _describe_large_body(self) -> answers.OwnAnswer:
+    def _create_body_too_large(self) -> answers.OwnAnswer:
         code = results.ResultCode.BODY_TOO_LARGE
         limit = self._limits.body_bytes
         message = f"the body has more than {limit} bytes"
         return answers.create_own_answer(code, message)
 
-    async def _refuse(self, answer: answers.OwnAnswer) -> None:
+    async def _reject(self, answer: answers.OwnAnswer) -> None:
         """Answer a request that was not read to its end, then close."""
         _LOG.write(
             f"Refused a request: {answer.message}.",
@@ -419,8 +426,10 @@
         )
         if self._http.our_state not in {h11.IDLE, h11.SEND_RESPONSE}:
             return
-        await answers.send_own_answer(_Writer(self), self._codec, "", answer)
-        with trio.move_on_after(_LINGER_S):
+        await answers.send_own_answer(
+            _AnswerWriter(self), self._codec, "", answer
+        )
+        with trio.move_on_after(_LINGER_TIMEOUT_S):
             await self._stream.send_eof()
             while await self._stream.receive_some(_RECEIVE_BYTES):
                 pass
--- a/packages/daemon/src/martenquay_daemon/forwarding/event_stream.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/event_stream.py
@@ -6,7 +6,7 @@
 
 __all__ = ["Event", "EventSplitter"]
 
-_END = b"\n\n"
+_EVENT_END = b"\n\n"
 _ID_FIELD = b"id:"
 
 
@@ -38,15 +38,15 @@
         events = []
         self.rest += data.replace(b"\r\n", b"\n") if b"\r" in data else data
         while True:
-            end = self.rest.find(_END)
+            end = self.rest.find(_EVENT_END)
             if end < 0:
                 return events
-            raw = self.rest[: end + len(_END)]
-            self.rest = self.rest[end + len(_END) :]
-            events.append(Event(raw, _read_id(raw)))
+            raw = self.rest[: end + len(_EVENT_END)]
+            self.rest = self.rest[end + len(_EVENT_END) :]
+            events.append(Event(raw, _parse_id(raw)))
 
 
-def _read_id(raw: bytes) -> int | None:
+def _parse_id(raw: bytes) -> int | None:
     for line in raw.split(b"\n"):
         if line.startswith(_ID_FIELD):
             text = line[len(_ID_FIELD) :].strip()
--- a/packages/daemon/src/martenquay_daemon/forwarding/listener.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/listener.py
@@ -23,14 +23,14 @@
 # The last packet of a handshake may be on its way when accepting stops, and a
 # request right behind it. An assumption: far above a way in one region. With
 # the last look at resting connections it delays a stop by up to 0.25 s.
-_DRAIN_S = 0.05
+_ACCEPT_DRAIN_S = 0.05
 # Out of descriptors: wait for some connection to end.
-_ACCEPT_PAUSE_S = 0.05
+_ACCEPT_RETRY_DELAY_S = 0.05
 # A caller that waits for its answer says nothing. One that is gone without a
 # word must not keep runners at work, nor hold a descriptor until its answer is
 # due. It may be far away: found out after 6 s, three asks may be lost.
-_SILENCE = keepalive.KeepAlive(idle_s=3, asks=3)
-_ACCEPT_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS})
+_KEEPALIVE = keepalive.KeepAlive(idle_s=3, asks=3)
+_RESOURCE_ERRNOS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS})
 
 
 class CallerListener:
@@ -55,7 +55,7 @@
         self._codec = codec
         self._handler = handler
         self._connections: set[caller_connection.CallerConnection] = set()
-        self._accepting = trio.CancelScope()
+        self._accept_scope = trio.CancelScope()
         self._is_draining = False
 
     def find_limits(self) -> catalog.CallerLimits:
@@ -79,7 +79,7 @@
         self.is_closing = True
         self.is_stopped = True
         self._is_draining = True
-        self._accepting.cancel()
+        self._accept_scope.cancel()
         for connection in list(self._connections):
             connection.close_if_idle()
 
@@ -88,56 +88,58 @@
     ) -> None:
         """Accept connections; return when all have ended after a stop."""
         host, _, port = self._address.rpartition(":")
-        kernel = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        listener = trio.socket.from_stdlib_socket(kernel)
-        listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        raw_socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        listening_socket = trio.socket.from_stdlib_socket(raw_socket)
+        listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         # Connections that it accepts inherit them.
-        keepalive.enable_keepalive(listener, _SILENCE)
-        await listener.bind((host, int(port)))
-        listener.listen(_BACKLOG)
-        bound_host, bound_port = listener.getsockname()
+        keepalive.enable_keepalive(listening_socket, _KEEPALIVE)
+        await listening_socket.bind((host, int(port)))
+        listening_socket.listen(_BACKLOG)
+        bound_host, bound_port = listening_socket.getsockname()
         task_status.started(f"{bound_host}:{bound_port}")
         async with trio.open_nursery() as nursery:
-            with self._accepting:
+            with self._accept_scope:
                 while True:
-                    await self._accept_one(listener, nursery)
+                    await self._accept_one(listening_socket, nursery)
             # Callers of connections that the kernel holds ready may have sent
             # whole requests; closing the listener would reset them.
-            with trio.move_on_after(_DRAIN_S):
+            with trio.move_on_after(_ACCEPT_DRAIN_S):
                 while True:
-                    await self._accept_one(listener, nursery)
-            self._accept_rest(kernel, nursery)
-            listener.close()
+                    await self._accept_one(listening_socket, nursery)
+            self._accept_queued(raw_socket, nursery)
+            listening_socket.close()
             self._is_draining = False
 
     async def _accept_one(
-        self, listener: trio.socket.SocketType, nursery: trio.Nursery
+        self, listening_socket: trio.socket.SocketType, nursery: trio.Nursery
     ) -> None:
         try:
-            sock, _ = await listener.accept()
+            sock, _ = await listening_socket.accept()
         except OSError as error:
-            if error.errno in _ACCEPT_ERRORS:
+            if error.errno in _RESOURCE_ERRNOS:
                 _LOG.write("No descriptor is free for another connection.")
-                await trio.sleep(_ACCEPT_PAUSE_S)
+                await trio.sleep(_ACCEPT_RETRY_DELAY_S)
             return
-        self._begin(sock, nursery)
+        self._start_connection(sock, nursery)
 
-    def _accept_rest(
-        self, kernel: socket.socket, nursery: trio.Nursery
+    def _accept_queued(
+        self, raw_socket: socket.socket, nursery: trio.Nursery
     ) -> None:
         """Accept what is ready now, with no moment for more to come."""
         for _ in range(_BACKLOG):
             try:
-                sock, _ = kernel.accept()
+                sock, _ = raw_socket.accept()
             except ConnectionError:
                 continue
             except OSError as error:
-                if error.errno in _ACCEPT_ERRORS:
+                if error.errno in _RESOURCE_ERRNOS:
                     _LOG.write("No descriptor is free at the stop.")
                 return
-            self._begin(trio.socket.from_stdlib_socket(sock), nursery)
+            self._start_connection(
+                trio.socket.from_stdlib_socket(sock), nursery
+            )
 
-    def _begin(
+    def _start_connection(
         self, sock: trio.socket.SocketType, nursery: trio.Nursery
     ) -> None:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -146,9 +148,9 @@
         )
         # Before its task runs, or a stop could end between the two.
         self._connections.add(connection)
-        nursery.start_soon(self._serve, connection)
+        nursery.start_soon(self._serve_connection, connection)
 
-    async def _serve(
+    async def _serve_connection(
         self, connection: caller_connection.CallerConnection
     ) -> None:
         try:
--- a/packages/daemon/src/martenquay_daemon/forwarding/runner_connection.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/runner_connection.py
@@ -41,7 +41,7 @@
 # A runner that works says nothing for long, so only the kernel can tell; its
 # machine answers in a few ms. Found out after 3 s: two asks may be lost on a
 # bad way once in a thousand times, a request must not be given up for one.
-_SILENCE = keepalive.KeepAlive(idle_s=1, asks=2)
+_KEEPALIVE = keepalive.KeepAlive(idle_s=1, asks=2)
 
 
 class NotConnectedError(Exception):
@@ -81,15 +81,15 @@
     """One connection, used for one request and its answer.
 
     Attributes:
-        heard_at: When the runner last sent something or the connection came
-            up, in trio's time.
-        has_answered: The answer's head has come.
+        last_activity_at: When the runner last sent bytes, or else when the
+            connection opened, in trio's time.
+        has_response_head: The answer's head has come.
         has_begun: The first event of a stream has come.
     """
 
     def __init__(self, stream: trio.SocketStream) -> None:
-        self.heard_at = trio.current_time()
-        self.has_answered = False
+        self.last_activity_at = trio.current_time()
+        self.has_response_head = False
         self.has_begun = False
         self._stream = stream
         self._http = h11.Connection(h11.CLIENT)
@@ -124,7 +124,7 @@
             event = await self._next_event()
             match event:
                 case h11.Response(status_code=status, headers=headers):
-                    self.has_answered = True
+                    self.has_response_head = True
                     return status, list(headers)
                 case h11.InformationalResponse():
                     continue
@@ -153,8 +153,8 @@
         Raises:
             BrokenAnswerError: The body ended early.
         """
-        pieces = [piece async for piece in self.iterate_body()]
-        return b"".join(pieces)
+        chunks = [chunk async for chunk in self.iterate_body()]
+        return b"".join(chunks)
 
     async def close(self) -> None:
         """Close at once; a runner that is at work sees that nobody waits."""
@@ -177,7 +177,7 @@
                 # A reset also ends answers that have no length of their own,
                 # so it must never pass for the answer's end.
                 raise BrokenAnswerError(f"reset: {error}") from error
-            self.heard_at = trio.current_time()
+            self.last_activity_at = trio.current_time()
             self._http.receive_data(data)
 
 
@@ -201,8 +201,8 @@
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
-        if lasts_s > _SILENCE.unacknowledged_s:
-            keepalive.enable_keepalive(sock, _SILENCE)
+        if lasts_s > _KEEPALIVE.unacknowledged_s:
+            keepalive.enable_keepalive(sock, _KEEPALIVE)
         with trio.fail_after(timeout_s):
             await sock.connect((host, int(port)))
     except (OSError, trio.TooSlowError) as error:
--- a/packages/daemon/src/martenquay_daemon/forwarding/silence.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/silence.py
@@ -27,10 +27,10 @@
 
 _LOG = logs.create_log("forwarding")
 # As for requests: a live machine answers in a few ms.
-_CONNECT_S = 0.1
+_PROBE_TIMEOUT_S = 0.1
 # After this many probes without an answer the runner is taken as gone; one
 # packet may be lost on the way.
-_PROBES = 2
+_PROBE_ATTEMPTS = 2
 
 
 class Verdict(enum.Enum):
@@ -40,7 +40,7 @@
     SILENT = enum.auto()
 
 
-def _move_never() -> bool:
+def _never_move() -> bool:
     return False
 
 
@@ -49,77 +49,83 @@
     """How long a runner may be silent before it is asked.
 
     Attributes:
-        first_s: Before the answer's head has come.
-        next_s: After that, and after each time that it was there.
-        longest_s: However live it is, before a stream has begun.
-        longest_pause_s: The same between a stream's events.
+        first_probe_s: Before the answer's head has come.
+        next_probe_s: After that, and after each time that it was there.
+        max_silence_s: However live it is, before a stream has begun.
+        max_pause_s: The same between a stream's events.
         may_move: Asked when the last two are over: whether another runner
             may take the request now. If not, silence is no reason to end it.
     """
 
-    first_s: float
-    next_s: float
-    longest_s: float = math.inf
-    longest_pause_s: float = math.inf
-    may_move: Callable[[], bool] = _move_never
+    first_probe_s: float
+    next_probe_s: float
+    max_silence_s: float = math.inf
+    max_pause_s: float = math.inf
+    may_move: Callable[[], bool] = _never_move
 
 
 async def wait_until_gone(
     connection: connections.RunnerConnection,
     placement: placer.Placement,
-    patience: SilenceLimits,
+    limits: SilenceLimits,
 ) -> Verdict:
     """Return when the runner is gone, or the connection silent too long."""
-    asked_at = connection.heard_at
+    probed_at = connection.last_activity_at
     while True:
         now = trio.current_time()
-        end = connection.heard_at + _find_longest(connection, patience)
-        if now >= end and patience.may_move():
-            _note(placement, connection, "is silent for too long")
+        abandon_at = connection.last_activity_at + _find_max_silence(
+            connection, limits
+        )
+        if now >= abandon_at and limits.may_move():
+            _log_unresponsive(placement, connection, "is silent for too long")
             return Verdict.SILENT
-        quiet_s = (
-            patience.next_s if connection.has_answered else patience.first_s
+        probe_after_s = (
+            limits.next_probe_s
+            if connection.has_response_head
+            else limits.first_probe_s
         )
-        due = max(asked_at, connection.heard_at) + quiet_s
-        if now < end:
-            due = min(due, end)
-        if now < due:
-            await trio.sleep_until(due)
+        probe_at = max(probed_at, connection.last_activity_at) + probe_after_s
+        if now < abandon_at:
+            probe_at = min(probe_at, abandon_at)
+        if now < probe_at:
+            await trio.sleep_until(probe_at)
             continue
-        heard_at = connection.heard_at
-        is_gone = await _is_gone(placement.runner.address)
+        last_activity_at = connection.last_activity_at
+        is_unreachable = await _is_unreachable(placement.runner.address)
         # What came while it was asked says more than the probe.
-        if is_gone and connection.heard_at == heard_at:
-            _note(placement, connection, "is silent and takes no connection")
+        if is_unreachable and connection.last_activity_at == last_activity_at:
+            _log_unresponsive(
+                placement, connection, "is silent and takes no connection"
+            )
             return Verdict.GONE
-        asked_at = trio.current_time()
+        probed_at = trio.current_time()
 
 
-def _find_longest(
-    connection: connections.RunnerConnection, patience: SilenceLimits
+def _find_max_silence(
+    connection: connections.RunnerConnection, limits: SilenceLimits
 ) -> float:
     if connection.has_begun:
-        return patience.longest_pause_s
-    return patience.longest_s
+        return limits.max_pause_s
+    return limits.max_silence_s
 
 
-def _note(
+def _log_unresponsive(
     placement: placer.Placement,
     connection: connections.RunnerConnection,
-    what: str,
+    reason: str,
 ) -> None:
-    silent_s = trio.current_time() - connection.heard_at
+    silent_s = trio.current_time() - connection.last_activity_at
     _LOG.write(
-        f"Runner {placement.runner.id} {what}.",
+        f"Runner {placement.runner.id} {reason}.",
         runner=placement.runner.id,
         silent_s=round(silent_s, 3),
     )
 
 
-async def _is_gone(address: str) -> bool:
-    for _ in range(_PROBES):
+async def _is_unreachable(address: str) -> bool:
+    for _ in range(_PROBE_ATTEMPTS):
         try:
-            async with connections.connect_runner(address, _CONNECT_S):
+            async with connections.connect_runner(address, _PROBE_TIMEOUT_S):
                 return False
         except connections.NotConnectedError:
             continue
--- a/packages/daemon/src/martenquay_daemon/forwarding/stop_window.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/stop_window.py
@@ -21,7 +21,7 @@
 # more than 2.3 times it, of 8,514 streams of all lengths one in twenty 2.6
 # times. A stream that is cut is lost with all that its caller has waited; one
 # that is turned away begins elsewhere within milliseconds.
-_LONGEST_FACTOR = 3.0
+_MAX_DURATION_FACTOR = 3.0
 
 
 @dataclasses.dataclass(frozen=True)
@@ -32,30 +32,30 @@
         service: Whose runner is to answer it.
         kind: Of its route.
         tokens: The most tokens that it asks for; None if it does not say.
-        left_s: Until its caller or its route gives it up.
+        time_left_s: Until its caller or its route gives it up.
     """
 
     service: str
     kind: catalog.CallKind
-    tokens: int | None
-    left_s: float
+    max_tokens: int | None
+    time_left_s: float
 
 
 class StopWindow:
     """How much time a stop leaves, and who can use it."""
 
-    def __init__(self, streams: lengths.StreamLengths) -> None:
-        self._streams = streams
-        self._find_end: Callable[[], float] | None = None
+    def __init__(self, stream_lengths: lengths.StreamLengths) -> None:
+        self._stream_lengths = stream_lengths
+        self._find_deadline: Callable[[], float] | None = None
 
-    def begin(self, find_end: Callable[[], float]) -> None:
+    def begin(self, find_deadline: Callable[[], float]) -> None:
         """Begin to stop.
 
         Args:
-            find_end: Returns when all has to be over, in trio's time;
+            find_deadline: Returns when all has to be over, in trio's time;
                 operators may move it.
         """
-        self._find_end = find_end
+        self._find_deadline = find_deadline
 
     def find_overrun(self, request: LastRequest) -> float:
         """Return by how much a request may outlast the stop.
@@ -66,17 +66,21 @@
         Returns:
             Seconds; 0 if there is no stop or its time suffices.
         """
-        if self._find_end is None:
+        if self._find_deadline is None:
             return 0.0
-        longest_s = self._find_longest(request)
-        return max(0.0, trio.current_time() + longest_s - self._find_end())
+        max_duration_s = self._estimate_max_duration(request)
+        return max(
+            0.0, trio.current_time() + max_duration_s - self._find_deadline()
+        )
 
-    def _find_longest(self, request: LastRequest) -> float:
+    def _estimate_max_duration(self, request: LastRequest) -> float:
         """Return the longest time that an answer takes, as far as known."""
         is_stream = request.kind is catalog.CallKind.STREAM
-        if not is_stream or request.tokens is None:
-            return request.left_s
-        mean_s = self._streams.find_mean_s(request.service, request.tokens)
+        if not is_stream or request.max_tokens is None:
+            return request.time_left_s
+        mean_s = self._stream_lengths.find_mean_s(
+            request.service, request.max_tokens
+        )
         if mean_s is None:
-            return request.left_s
-        return min(request.left_s, _LONGEST_FACTOR * mean_s)
+            return request.time_left_s
+        return min(request.time_left_s, _MAX_DURATION_FACTOR * mean_s)
--- a/tests/test_forwarding/test_caller_connection.py
+++ b/tests/test_forwarding/test_caller_connection.py
@@ -152,7 +152,7 @@
         self._run(scenario)
 
 
-class _FaultyHandler:
+class _FailingHandler:
     """Raise what nobody expects.
 
     Attributes:
@@ -173,24 +173,28 @@
         raise KeyError("a fault")
 
 
-class FaultTest(testtools.TestCase):
+class HandlerErrorTest(testtools.TestCase):
     def _ask(self, start_bytes: bytes) -> serving_scene.Reply:
         """Return the answer of a connection whose handler fails."""
-        rules = mock.Mock(is_closing=False, is_stopped=False)
-        rules.find_limits.return_value = catalog.CallerLimits()
+        listener_state = mock.Mock(is_closing=False, is_stopped=False)
+        listener_state.find_limits.return_value = catalog.CallerLimits()
         replies: list[serving_scene.Reply] = []
 
         async def scenario() -> None:
-            ours, theirs = socket.socketpair()
-            ours.setblocking(False)
-            theirs.setblocking(False)
-            stream = trio.SocketStream(trio.socket.from_stdlib_socket(ours))
-            caller = trio.SocketStream(trio.socket.from_stdlib_socket(theirs))
+            daemon_end, caller_end = socket.socketpair()
+            daemon_end.setblocking(False)
+            caller_end.setblocking(False)
+            stream = trio.SocketStream(
+                trio.socket.from_stdlib_socket(daemon_end)
+            )
+            caller = trio.SocketStream(
+                trio.socket.from_stdlib_socket(caller_end)
+            )
             connection = caller_connection.CallerConnection(
                 stream,
                 codec.create_codec(),
-                _FaultyHandler(start_bytes),
-                rules,
+                _FailingHandler(start_bytes),
+                listener_state,
             )
             with trio.fail_after(_HANG_S):
                 async with caller, trio.open_nursery() as nursery:
@@ -219,29 +223,29 @@
         self.assertIn("KeyError", log.write.call_args.args[0])
 
 
-class CutPieceTest(testtools.TestCase):
-    async def _begin(
+class PartialWriteTest(testtools.TestCase):
+    async def _start_answer(
         self, stream: trio.StapledStream
     ) -> caller_connection.CallerConnection:
         """Return a connection whose answer has begun."""
-        rules = mock.Mock(is_closing=False, is_stopped=False)
-        rules.find_limits.return_value = catalog.CallerLimits()
+        listener_state = mock.Mock(is_closing=False, is_stopped=False)
+        listener_state.find_limits.return_value = catalog.CallerLimits()
         connection = caller_connection.CallerConnection(
-            stream, mock.Mock(), mock.Mock(), rules
+            stream, mock.Mock(), mock.Mock(), listener_state
         )
-        connection.take_bytes(b"GET / HTTP/1.1\r\nhost: a\r\n\r\n")
+        connection.receive_bytes(b"GET / HTTP/1.1\r\nhost: a\r\n\r\n")
         await connection.send_head(200, [], None)
         return connection
 
     def test_nothing_follows_a_piece_that_was_sent_in_part(self) -> None:
         async def scenario() -> None:
-            ours, theirs = trio.testing.memory_stream_pair()
-            del theirs
-            connection = await self._begin(ours)
-            ours.send_stream.send_all_hook = trio.sleep_forever
+            daemon_end, caller_end = trio.testing.memory_stream_pair()
+            del caller_end
+            connection = await self._start_answer(daemon_end)
+            daemon_end.send_stream.send_all_hook = trio.sleep_forever
             with trio.move_on_after(1.0):
                 await connection.send_event(h11.Data(data=b"first"))
-            ours.send_stream.send_all_hook = None
+            daemon_end.send_stream.send_all_hook = None
             with self.assertRaises(trio.BrokenResourceError):
                 await connection.send_event(h11.Data(data=b"second"))
 
@@ -252,15 +256,15 @@
         self,
     ) -> None:
         async def scenario() -> None:
-            ours, theirs = trio.testing.memory_stream_pair()
-            del theirs
-            connection = await self._begin(ours)
-            ours.send_stream.send_all_hook = trio.sleep_forever
+            daemon_end, caller_end = trio.testing.memory_stream_pair()
+            del caller_end
+            connection = await self._start_answer(daemon_end)
+            daemon_end.send_stream.send_all_hook = trio.sleep_forever
             with trio.fail_after(_HANG_S):
                 with self.assertRaises(trio.BrokenResourceError):
                     await connection.send_event(h11.Data(data=b"first"))
             # Nothing follows it then either.
-            ours.send_stream.send_all_hook = None
+            daemon_end.send_stream.send_all_hook = None
             with self.assertRaises(trio.BrokenResourceError):
                 await connection.send_event(h11.Data(data=b"second"))
 
--- a/tests/test_forwarding/test_listener.py
+++ b/tests/test_forwarding/test_listener.py
@@ -54,7 +54,7 @@
         trio.run(run)
 
     async def _serve(self, scene: serving_scene.Scene, scenario) -> None:
-        one = listener.CallerListener(
+        caller_listener = listener.CallerListener(
             "127.0.0.1:0",
             scene.store,
             codec.create_codec(),
@@ -65,12 +65,12 @@
         async def serve(
             *, task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED
         ) -> None:
-            await one.run(task_status=task_status)
+            await caller_listener.run(task_status=task_status)
             ended.set()
 
         async with trio.open_nursery() as nursery:
             address = await nursery.start(serve)
-            await scenario(one, address, ended)
+            await scenario(caller_listener, address, ended)
             nursery.cancel_scope.cancel()
 
     async def _check_answer(self, caller: trio.SocketStream) -> None:
@@ -80,12 +80,12 @@
         self.assertEqual(b"close", reply.headers[b"connection"])
 
     def test_connections_that_the_kernel_has_made_are_answered(self) -> None:
-        async def scenario(one, address, ended) -> None:
+        async def scenario(caller_listener, address, ended) -> None:
             del ended
             callers = [_connect(address) for _ in range(20)]
             for caller in callers:
                 caller.sendall(_CALL)
-            one.stop_accepting()
+            caller_listener.stop_accepting()
             for caller in callers:
                 async with _wrap(caller) as stream:
                     await self._check_answer(stream)
@@ -95,15 +95,15 @@
     def test_a_daemon_that_is_busy_past_the_wait_accepts_them_too(
         self,
     ) -> None:
-        async def scenario(one, address, ended) -> None:
+        async def scenario(caller_listener, address, ended) -> None:
             del ended
-            one.stop_accepting()
+            caller_listener.stop_accepting()
             await trio.testing.wait_all_tasks_blocked()
             callers = [_connect(address) for _ in range(20)]
             for caller in callers:
                 caller.sendall(_CALL)
             # Nothing else runs till the wait is over.
-            until = trio.current_time() + 2 * listener._DRAIN_S
+            until = trio.current_time() + 2 * listener._ACCEPT_DRAIN_S
             while trio.current_time() < until:
                 pass
             for caller in callers:
@@ -115,7 +115,7 @@
     def test_a_request_that_is_there_on_a_kept_connection_is_answered(
         self,
     ) -> None:
-        async def scenario(one, address, ended) -> None:
+        async def scenario(caller_listener, address, ended) -> None:
             del ended
             sock = _connect(address)
             async with _wrap(sock) as stream:
@@ -123,22 +123,22 @@
                 await serving_scene.read_reply(stream)
                 await trio.testing.wait_all_tasks_blocked()
                 sock.sendall(_CALL)
-                one.stop_accepting()
+                caller_listener.stop_accepting()
                 await self._check_answer(stream)
 
         self._run(scenario)
 
     def test_the_run_ends_and_new_connections_are_refused(self) -> None:
-        async def scenario(one, address, ended) -> None:
-            resting = _connect(address)
+        async def scenario(caller_listener, address, ended) -> None:
+            idle_socket = _connect(address)
             await trio.testing.wait_all_tasks_blocked()
             stopped_at = trio.current_time()
-            one.stop_accepting()
+            caller_listener.stop_accepting()
             # The daemon's end waits for what may be unread.
-            self.assertGreater(one.count_busy(), 0)
-            async with _wrap(resting) as stream:
+            self.assertGreater(caller_listener.count_busy(), 0)
+            async with _wrap(idle_socket) as stream:
                 self.assertEqual(b"", await stream.receive_some(10))
-            while one.count_busy():
+            while caller_listener.count_busy():
                 await trio.sleep(0.005)
             took_s = trio.current_time() - stopped_at
             await ended.wait()
--- a/tests/test_forwarding/test_silence.py
+++ b/tests/test_forwarding/test_silence.py
@@ -11,27 +11,25 @@
 from tests import clocked
 from tests import serving_builders as builders
 
-_PATIENCE = silence.SilenceLimits(first_s=0.3, next_s=0.3)
+_LIMITS = silence.SilenceLimits(first_probe_s=0.3, next_probe_s=0.3)
 
 
 class _Connection:
     """What the watch looks at."""
 
     def __init__(self) -> None:
-        self.heard_at = trio.current_time()
-        self.has_answered = False
+        self.last_activity_at = trio.current_time()
+        self.has_response_head = False
         self.has_begun = False
 
 
-async def _is_there(address: str) -> bool:
+async def _find_reachable(address: str) -> bool:
     del address
     return False
 
 
 class SilenceTest(clocked.ClockedTestCase):
-    def _wait(
-        self, patience: silence.SilenceLimits, *, has_begun: bool
-    ) -> float:
+    def _wait(self, limits: silence.SilenceLimits, *, has_begun: bool) -> float:
         """Return how long a silent connection of a live runner is borne."""
         took: list[float] = []
 
@@ -39,9 +37,9 @@
             connection = _Connection()
             connection.has_begun = has_begun
             placement = placer.Placement(builders.build_runner(), 0.0, 0, 1)
-            with mock.patch.object(silence, "_is_gone", _is_there):
-                await silence.wait_until_gone(connection, placement, patience)
-            took.append(trio.current_time() - connection.heard_at)
+            with mock.patch.object(silence, "_is_unreachable", _find_reachable):
+                await silence.wait_until_gone(connection, placement, limits)
+            took.append(trio.current_time() - connection.last_activity_at)
 
         self.run_clocked(scenario)
         return took[0]
@@ -49,18 +47,18 @@
     def test_a_live_runners_connection_may_not_be_silent_for_ever(
         self,
     ) -> None:
-        patience = silence.SilenceLimits(0.3, 0.3, 4.0, 2.0, lambda: True)
-        self.assertAlmostEqual(4.0, self._wait(patience, has_begun=False))
-        self.assertAlmostEqual(2.0, self._wait(patience, has_begun=True))
+        limits = silence.SilenceLimits(0.3, 0.3, 4.0, 2.0, lambda: True)
+        self.assertAlmostEqual(4.0, self._wait(limits, has_begun=False))
+        self.assertAlmostEqual(2.0, self._wait(limits, has_begun=True))
 
     def test_silence_alone_ends_nothing_that_could_not_go_on_elsewhere(
         self,
     ) -> None:
-        may_move_at = trio.current_time
-        patience = silence.SilenceLimits(
-            0.3, 0.3, 4.0, 2.0, lambda: may_move_at() >= 7.0
+        clock = trio.current_time
+        limits = silence.SilenceLimits(
+            0.3, 0.3, 4.0, 2.0, lambda: clock() >= 7.0
         )
-        took_s = self._wait(patience, has_begun=True)
+        took_s = self._wait(limits, has_begun=True)
         self.assertGreaterEqual(took_s, 7.0)
         self.assertLess(took_s, 7.5)
 
@@ -68,18 +66,18 @@
         async def scenario() -> None:
             connection = _Connection()
             placement = placer.Placement(builders.build_runner(), 0.0, 0, 1)
-            asked: list[float] = []
+            probed_times: list[float] = []
 
-            async def ask(address: str) -> bool:
+            async def probe(address: str) -> bool:
                 del address
                 await trio.sleep(0.2)
-                asked.append(trio.current_time())
-                if len(asked) == 1:
-                    connection.heard_at = trio.current_time() - 0.1
+                probed_times.append(trio.current_time())
+                if len(probed_times) == 1:
+                    connection.last_activity_at = trio.current_time() - 0.1
                 return True
 
-            with mock.patch.object(silence, "_is_gone", ask):
-                await silence.wait_until_gone(connection, placement, _PATIENCE)
-            self.assertEqual(2, len(asked))
+            with mock.patch.object(silence, "_is_unreachable", probe):
+                await silence.wait_until_gone(connection, placement, _LIMITS)
+            self.assertEqual(2, len(probed_times))
 
         self.run_clocked(scenario)
--- a/tests/test_forwarding/test_silent_connections.py
+++ b/tests/test_forwarding/test_silent_connections.py
@@ -18,7 +18,7 @@
 from tests import serving_scene
 
 _HANG_S = 20.0
-_PAUSE_S = 0.02
+_POLL_S = 0.02
 _CALL = (
     b"GET /lookup/7 HTTP/1.1\r\nhost: desk.example\r\nattempt-id: call-1\r\n"
     b"deadline-ms: %d\r\n\r\n"
@@ -29,7 +29,7 @@
 _STREAM = _HEAD + b"transfer-encoding: chunked\r\n\r\n"
 _END = b"0\r\n\r\n"
 # What the kernel writes of a timer that asks whether the other side lives.
-_ASKS = "02"
+_KEEPALIVE_TIMER = "02"
 _ESTABLISHED = "01"
 
 
@@ -38,21 +38,23 @@
     return b"%x\r\n%s\r\n" % (len(raw), raw)
 
 
-def _count_asked(address: str) -> int:
+def _count_keepalives(address: str) -> int:
     """Return how many connections to an address the kernel asks about."""
     wanted = f"{int(address.rpartition(':')[2]):04X}"
     lines = pathlib.Path("/proc/self/net/tcp").read_text("ascii").splitlines()
     fields = [line.split() for line in lines[1:]]
     return sum(
-        wanted in {local[-4:], far[-4:]}
+        wanted in {local[-4:], remote[-4:]}
         and state == _ESTABLISHED
-        and timer.startswith(_ASKS)
-        for _, local, far, state, _, timer, *_ in fields
+        and timer.startswith(_KEEPALIVE_TIMER)
+        for _, local, remote, state, _, timer, *_ in fields
     )
 
 
-async def _start_engine(
-    nursery: trio.Nursery, scene: serving_scene.Scene, asked: list[bytes]
+async def _start_stream_runner(
+    nursery: trio.Nursery,
+    scene: serving_scene.Scene,
+    request_heads: list[bytes],
 ) -> proxy.FaultyProxy:
     """Start a runner that gives one event, and the next to who has that."""
 
@@ -67,7 +69,7 @@
             if not piece:
                 return
             head += piece
-        asked.append(head)
+        request_heads.append(head)
         if b"last-event-id: 1" in head:
             await stream.send_all(_STREAM + _event(2) + _END)
             return
@@ -77,10 +79,10 @@
     listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
     port = listeners[0].socket.getsockname()[1]
     nursery.start_soon(trio.serve_listeners, serve, listeners)
-    front = proxy.FaultyProxy(f"127.0.0.1:{port}")
-    await nursery.start(front.run)
-    scene.add_runner(front.address)
-    return front
+    fault_proxy = proxy.FaultyProxy(f"127.0.0.1:{port}")
+    await nursery.start(fault_proxy.run)
+    scene.add_runner(fault_proxy.address)
+    return fault_proxy
 
 
 class _SilentTestCase(testtools.TestCase):
@@ -168,24 +170,25 @@
     ) -> None:
         async def scenario(scene: serving_scene.Scene) -> None:
             async with trio.open_nursery() as nursery:
-                asked: list[bytes] = []
-                fronts = [
-                    await _start_engine(nursery, scene, asked) for _ in range(2)
+                request_heads: list[bytes] = []
+                fault_proxies = [
+                    await _start_stream_runner(nursery, scene, request_heads)
+                    for _ in range(2)
                 ]
                 caller = await scene.open_caller()
                 await caller.send_all(_CALL % 8000)
-                got = b""
-                while b"token 1" not in got:
-                    got += await caller.receive_some(1000)
-                for front in fronts:
-                    front.silence_connections()
-                while not got.endswith(_END):
+                received = b""
+                while b"token 1" not in received:
+                    received += await caller.receive_some(1000)
+                for fault_proxy in fault_proxies:
+                    fault_proxy.silence_connections()
+                while not received.endswith(_END):
                     piece = await caller.receive_some(1000)
                     self.assertNotEqual(b"", piece, "cut off")
-                    got += piece
-                self.assertEqual(2, len(asked))
-                self.assertEqual(1, got.count(b"token 1"))
-                self.assertEqual(1, got.count(b"token 2"))
+                    received += piece
+                self.assertEqual(2, len(request_heads))
+                self.assertEqual(1, received.count(b"token 1"))
+                self.assertEqual(1, received.count(b"token 2"))
                 nursery.cancel_scope.cancel()
 
         self._run(
@@ -204,7 +207,7 @@
                 async with connections.connect_runner(
                     server.address, 5.0, lasts_s=5.0
                 ):
-                    self.assertEqual(1, _count_asked(server.address))
+                    self.assertEqual(1, _count_keepalives(server.address))
                 nursery.cancel_scope.cancel()
 
         trio.run(scenario)
@@ -225,9 +228,9 @@
             await caller.connect((host, int(port)))
             await caller.send(_CALL % 5000)
             while not self._count_open(scene):
-                await trio.sleep(_PAUSE_S)
+                await trio.sleep(_POLL_S)
             while self._count_open(scene):
-                await trio.sleep(_PAUSE_S)
+                await trio.sleep(_POLL_S)
             caller.close()
 
         self._run(scenario, [Script((answer,))])
@@ -237,7 +240,7 @@
             async with await scene.open_caller() as caller:
                 await caller.send_all(_CALL % 5000)
                 while not scene.runners[0].requests:
-                    await trio.sleep(_PAUSE_S)
-                self.assertEqual(1, _count_asked(scene.address))
+                    await trio.sleep(_POLL_S)
+                self.assertEqual(1, _count_keepalives(scene.address))
 
         self._run(scenario, [_SILENT])
--- a/tests/test_forwarding/test_stop_window.py
+++ b/tests/test_forwarding/test_stop_window.py
@@ -13,36 +13,36 @@
 _GRACE_S = 7.6
 # Of a stream of 240 tokens that an engine begins within 0.4 s.
 _TOKENS = 240
-_BEGIN_S = 0.4
-_WRITE_S = 3.0
+_FIRST_EVENT_S = 0.4
+_GENERATION_S = 3.0
 
 
 class StopWindowTest(clocked.ClockedTestCase):
     def _find_overrun(
         self,
-        at_s: float,
+        after_s: float,
         *,
         tokens: int | None = _TOKENS,
         kind: catalog.CallKind = catalog.CallKind.STREAM,
         budget_s: float = 15.0,
-        learnt: int = 20,
+        samples: int = 20,
     ) -> float:
         """Return the overrun of a request that comes so long after SIGTERM."""
-        found = []
+        overruns = []
 
         async def scenario() -> None:
             streams = lengths.StreamLengths()
-            for _ in range(learnt):
-                streams.note("model", _BEGIN_S, _TOKENS, _WRITE_S)
+            for _ in range(samples):
+                streams.note("model", _FIRST_EVENT_S, _TOKENS, _GENERATION_S)
             window = stop_window.StopWindow(streams)
             end = trio.current_time() + _GRACE_S
             window.begin(lambda: end)
-            await trio.sleep(at_s)
+            await trio.sleep(after_s)
             request = stop_window.LastRequest("model", kind, tokens, budget_s)
-            found.append(window.find_overrun(request))
+            overruns.append(window.find_overrun(request))
 
         self.run_clocked(scenario)
-        return found[0]
+        return overruns[0]
 
     def test_a_short_stream_is_let_in_and_a_long_one_is_not(self) -> None:
         self.assertEqual(0.0, self._find_overrun(3.4, tokens=15))
@@ -56,16 +56,19 @@
         self.assertEqual(0.0, self._find_overrun(3.4, budget_s=4.0))
 
     def test_with_nothing_learnt_the_callers_time_counts(self) -> None:
-        self.assertGreater(self._find_overrun(0.0, learnt=1), 0.0)
-        self.assertEqual(0.0, self._find_overrun(0.0, learnt=1, budget_s=5.0))
+        self.assertGreater(self._find_overrun(0.0, samples=1), 0.0)
+        self.assertEqual(0.0, self._find_overrun(0.0, samples=1, budget_s=5.0))
 
     def test_a_plain_call_goes_by_its_callers_time(self) -> None:
-        plain = catalog.CallKind.NON_IDEMPOTENT
-        for at_s, budget_s, fits in [(3.4, 1.0, True), (7.0, 1.0, False)]:
+        kind_of_call = catalog.CallKind.NON_IDEMPOTENT
+        for after_s, budget_s, is_accepted in [
+            (3.4, 1.0, True),
+            (7.0, 1.0, False),
+        ]:
             overrun_s = self._find_overrun(
-                at_s, kind=plain, tokens=None, budget_s=budget_s
+                after_s, kind=kind_of_call, tokens=None, budget_s=budget_s
             )
-            self.assertEqual(fits, overrun_s == 0.0)
+            self.assertEqual(is_accepted, overrun_s == 0.0)
 
     def test_without_a_stop_everything_is_let_in(self) -> None:
         window = stop_window.StopWindow(lengths.StreamLengths())
