--- a/packages/daemon/src/martenquay_daemon/forwarding/caller_connection.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/caller_connection.py
@@ -1,9 +1,8 @@
-"""Serve one caller's connection, request after request.
+"""HTTP/1.1 server side of one caller's keep-alive connection.
 
-hypercorn takes its limits once at the start and keeps the connection to
-itself; here limits change with the catalog, an answer may have to break off
-visibly, and a stop may close a connection only between requests. So h11, on
-which hypercorn rests, is used directly.
+It uses h11 directly, since hypercorn fixes its limits at startup and hides
+the connection. Here the limits follow the catalog, a truncated answer must
+look truncated, and a graceful stop closes connections between requests only.
 """
 
 from __future__ import annotations
@@ -25,25 +24,25 @@
 
 _LOG = logs.create_log("callers")
 _RECEIVE_BYTES = 65_536
-# What a caller may send ahead while its request is still being answered.
+# Pipelined bytes that are buffered while a request is being answered; without
+# a limit a caller could fill the daemon's memory.
 _MAX_PIPELINED_BYTES = 65_536
-# For this long unread bytes are thrown away after a refusal, so that closing
-# does not reset the connection before the caller has read it.
+# After an early rejection unread bytes are discarded for this long: closing
+# with unread bytes sends a reset, and the caller would lose the answer.
 _LINGER_TIMEOUT_S = 1.0
-# A caller has to take a piece of an answer in this time. One that takes a few
-# bytes now and then is live to the kernel, and would hold its answer for ever.
+# A caller has to accept each chunk of an answer within the timeout. TCP
+# keep-alive doesn't find one that reads a few bytes now and then.
 _SEND_CHUNK_BYTES = 65_536
 _SEND_TIMEOUT_S = 5.0
-# A request may be on its way, or unread, when a stop comes to a resting
-# connection. An assumption: far above a way in one region, and with the
-# listener's wait below the 0.3 s that a stop may take longer for it.
+# A stop keeps reading idle connections for this long, since a request may be
+# in transit; longer than a round trip within a region.
 _FINAL_READ_S = 0.2
-# A head line and the separators that h11 takes apart.
+# The ": " and line end of a header, which h11 strips.
 _HEADER_LINE_OVERHEAD_BYTES = 4
 
 
 class CallHandler(Protocol):
-    """Answers whole requests."""
+    """Answers requests whose body has been read."""
 
     async def handle(
         self,
@@ -51,15 +50,21 @@
         received_at: float,
         writer: answers.AnswerWriter,
     ) -> None:
-        """Answer one request."""
+        """Answer one request.
+
+        Args:
+            call: The request with its whole body.
+            received_at: When its first byte came, in trio's time.
+            writer: Sends the answer.
+        """
 
 
 class ListenerState(Protocol):
-    """What binds all caller connections.
+    """State that all connections of a listener share.
 
     Attributes:
-        is_closing: Connections end after their next answer.
-        is_stopped: Connections end as soon as they rest.
+        is_closing: Each connection closes after its next answer.
+        is_stopped: Idle connections close as well.
     """
 
     is_closing: bool
@@ -71,17 +76,26 @@
 
 @dataclasses.dataclass
 class _RequestRejectedError(Exception):
-    """The request cannot be taken."""
+    """The request is malformed, too large or too slow.
+
+    Attributes:
+        answer: The error response for the caller.
+    """
 
     answer: answers.OwnAnswer
 
 
 class _CallerDisconnectedError(Exception):
-    """The caller closed the connection."""
+    """The caller closed its connection in the middle of a request."""
 
 
 class _AnswerWriter:
-    """Write one answer to the connection."""
+    """Writes the answer to one request to the caller's connection.
+
+    Attributes:
+        has_started: The response head has been passed to the connection.
+        is_aborted: The connection must close without completing the answer.
+    """
 
     def __init__(self, connection: CallerConnection) -> None:
         self.has_started = False
@@ -96,29 +110,29 @@
     async def start(
         self, status: int, headers: calls.Headers, length: int | None
     ) -> None:
-        """Send the head."""
+        """Send the response head."""
         self.has_started = True
         await self._connection.send_head(status, headers, length)
 
     async def write(self, data: bytes) -> None:
-        """Send a piece of the body."""
+        """Send a chunk of the body."""
         if data:
             await self._connection.send_event(h11.Data(data=data))
 
     async def finish(self) -> None:
-        """End the answer as complete."""
+        """Mark the body as complete."""
         await self._connection.send_event(h11.EndOfMessage())
 
     def abort(self) -> None:
-        """Have the connection closed without the answer's end."""
+        """Have the connection closed, so that the answer looks truncated."""
         self.is_aborted = True
 
 
 class CallerConnection:
-    """One connection of a caller.
+    """One keep-alive connection of a caller.
 
     Attributes:
-        is_idle: No request has begun to come in and none is being answered.
+        is_idle: No request is being read or answered.
     """
 
     def __init__(
@@ -139,7 +153,7 @@
         )
         self._has_partial_write = False
         self._received_at = 0.0
-        # The request that is being read, as far as its head has told.
+        # Empty until the head of the current request has been read.
         self._call_id = ""
         self._idle_scope: trio.CancelScope | None = None
 
@@ -158,20 +172,26 @@
                 self._call_id, departure.Stage.READING, self._received_at
             )
         except (trio.BrokenResourceError, trio.ClosedResourceError):
-            # The caller left; what that means was decided where it matters.
+            # The caller disconnected; the handler has accounted for it.
             return
         finally:
             await trio.aclose_forcefully(self._stream)
 
     def close_if_idle(self) -> None:
-        """Close soon if no request is under way or comes in just now."""
+        """Close the connection unless a request starts within a moment."""
         if self.is_idle and self._idle_scope is not None:
             self._shorten_idle_wait(self._idle_scope)
 
     async def send_head(
         self, status: int, headers: calls.Headers, length: int | None
     ) -> None:
-        """Send an answer's head."""
+        """Send a response head.
+
+        Args:
+            status: The HTTP status.
+            headers: Headers other than those that frame the body.
+            length: Size of the body in bytes; None for a chunked body.
+        """
         headers = list(headers)
         if length is not None:
             headers.append((b"content-length", str(length).encode()))
@@ -182,25 +202,23 @@
         )
 
     def receive_bytes(self, data: bytes) -> h11.Event | type[h11.NEED_DATA]:
-        """Take bytes that the caller has sent; return what they begin."""
+        """Feed bytes from the caller to the parser and return its event."""
         self._http.receive_data(data)
         return self._parse_event()
 
     async def send_event(self, event: h11.Event) -> None:
-        """Send one event of an answer.
-
-        An attempt at a runner may be given up while a piece of its answer is
-        being sent. What the caller has then is half a piece, and nothing may
-        follow it.
+        """Send one h11 event of an answer.
 
         Raises:
-            trio.BrokenResourceError: The caller is gone or takes nothing, or
-                an earlier piece was sent in part.
+            trio.BrokenResourceError: The caller disconnected or stopped
+                reading, or an earlier event was sent only in part.
         """
         if self._has_partial_write:
             raise trio.BrokenResourceError("a piece was sent in part")
         data = self._http.send(event)
         if data:
+            # Stays set if the send is cancelled: later bytes would then follow
+            # half a chunk and corrupt the answer.
             self._has_partial_write = True
             await self._send_with_timeout(data)
             self._has_partial_write = False
@@ -217,7 +235,7 @@
                 raise trio.BrokenResourceError("the caller takes nothing")
 
     async def _serve_one(self) -> bool:
-        """Serve one request; tell whether another may follow."""
+        """Serve one request; return whether another may follow."""
         self._limits = self._listener_state.find_limits()
         self.is_idle = True
         self._call_id = ""
@@ -236,17 +254,18 @@
         return self._http.their_state is h11.DONE
 
     async def _handle_call(self, call: calls.Call) -> _AnswerWriter:
-        """Have the call answered while watching whether the caller leaves."""
+        """Run the handler, and cancel it if the caller disconnects."""
         writer = _AnswerWriter(self)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._watch_for_disconnect, nursery.cancel_scope)
             try:
                 await self._handler.handle(call, self._received_at, writer)
             except (trio.BrokenResourceError, trio.ClosedResourceError):
-                # Only sending to the caller raises these here.
+                # Sending to the caller failed; the handler raises these for
+                # nothing else.
                 writer.abort()
             except Exception as error:  # noqa: BLE001
-                # The caller would see only a reset, with nothing to go by.
+                # Otherwise the caller would see a reset without an answer.
                 trace_lines = traceback.format_exception(error)
                 _LOG.write(
                     f"A request failed: {error!r}.",
@@ -260,7 +279,7 @@
     async def _answer_handler_error(
         self, call: calls.Call, writer: _AnswerWriter
     ) -> None:
-        """Say that the request may have run, or break off what has begun."""
+        """Answer that the request may have run, or truncate the answer."""
         if writer.has_started:
             writer.abort()
             return
@@ -283,12 +302,13 @@
                 return
             pipelined_bytes += len(data)
             self._http.receive_data(data)
-        # The rest has to wait for its turn, and the close stands behind it.
+        # Bytes beyond the limit stay unread, and the end of the stream is
+        # behind them, so the kernel has to be asked for it.
         await departure.wait_until_left(self._stream.socket)
         scope.cancel()
 
     async def _read_call(self) -> calls.Call | None:
-        """Read a whole request; None if the connection ends before one."""
+        """Read a whole request; None if the connection ends before it."""
         head = await self._read_head()
         if head is None:
             return None
@@ -324,7 +344,7 @@
         raise _RequestRejectedError(answers.create_own_answer(code, message))
 
     async def _wait_for_first_bytes(self) -> bool:
-        """Wait for a request to begin; False when the rest is over."""
+        """Wait for a request to start; False after the idle timeout."""
         buffered, _ = self._http.trailing_data
         if buffered:
             self._received_at = trio.current_time()
@@ -339,8 +359,8 @@
         return not scope.cancelled_caught
 
     def _shorten_idle_wait(self, scope: trio.CancelScope) -> None:
-        # A cancelled read would leave unread what the kernel has already, and
-        # the close would reset it.
+        # Cancelling at once would leave bytes unread that the kernel has
+        # received, and closing would reset the connection on their sender.
         final_read_at = trio.current_time() + _FINAL_READ_S
         scope.deadline = min(scope.deadline, final_read_at)
 
@@ -418,7 +438,7 @@
         return answers.create_own_answer(code, message)
 
     async def _reject(self, answer: answers.OwnAnswer) -> None:
-        """Answer a request that was not read to its end, then close."""
+        """Answer a request that was not read completely, then close."""
         _LOG.write(
             f"Refused a request: {answer.message}.",
             status=answer.status,
--- a/packages/daemon/src/martenquay_daemon/forwarding/event_stream.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/event_stream.py
@@ -1,4 +1,4 @@
-"""Cut a stream of server-sent events into whole events."""
+"""Incremental splitter for server-sent events (WHATWG HTML, 9.2)."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Event:
-    """One whole event.
+    """One complete event.
 
     Attributes:
-        raw: Its bytes with the empty line that ends it.
-        id: Its id; None if it has no whole number as id.
+        raw: Its bytes, including the blank line that ends it.
+        id: Its `id` field; None if that is missing or not a whole number.
     """
 
     raw: bytes
@@ -24,17 +24,17 @@
 
 
 class EventSplitter:
-    """Collect bytes and give out the events that are whole.
+    """Buffers bytes until they form complete events.
 
     Attributes:
-        rest: Bytes of an event that is not whole yet.
+        rest: Bytes of the event that is still incomplete.
     """
 
     def __init__(self) -> None:
         self.rest = b""
 
     def feed(self, data: bytes) -> list[Event]:
-        """Take bytes and return the events that they complete."""
+        """Add bytes and return the events that they complete."""
         events = []
         self.rest += data.replace(b"\r\n", b"\n") if b"\r" in data else data
         while True:
--- a/packages/daemon/src/martenquay_daemon/forwarding/listener.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/listener.py
@@ -1,4 +1,4 @@
-"""Accept callers' connections until a planned stop."""
+"""TCP listener for callers, with a graceful stop."""
 
 from __future__ import annotations
 
@@ -20,25 +20,25 @@
 
 _LOG = logs.create_log("callers")
 _BACKLOG = 1024
-# The last packet of a handshake may be on its way when accepting stops, and a
-# request right behind it. An assumption: far above a way in one region. With
-# the last look at resting connections it delays a stop by up to 0.25 s.
+# A stop keeps accepting for this long, so that handshakes in transit are not
+# reset; longer than a round trip within a region.
 _ACCEPT_DRAIN_S = 0.05
-# Out of descriptors: wait for some connection to end.
+# Pause after a failed accept for lack of descriptors, which would fail again
+# at once and keep the processor busy.
 _ACCEPT_RETRY_DELAY_S = 0.05
-# A caller that waits for its answer says nothing. One that is gone without a
-# word must not keep runners at work, nor hold a descriptor until its answer is
-# due. It may be far away: found out after 6 s, three asks may be lost.
+# A caller that waits for its answer sends nothing, so TCP keep-alive has to
+# find one whose host is gone; it would keep a runner working until the
+# deadline. Three probes, since callers may be on distant, lossy networks.
 _KEEPALIVE = keepalive.KeepAlive(idle_s=3, asks=3)
 _RESOURCE_ERRNOS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS})
 
 
 class CallerListener:
-    """Serve callers.
+    """Accepts callers' connections and serves each in a task of its own.
 
     Attributes:
-        is_closing: Connections end after their next answer.
-        is_stopped: Connections end as soon as they rest.
+        is_closing: Each connection closes after its next answer.
+        is_stopped: Idle connections close, and no more are accepted soon.
     """
 
     def __init__(
@@ -63,19 +63,21 @@
         return self._store.table.catalog.limits
 
     def count_busy(self) -> int:
-        """Return how many connections have a request under way, or may."""
+        """Return how many connections have, or may have, a request.
+
+        During a stop, accepting the queued connections counts as one more.
+        """
         if self.is_stopped:
-            # A request may be unread in any of them; those that rest end by
-            # themselves.
+            # An idle connection may hold an unread request until it closes.
             return len(self._connections) + self._is_draining
         return sum(not connection.is_idle for connection in self._connections)
 
     def begin_closing(self) -> None:
-        """Have each connection end after its next answer."""
+        """Have each connection close after its next answer."""
         self.is_closing = True
 
     def stop_accepting(self) -> None:
-        """Take no more connections soon, and close those that rest."""
+        """Accept the queued connections and no more; close idle ones."""
         self.is_closing = True
         self.is_stopped = True
         self._is_draining = True
@@ -86,12 +88,16 @@
     async def run(
         self, *, task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Accept connections; return when all have ended after a stop."""
+        """Accept connections; return when all are closed after a stop.
+
+        Args:
+            task_status: Receives the address once the socket listens.
+        """
         host, _, port = self._address.rpartition(":")
         raw_socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         listening_socket = trio.socket.from_stdlib_socket(raw_socket)
         listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        # Connections that it accepts inherit them.
+        # Accepted sockets inherit these options.
         keepalive.enable_keepalive(listening_socket, _KEEPALIVE)
         await listening_socket.bind((host, int(port)))
         listening_socket.listen(_BACKLOG)
@@ -101,8 +107,8 @@
             with self._accept_scope:
                 while True:
                     await self._accept_one(listening_socket, nursery)
-            # Callers of connections that the kernel holds ready may have sent
-            # whole requests; closing the listener would reset them.
+            # Closing the socket resets the connections in its accept queue,
+            # which may already hold requests.
             with trio.move_on_after(_ACCEPT_DRAIN_S):
                 while True:
                     await self._accept_one(listening_socket, nursery)
@@ -125,7 +131,7 @@
     def _accept_queued(
         self, raw_socket: socket.socket, nursery: trio.Nursery
     ) -> None:
-        """Accept what is ready now, with no moment for more to come."""
+        """Accept what the kernel has queued, without waiting for more."""
         for _ in range(_BACKLOG):
             try:
                 sock, _ = raw_socket.accept()
@@ -146,7 +152,7 @@
         connection = caller_connection.CallerConnection(
             trio.SocketStream(sock), self._codec, self._handler, self
         )
-        # Before its task runs, or a stop could end between the two.
+        # Added before its task runs, or a stop in between would miss it.
         self._connections.add(connection)
         nursery.start_soon(self._serve_connection, connection)
 
@@ -156,7 +162,7 @@
         try:
             await connection.serve()
         except Exception as error:  # noqa: BLE001
-            # One connection's fault must not end the daemon.
+            # Otherwise the nursery would end all other connections too.
             _LOG.write(f"A connection failed: {error!r}.")
         finally:
             self._connections.discard(connection)
--- a/packages/daemon/src/martenquay_daemon/forwarding/runner_connection.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/runner_connection.py
@@ -1,10 +1,9 @@
-"""Make one call at a runner over a connection of its own.
+"""HTTP/1.1 client that sends one request to a runner on a new connection.
 
-httpcore sends a request again by itself when a kept connection turns out to
-be closed, and hides whether anything was sent; calls that may not run twice
-need to know. h11, on which httpcore rests, is used directly instead. Each
-call gets a fresh connection: a runner that is gone is found before anything
-was sent, and no late answer to another request can come first.
+It uses h11 directly, since httpcore retries on its own when a pooled
+connection is closed and hides whether the request was sent, which decides
+whether a non-idempotent request may be retried. A new connection for each
+request finds a dead runner before anything is sent.
 """
 
 from __future__ import annotations
@@ -34,21 +33,19 @@
 ]
 
 _RECEIVE_BYTES = 65_536
-# Closing resets: what a cut holds up of a request that was given up must not
-# reach the runner when the cut heals.
+# SO_LINGER with a timeout of 0 s: close() resets the connection. Otherwise the
+# kernel would retransmit an abandoned request after a network partition.
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-
-# A runner that works says nothing for long, so only the kernel can tell; its
-# machine answers in a few ms. Found out after 3 s: two asks may be lost on a
-# bad way once in a thousand times, a request must not be given up for one.
+# A working runner may send nothing for long, so TCP keep-alive has to find one
+# that is gone. Two probes, so that one lost packet ends no request.
 _KEEPALIVE = keepalive.KeepAlive(idle_s=1, asks=2)
 
 
 class NotConnectedError(Exception):
-    """No connection came up, so nothing was sent.
+    """The connection could not be opened, so nothing was sent.
 
     Attributes:
-        is_refused: The machine answered that nobody listens there.
+        is_refused: The runner's host refused the connection.
     """
 
     def __init__(self, reason: str, *, is_refused: bool = False) -> None:
@@ -57,17 +54,17 @@
 
 
 class BrokenAnswerError(Exception):
-    """The runner broke off or sent what is no answer."""
+    """The connection broke or the response is incomplete or not HTTP."""
 
 
 @dataclasses.dataclass(frozen=True)
 class RunnerRequest:
-    """What goes out to a runner.
+    """An HTTP request to a runner.
 
     Attributes:
         method: The HTTP method.
         target: Path and query.
-        headers: All headers, with the body's length if there is one.
+        headers: All headers, including those that frame the body.
         body: The whole body.
     """
 
@@ -78,13 +75,13 @@
 
 
 class RunnerConnection:
-    """One connection, used for one request and its answer.
+    """A connection to a runner, for one request and its response.
 
     Attributes:
         last_activity_at: When the runner last sent bytes, or else when the
             connection opened, in trio's time.
-        has_response_head: The answer's head has come.
-        has_begun: The first event of a stream has come.
+        has_response_head: The response head has been received.
+        has_begun: The first event of a stream has been received.
     """
 
     def __init__(self, stream: trio.SocketStream) -> None:
@@ -98,7 +95,7 @@
         """Send the request.
 
         Raises:
-            BrokenAnswerError: The connection broke; it may have run.
+            BrokenAnswerError: The connection broke; the request may have run.
         """
         head = h11.Request(
             method=request.method,
@@ -115,10 +112,11 @@
             raise BrokenAnswerError(f"while sending: {error}") from error
 
     async def read_head(self) -> tuple[int, calls.Headers]:
-        """Return status and headers of the answer.
+        """Return the status and headers of the response.
 
         Raises:
-            BrokenAnswerError: No answer came, or bytes that form none.
+            BrokenAnswerError: The connection ended before the response head,
+                or the bytes are not HTTP.
         """
         while True:
             event = await self._next_event()
@@ -132,7 +130,7 @@
                     raise BrokenAnswerError("closed without an answer")
 
     async def iterate_body(self) -> AsyncIterator[bytes]:
-        """Yield the body's pieces as they come.
+        """Yield chunks of the body as they arrive.
 
         Raises:
             BrokenAnswerError: The body ended early.
@@ -157,7 +155,7 @@
         return b"".join(chunks)
 
     async def close(self) -> None:
-        """Close at once; a runner that is at work sees that nobody waits."""
+        """Reset the connection, so that a working runner can stop."""
         await trio.aclose_forcefully(self._stream)
 
     async def _next_event(self) -> h11.Event:
@@ -174,8 +172,8 @@
                 trio.BrokenResourceError,
                 trio.ClosedResourceError,
             ) as error:
-                # A reset also ends answers that have no length of their own,
-                # so it must never pass for the answer's end.
+                # Not passed on to h11 as the end of the stream: that would
+                # complete a response without a content length.
                 raise BrokenAnswerError(f"reset: {error}") from error
             self.last_activity_at = trio.current_time()
             self._http.receive_data(data)
@@ -185,16 +183,16 @@
 async def connect_runner(
     address: str, timeout_s: float, *, lasts_s: float = 0.0
 ) -> AsyncIterator[RunnerConnection]:
-    """Open a connection to `address` (host and port); leaving closes it.
+    """Open a connection to a runner; leaving the context closes it.
 
     Args:
         address: Host and port.
-        timeout_s: In which it has to come up.
-        lasts_s: How long it may be used. One that may outlast its kernel's
-            patience has the kernel ask; for others the calls would be in vain.
+        timeout_s: Timeout for connecting.
+        lasts_s: Longest time for which the connection is used. A short one
+            does without TCP keep-alive, which would not probe in that time.
 
     Raises:
-        NotConnectedError: It did not come up within `timeout_s`.
+        NotConnectedError: The connection was not opened within `timeout_s`.
     """
     host, _, port = address.rpartition(":")
     sock = trio.socket.socket(socket.AF_INET, socket.SOCK_STREAM)
--- a/packages/daemon/src/martenquay_daemon/forwarding/silence.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/silence.py
@@ -1,9 +1,9 @@
-"""Find out whether a runner that has fallen silent is still there.
+"""Probe a runner whose connection is silent, to tell slow from dead.
 
-A runner without power says nothing, and neither does one that reads a long
-prompt. A connection tells them apart: the machine of a live runner takes it
-within milliseconds, however busy the runner is. But a connection may also be
-silent for good while its runner lives; then only its silence itself tells.
+A runner that reads a long prompt sends nothing, like one whose host is down.
+A new TCP connection tells them apart, since the kernel of a live host accepts
+it at once. A connection that broke while its runner lives is found only by a
+limit on its silence.
 """
 
 from __future__ import annotations
@@ -26,15 +26,18 @@
 __all__ = ["SilenceLimits", "Verdict", "wait_until_gone"]
 
 _LOG = logs.create_log("forwarding")
-# As for requests: a live machine answers in a few ms.
 _PROBE_TIMEOUT_S = 0.1
-# After this many probes without an answer the runner is taken as gone; one
-# packet may be lost on the way.
+# A single probe may fail because a packet is lost.
 _PROBE_ATTEMPTS = 2
 
 
 class Verdict(enum.Enum):
-    """Why a runner is not waited for any longer."""
+    """Why an attempt is abandoned.
+
+    Attributes:
+        GONE: The runner accepts no connection.
+        SILENT: The connection was silent for longer than its limit.
+    """
 
     GONE = enum.auto()
     SILENT = enum.auto()
@@ -46,15 +49,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class SilenceLimits:
-    """How long a runner may be silent before it is asked.
+    """How long a runner may be silent before it is probed or abandoned.
 
     Attributes:
-        first_probe_s: Before the answer's head has come.
-        next_probe_s: After that, and after each time that it was there.
-        max_silence_s: However live it is, before a stream has begun.
-        max_pause_s: The same between a stream's events.
-        may_move: Asked when the last two are over: whether another runner
-            may take the request now. If not, silence is no reason to end it.
+        first_probe_s: Silence before a probe, until the response head.
+        next_probe_s: Silence before a probe, after the response head.
+        max_silence_s: Silence before the attempt is abandoned although the
+            runner is reachable, until the first event of a stream.
+        max_pause_s: The same after the first event of a stream.
+        may_move: Returns whether another runner may get the request now.
+            While it may not, silence alone doesn't end the attempt.
     """
 
     first_probe_s: float
@@ -69,7 +73,16 @@
     placement: placer.Placement,
     limits: SilenceLimits,
 ) -> Verdict:
-    """Return when the runner is gone, or the connection silent too long."""
+    """Return when the runner is unreachable or silent beyond its limit.
+
+    Args:
+        connection: The connection with the request in progress.
+        placement: The runner that serves the request.
+        limits: How long the connection may be silent.
+
+    Returns:
+        Why the attempt is to be abandoned.
+    """
     probed_at = connection.last_activity_at
     while True:
         now = trio.current_time()
@@ -92,7 +105,7 @@
             continue
         last_activity_at = connection.last_activity_at
         is_unreachable = await _is_unreachable(placement.runner.address)
-        # What came while it was asked says more than the probe.
+        # Bytes that arrived during the probe prove that the runner lives.
         if is_unreachable and connection.last_activity_at == last_activity_at:
             _log_unresponsive(
                 placement, connection, "is silent and takes no connection"
--- a/packages/daemon/src/martenquay_daemon/forwarding/stop_window.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/stop_window.py
@@ -1,4 +1,4 @@
-"""Tell which requests still come to their end before a planned stop."""
+"""Estimate whether a new request can finish before a graceful stop ends."""
 
 from __future__ import annotations
 
@@ -16,23 +16,20 @@
 
 __all__ = ["LastRequest", "StopWindow"]
 
-# How many times the mean of streams that ask for as many tokens one may take.
-# Of 2,467 chats of some seconds on a day of high load one in a hundred took
-# more than 2.3 times it, of 8,514 streams of all lengths one in twenty 2.6
-# times. A stream that is cut is lost with all that its caller has waited; one
-# that is turned away begins elsewhere within milliseconds.
+# Longest duration of a stream as a multiple of the mean for its token count.
+# Generous, since a truncated stream costs its caller more than a rejected one.
 _MAX_DURATION_FACTOR = 3.0
 
 
 @dataclasses.dataclass(frozen=True)
 class LastRequest:
-    """A request that comes while this daemon may be stopping.
+    """What bounds the duration of a request that is not sent yet.
 
     Attributes:
-        service: Whose runner is to answer it.
-        kind: Of its route.
-        tokens: The most tokens that it asks for; None if it does not say.
-        time_left_s: Until its caller or its route gives it up.
+        service: The service that it is for.
+        kind: The kind of its route.
+        max_tokens: Limit of generated tokens; None if the request has none.
+        time_left_s: Time until its deadline.
     """
 
     service: str
@@ -42,29 +39,29 @@
 
 
 class StopWindow:
-    """How much time a stop leaves, and who can use it."""
+    """Time that a graceful stop leaves for new requests."""
 
     def __init__(self, stream_lengths: lengths.StreamLengths) -> None:
         self._stream_lengths = stream_lengths
         self._find_deadline: Callable[[], float] | None = None
 
     def begin(self, find_deadline: Callable[[], float]) -> None:
-        """Begin to stop.
+        """Start the stop.
 
         Args:
-            find_deadline: Returns when all has to be over, in trio's time;
-                operators may move it.
+            find_deadline: Returns when all requests must have ended, in trio's
+                time; operators may change it during the stop.
         """
         self._find_deadline = find_deadline
 
     def find_overrun(self, request: LastRequest) -> float:
-        """Return by how much a request may outlast the stop.
+        """Return by how many seconds a request may outlast the stop.
 
         Args:
-            request: The request, not yet sent to anybody.
+            request: A request that is not sent to a runner yet.
 
         Returns:
-            Seconds; 0 if there is no stop or its time suffices.
+            Seconds; 0 if there is no stop or the request fits into it.
         """
         if self._find_deadline is None:
             return 0.0
@@ -74,7 +71,7 @@
         )
 
     def _estimate_max_duration(self, request: LastRequest) -> float:
-        """Return the longest time that an answer takes, as far as known."""
+        """Return the longest expected duration of a request in seconds."""
         is_stream = request.kind is catalog.CallKind.STREAM
         if not is_stream or request.max_tokens is None:
             return request.time_left_s
