--- a/packages/daemon/src/martenquay_daemon/forwarding/caller_connection.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/caller_connection.py
@@ -214,7 +214,9 @@
                 reading, or an earlier event was sent only in part.
         """
         if self._has_partial_write:
-            raise trio.BrokenResourceError("a piece was sent in part")
+            raise trio.BrokenResourceError(
+                "an earlier chunk was sent only in part"
+            )
         data = self._http.send(event)
         if data:
             # Stays set if the send is cancelled: later bytes would then follow
@@ -231,8 +233,11 @@
                     view[offset : offset + _SEND_CHUNK_BYTES]
                 )
             if scope.cancelled_caught:
-                _LOG.write("A caller takes nothing.", waited_s=_SEND_TIMEOUT_S)
-                raise trio.BrokenResourceError("the caller takes nothing")
+                _LOG.write(
+                    "Closing a connection: its caller stopped reading.",
+                    waited_s=_SEND_TIMEOUT_S,
+                )
+                raise trio.BrokenResourceError("the caller stopped reading")
 
     async def _serve_one(self) -> bool:
         """Serve one request; return whether another may follow."""
@@ -268,7 +273,7 @@
                 # Otherwise the caller would see a reset without an answer.
                 trace_lines = traceback.format_exception(error)
                 _LOG.write(
-                    f"A request failed: {error!r}.",
+                    f"Unexpected error in the handler of a request: {error!r}.",
                     request=call.id,
                     trace="".join(trace_lines),
                 )
@@ -440,7 +445,7 @@
     async def _reject(self, answer: answers.OwnAnswer) -> None:
         """Answer a request that was not read completely, then close."""
         _LOG.write(
-            f"Refused a request: {answer.message}.",
+            f"Rejected an incomplete request: {answer.message}.",
             status=answer.status,
             code=int(answer.code),
         )
--- a/packages/daemon/src/martenquay_daemon/forwarding/listener.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/listener.py
@@ -123,7 +123,9 @@
             sock, _ = await listening_socket.accept()
         except OSError as error:
             if error.errno in _RESOURCE_ERRNOS:
-                _LOG.write("No descriptor is free for another connection.")
+                _LOG.write(
+                    "Cannot accept a connection: out of descriptors or buffers."
+                )
                 await trio.sleep(_ACCEPT_RETRY_DELAY_S)
             return
         self._start_connection(sock, nursery)
@@ -139,7 +141,10 @@
                 continue
             except OSError as error:
                 if error.errno in _RESOURCE_ERRNOS:
-                    _LOG.write("No descriptor is free at the stop.")
+                    _LOG.write(
+                        "Cannot accept queued connections at the stop: "
+                        "out of descriptors or buffers."
+                    )
                 return
             self._start_connection(
                 trio.socket.from_stdlib_socket(sock), nursery
@@ -163,6 +168,6 @@
             await connection.serve()
         except Exception as error:  # noqa: BLE001
             # Otherwise the nursery would end all other connections too.
-            _LOG.write(f"A connection failed: {error!r}.")
+            _LOG.write(f"Unexpected error on a caller's connection: {error!r}.")
         finally:
             self._connections.discard(connection)
--- a/packages/daemon/src/martenquay_daemon/forwarding/runner_connection.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/runner_connection.py
@@ -109,7 +109,9 @@
         try:
             await self._stream.send_all(data)
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
-            raise BrokenAnswerError(f"while sending: {error}") from error
+            raise BrokenAnswerError(
+                f"sending the request failed: {error}"
+            ) from error
 
     async def read_head(self) -> tuple[int, calls.Headers]:
         """Return the status and headers of the response.
@@ -143,7 +145,7 @@
                 case h11.EndOfMessage():
                     return
                 case _:
-                    raise BrokenAnswerError("closed in mid-answer")
+                    raise BrokenAnswerError("closed before the end of the body")
 
     async def read_body(self) -> bytes:
         """Return the whole body.
@@ -205,7 +207,7 @@
             await sock.connect((host, int(port)))
     except (OSError, trio.TooSlowError) as error:
         sock.close()
-        reason = str(error) or f"no answer in {timeout_s:.3f} s"
+        reason = str(error) or f"not connected within {timeout_s:.3f} s"
         is_refused = isinstance(error, ConnectionRefusedError)
         raise NotConnectedError(reason, is_refused=is_refused) from error
     except BaseException:
--- a/packages/daemon/src/martenquay_daemon/forwarding/silence.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/silence.py
@@ -54,8 +54,8 @@
     Attributes:
         first_probe_s: Silence before a probe, until the response head.
         next_probe_s: Silence before a probe, after the response head.
-        max_silence_s: Silence before the attempt is abandoned although the
-            runner is reachable, until the first event of a stream.
+        max_silence_s: Silence before the attempt is abandoned even if
+            the runner is reachable, until the first event of a stream.
         max_pause_s: The same after the first event of a stream.
         may_move: Returns whether another runner may get the request now.
             While it may not, silence alone doesn't end the attempt.
@@ -90,7 +90,11 @@
             connection, limits
         )
         if now >= abandon_at and limits.may_move():
-            _log_unresponsive(placement, connection, "is silent for too long")
+            _log_unresponsive(
+                placement,
+                connection,
+                "is silent beyond its limit",
+            )
             return Verdict.SILENT
         probe_after_s = (
             limits.next_probe_s
@@ -108,7 +112,7 @@
         # Bytes that arrived during the probe prove that the runner lives.
         if is_unreachable and connection.last_activity_at == last_activity_at:
             _log_unresponsive(
-                placement, connection, "is silent and takes no connection"
+                placement, connection, "is silent and accepts no connection"
             )
             return Verdict.GONE
         probed_at = trio.current_time()
