--- a/tests/test_forwarding/test_caller_connection.py
+++ b/tests/test_forwarding/test_caller_connection.py
@@ -1,4 +1,4 @@
-"""A caller's connection keeps its limits and loses no request."""
+"""Limits, keep-alive, stop and handler errors of a caller's connection."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
 
         self._run(scenario)
 
-    def test_a_request_sent_ahead_is_answered_in_its_turn(self) -> None:
+    def test_a_pipelined_request_is_answered_in_order(self) -> None:
         async def scenario(scene: serving_scene.Scene) -> None:
             async with await scene.open_caller() as caller:
                 await caller.send_all(_CALL + _CALL)
@@ -69,7 +69,7 @@
 
         self._run(scenario)
 
-    def test_a_head_over_the_limit_is_refused(self) -> None:
+    def test_a_head_over_the_limit_is_rejected(self) -> None:
         async def scenario(scene: serving_scene.Scene) -> None:
             long = b"x-long: " + b"a" * 3000 + b"\r\n\r\n"
             reply = await scene.ask(_CALL[:-2] + long)
@@ -78,7 +78,7 @@
 
         self._run(scenario, header_bytes=2000)
 
-    def test_a_body_over_the_limit_is_refused_before_it_is_in(self) -> None:
+    def test_a_body_over_the_limit_is_rejected_before_it_is_read(self) -> None:
         async def scenario(scene: serving_scene.Scene) -> None:
             sized = await scene.ask(_POST + b"content-length: 5000\r\n\r\n")
             self.assertEqual(413, sized.status)
@@ -88,21 +88,21 @@
 
         self._run(scenario, body_bytes=1000)
 
-    def test_a_slow_head_is_given_up(self) -> None:
+    def test_a_slow_head_is_rejected(self) -> None:
         async def scenario(scene: serving_scene.Scene) -> None:
             reply = await scene.ask(b"GET /lookup/7 HT")
             self.assertEqual(408, reply.status)
 
         self._run(scenario, header_s=0.05)
 
-    def test_a_resting_connection_is_closed_without_a_word(self) -> None:
+    def test_an_idle_connection_is_closed_without_an_answer(self) -> None:
         async def scenario(scene: serving_scene.Scene) -> None:
             reply = await scene.ask(b"")
             self.assertEqual(0, reply.status)
 
         self._run(scenario, idle_s=0.05)
 
-    def test_bytes_that_are_no_request_are_refused(self) -> None:
+    def test_bytes_that_are_not_http_are_rejected(self) -> None:
         async def scenario(scene: serving_scene.Scene) -> None:
             reply = await scene.ask(b"\x16\x03\x01 hello\r\n\r\n")
             self.assertEqual(400, reply.status)
@@ -123,7 +123,7 @@
 
         self._run(scenario)
 
-    def test_a_stop_ends_resting_connections_and_takes_no_more(self) -> None:
+    def test_a_stop_closes_idle_connections_and_accepts_no_more(self) -> None:
         async def scenario(scene: serving_scene.Scene) -> None:
             async with await scene.open_caller() as caller:
                 await caller.send_all(_CALL)
@@ -153,10 +153,10 @@
 
 
 class _FailingHandler:
-    """Raise what nobody expects.
+    """Raises an unexpected error.
 
     Attributes:
-        start_bytes: What of the answer's body is sent before.
+        start_bytes: Part of the body that is sent before the error.
     """
 
     def __init__(self, start_bytes: bytes) -> None:
@@ -165,7 +165,7 @@
     async def handle(
         self, call: calls.Call, received_at: float, writer: answers.AnswerWriter
     ) -> None:
-        """Begin an answer or not, and fail."""
+        """Send `start_bytes` if there are any, then fail."""
         del call, received_at
         if self.start_bytes:
             await writer.start(200, [], 10)
@@ -175,7 +175,7 @@
 
 class HandlerErrorTest(testtools.TestCase):
     def _ask(self, start_bytes: bytes) -> serving_scene.Reply:
-        """Return the answer of a connection whose handler fails."""
+        """Return the answer of a connection with a failing handler."""
         listener_state = mock.Mock(is_closing=False, is_stopped=False)
         listener_state.find_limits.return_value = catalog.CallerLimits()
         replies: list[serving_scene.Reply] = []
@@ -206,7 +206,9 @@
         trio.run(scenario)
         return replies[0]
 
-    def test_a_fault_before_the_answer_says_that_it_may_have_run(self) -> None:
+    def test_an_error_before_the_answer_says_that_the_call_may_have_run(
+        self,
+    ) -> None:
         with mock.patch.object(caller_connection, "_LOG") as log:
             reply = self._ask(b"")
         self.assertEqual(502, reply.status)
@@ -215,7 +217,7 @@
         self.assertEqual(results.ResultCode.UNKNOWN_ANSWER_LOST, code)
         self.assertIn("KeyError", log.write.call_args.args[0])
 
-    def test_a_fault_within_the_answer_breaks_it_off(self) -> None:
+    def test_an_error_within_the_answer_truncates_it(self) -> None:
         with mock.patch.object(caller_connection, "_LOG") as log:
             reply = self._ask(b"half")
         self.assertEqual((200, b"half"), (reply.status, reply.body))
@@ -227,7 +229,7 @@
     async def _start_answer(
         self, stream: trio.StapledStream
     ) -> caller_connection.CallerConnection:
-        """Return a connection whose answer has begun."""
+        """Return a connection that has sent a response head."""
         listener_state = mock.Mock(is_closing=False, is_stopped=False)
         listener_state.find_limits.return_value = catalog.CallerLimits()
         connection = caller_connection.CallerConnection(
@@ -237,7 +239,7 @@
         await connection.send_head(200, [], None)
         return connection
 
-    def test_nothing_follows_a_piece_that_was_sent_in_part(self) -> None:
+    def test_nothing_follows_a_chunk_that_was_sent_in_part(self) -> None:
         async def scenario() -> None:
             daemon_end, caller_end = trio.testing.memory_stream_pair()
             del caller_end
@@ -252,7 +254,7 @@
         clock = trio.testing.MockClock(autojump_threshold=0)
         trio.run(scenario, clock=clock)
 
-    def test_a_piece_that_the_caller_does_not_take_ends_the_answer(
+    def test_a_chunk_that_the_caller_does_not_read_ends_the_answer(
         self,
     ) -> None:
         async def scenario() -> None:
@@ -263,7 +265,6 @@
             with trio.fail_after(_HANG_S):
                 with self.assertRaises(trio.BrokenResourceError):
                     await connection.send_event(h11.Data(data=b"first"))
-            # Nothing follows it then either.
             daemon_end.send_stream.send_all_hook = None
             with self.assertRaises(trio.BrokenResourceError):
                 await connection.send_event(h11.Data(data=b"second"))
--- a/tests/test_forwarding/test_event_stream.py
+++ b/tests/test_forwarding/test_event_stream.py
@@ -1,4 +1,4 @@
-"""Events come out whole, however their bytes were cut."""
+"""Server-sent events are split alike for any chunk sizes."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
         self.assertEqual([1, 2, 3, 4, 5], [event.id for event in found])
         self.assertEqual(b"", splitter.rest)
 
-    def test_an_event_that_broke_off_stays_behind(self) -> None:
+    def test_an_incomplete_event_is_kept_in_rest(self) -> None:
         splitter = event_stream.EventSplitter()
         events = splitter.feed(_EVENTS[0] + b"id: 2\nda")
         self.assertEqual(1, len(events))
         self.assertEqual(b"id: 2\nda", splitter.rest)
 
-    def test_an_event_may_have_no_id(self) -> None:
+    def test_an_event_without_a_numeric_id_has_none(self) -> None:
         events = event_stream.EventSplitter().feed(b"data: x\n\nid: a\n\n")
         self.assertEqual([None, None], [event.id for event in events])
--- a/tests/test_forwarding/test_listener.py
+++ b/tests/test_forwarding/test_listener.py
@@ -1,4 +1,4 @@
-"""A planned stop answers whole what was sent before accepting stopped."""
+"""A graceful stop answers the requests that were sent before it."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     from collections.abc import Awaitable, Callable
 
 _HANG_S = 30.0
-# The wait for what is on its way is 0.25 s; the rest is for a busy machine.
+# The waits of a stop take 0.25 s; the rest allows for a busy machine.
 _STOP_S = 1.5
 _GOOD = scripted.Script(
     (b"HTTP/1.1 200 OK\r\nserver-seal: s\r\ncontent-length: 4\r\n\r\nfine",)
@@ -28,7 +28,7 @@
 
 
 def _connect(address: str) -> socket.socket:
-    """Connect with no moment in which the daemon could accept."""
+    """Connect without letting the listener's task run."""
     host, _, port = address.rpartition(":")
     return socket.create_connection((host, int(port)))
 
@@ -79,7 +79,7 @@
         self.assertTrue(reply.is_whole)
         self.assertEqual(b"close", reply.headers[b"connection"])
 
-    def test_connections_that_the_kernel_has_made_are_answered(self) -> None:
+    def test_connections_in_the_accept_queue_are_answered(self) -> None:
         async def scenario(caller_listener, address, ended) -> None:
             del ended
             callers = [_connect(address) for _ in range(20)]
@@ -92,7 +92,7 @@
 
         self._run(scenario)
 
-    def test_a_daemon_that_is_busy_past_the_wait_accepts_them_too(
+    def test_a_daemon_that_is_busy_for_the_whole_drain_accepts_them_too(
         self,
     ) -> None:
         async def scenario(caller_listener, address, ended) -> None:
@@ -102,7 +102,7 @@
             callers = [_connect(address) for _ in range(20)]
             for caller in callers:
                 caller.sendall(_CALL)
-            # Nothing else runs till the wait is over.
+            # Block the event loop until the drain is over.
             until = trio.current_time() + 2 * listener._ACCEPT_DRAIN_S
             while trio.current_time() < until:
                 pass
@@ -112,7 +112,7 @@
 
         self._run(scenario)
 
-    def test_a_request_that_is_there_on_a_kept_connection_is_answered(
+    def test_an_unread_request_on_an_idle_connection_is_answered(
         self,
     ) -> None:
         async def scenario(caller_listener, address, ended) -> None:
@@ -128,13 +128,13 @@
 
         self._run(scenario)
 
-    def test_the_run_ends_and_new_connections_are_refused(self) -> None:
+    def test_the_listener_ends_and_new_connections_are_refused(self) -> None:
         async def scenario(caller_listener, address, ended) -> None:
             idle_socket = _connect(address)
             await trio.testing.wait_all_tasks_blocked()
             stopped_at = trio.current_time()
             caller_listener.stop_accepting()
-            # The daemon's end waits for what may be unread.
+            # An idle connection may hold an unread request.
             self.assertGreater(caller_listener.count_busy(), 0)
             async with _wrap(idle_socket) as stream:
                 self.assertEqual(b"", await stream.receive_some(10))
--- a/tests/test_forwarding/test_runner_connection.py
+++ b/tests/test_forwarding/test_runner_connection.py
@@ -1,4 +1,4 @@
-"""A broken answer is never taken for a whole one."""
+"""A truncated or malformed response raises an error."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
     def _call(
         self, script: runner.Script
     ) -> bytes | connections.BrokenAnswerError:
-        """Return the whole body, or what was wrong."""
+        """Return the body that a scripted runner sends, or the error."""
 
         async def run() -> bytes | connections.BrokenAnswerError:
             server = runner.ScriptedRunner([script])
             async with trio.open_nursery() as nursery:
                 await nursery.start(server.run)
-                result = await self._talk(server.address)
+                result = await self._exchange(server.address)
                 nursery.cancel_scope.cancel()
             return result
 
         return trio.run(run)
 
-    async def _talk(
+    async def _exchange(
         self, address: str
     ) -> bytes | connections.BrokenAnswerError:
         async with connections.connect_runner(address, 5.0) as connection:
@@ -50,10 +50,10 @@
         script = runner.Script((_SIZED, b"he", b"llo"))
         self.assertEqual(b"hello", self._call(script))
 
-    def test_an_answer_may_end_with_its_connection(self) -> None:
+    def test_a_body_without_length_ends_with_its_connection(self) -> None:
         self.assertEqual(b"hel", self._call(runner.Script((_UNSIZED, b"hel"))))
 
-    def test_a_reset_does_not_end_an_answer_without_length(self) -> None:
+    def test_a_reset_does_not_complete_a_body_without_length(self) -> None:
         self._assert_broken(runner.Script((_UNSIZED, b"hel"), is_reset=True))
 
     def test_a_body_that_is_too_short_is_broken(self) -> None:
@@ -64,20 +64,20 @@
         script = runner.Script((_CHUNKED, b"3\r\nhel\r\n0\r\n\r\n"))
         self.assertEqual(b"hel", self._call(script))
 
-    def test_bytes_that_are_no_http_are_broken(self) -> None:
+    def test_bytes_that_are_not_http_are_broken(self) -> None:
         reason = self._assert_broken(runner.Script((b"\x00\xff no http\r\n",)))
         self.assertIn("no HTTP answer", reason)
 
-    def test_a_close_without_a_word_is_broken(self) -> None:
+    def test_a_close_without_an_answer_is_broken(self) -> None:
         self._assert_broken(runner.Script())
 
-    def test_what_follows_a_whole_answer_belongs_to_no_request(self) -> None:
+    def test_bytes_after_the_answer_are_ignored(self) -> None:
         surplus = _SIZED + b"hello" + _SIZED + b"again"
         self.assertEqual(b"hello", self._call(runner.Script((surplus,))))
 
-    def test_a_dead_address_is_told_before_anything_was_sent(self) -> None:
+    def test_a_refused_connection_raises_not_connected(self) -> None:
         async def run() -> None:
             async with connections.connect_runner("127.0.0.1:1", 5.0):
-                self.fail("connected to nobody")
+                self.fail("connected to a port without a listener")
 
         self.assertRaises(connections.NotConnectedError, trio.run, run)
--- a/tests/test_forwarding/test_silence.py
+++ b/tests/test_forwarding/test_silence.py
@@ -1,4 +1,4 @@
-"""A runner that was heard while it was asked is not taken as gone."""
+"""Limits on a runner's silence, and probes of silent runners."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class _Connection:
-    """What the watch looks at."""
+    """The attributes of a RunnerConnection that are read."""
 
     def __init__(self) -> None:
         self.last_activity_at = trio.current_time()
@@ -30,7 +30,7 @@
 
 class SilenceTest(clocked.ClockedTestCase):
     def _wait(self, limits: silence.SilenceLimits, *, has_begun: bool) -> float:
-        """Return how long a silent connection of a live runner is borne."""
+        """Return the silence after which a reachable runner is abandoned."""
         took: list[float] = []
 
         async def scenario() -> None:
@@ -44,14 +44,14 @@
         self.run_clocked(scenario)
         return took[0]
 
-    def test_a_live_runners_connection_may_not_be_silent_for_ever(
+    def test_silence_of_a_reachable_runner_has_a_limit(
         self,
     ) -> None:
         limits = silence.SilenceLimits(0.3, 0.3, 4.0, 2.0, lambda: True)
         self.assertAlmostEqual(4.0, self._wait(limits, has_begun=False))
         self.assertAlmostEqual(2.0, self._wait(limits, has_begun=True))
 
-    def test_silence_alone_ends_nothing_that_could_not_go_on_elsewhere(
+    def test_silence_alone_ends_no_request_that_may_not_move(
         self,
     ) -> None:
         clock = trio.current_time
@@ -62,7 +62,7 @@
         self.assertGreaterEqual(took_s, 7.0)
         self.assertLess(took_s, 7.5)
 
-    def test_what_was_heard_during_the_probe_counts(self) -> None:
+    def test_bytes_that_arrive_during_a_failed_probe_count(self) -> None:
         async def scenario() -> None:
             connection = _Connection()
             placement = placer.Placement(builders.build_runner(), 0.0, 0, 1)
--- a/tests/test_forwarding/test_silent_connections.py
+++ b/tests/test_forwarding/test_silent_connections.py
@@ -1,4 +1,4 @@
-"""A connection that goes silent for good holds nothing up for ever."""
+"""Connections that stay open but go silent are found and replaced."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 _SILENT = Script(is_held=True)
 _STREAM = _HEAD + b"transfer-encoding: chunked\r\n\r\n"
 _END = b"0\r\n\r\n"
-# What the kernel writes of a timer that asks whether the other side lives.
+# Timer and state columns of /proc/net/tcp.
 _KEEPALIVE_TIMER = "02"
 _ESTABLISHED = "01"
 
@@ -39,7 +39,7 @@
 
 
 def _count_keepalives(address: str) -> int:
-    """Return how many connections to an address the kernel asks about."""
+    """Return how many connections of an address run a keep-alive timer."""
     wanted = f"{int(address.rpartition(':')[2]):04X}"
     lines = pathlib.Path("/proc/self/net/tcp").read_text("ascii").splitlines()
     fields = [line.split() for line in lines[1:]]
@@ -56,7 +56,7 @@
     scene: serving_scene.Scene,
     request_heads: list[bytes],
 ) -> proxy.FaultyProxy:
-    """Start a runner that gives one event, and the next to who has that."""
+    """Start a runner whose stream stalls after one event until resumed."""
 
     async def serve(stream: trio.SocketStream) -> None:
         head = b""
@@ -64,7 +64,7 @@
             try:
                 piece = await stream.receive_some(1000)
             except trio.BrokenResourceError:
-                # It only asked whether the runner is there.
+                # A probe connects and resets without a request.
                 return
             if not piece:
                 return
@@ -100,7 +100,7 @@
 
 
 class SilentRunnerTest(_SilentTestCase):
-    def test_a_call_that_may_run_twice_goes_on_while_there_is_time(
+    def test_a_silent_idempotent_call_is_retried_in_time(
         self,
     ) -> None:
         async def scenario(scene: serving_scene.Scene) -> None:
@@ -116,8 +116,7 @@
             max_attempts=2,
         )
 
-    def test_without_a_repeat_left_a_silent_call_is_waited_for(self) -> None:
-        # Silence alone ends nothing: the runner may still answer.
+    def test_a_silent_call_without_a_retry_left_is_waited_for(self) -> None:
         async def scenario(scene: serving_scene.Scene) -> None:
             scene.parts.retries.bounds = retry_window.RetryBounds(0, 10, 0)
             while not scene.runners[0].requests:
@@ -134,7 +133,7 @@
             max_attempts=2,
         )
 
-    def test_a_silent_connection_is_no_fault_of_its_runner(self) -> None:
+    def test_a_silent_connection_is_not_counted_as_a_failure(self) -> None:
         async def scenario(scene: serving_scene.Scene) -> None:
             scene.parts.ejector.note_failure = failures.append
             while not scene.runners[0].requests:
@@ -150,7 +149,7 @@
             max_attempts=2,
         )
 
-    def test_a_call_that_may_not_run_twice_is_waited_for(self) -> None:
+    def test_a_silent_non_idempotent_call_is_waited_for(self) -> None:
         async def scenario(scene: serving_scene.Scene) -> None:
             reply = await scene.ask(_CALL % 1500)
             self.assertEqual(504, reply.status)
@@ -165,7 +164,7 @@
             max_attempts=2,
         )
 
-    def test_a_stream_that_falls_silent_goes_on_though_its_runner_lives(
+    def test_a_silent_stream_is_resumed_although_its_runner_is_reachable(
         self,
     ) -> None:
         async def scenario(scene: serving_scene.Scene) -> None:
@@ -199,7 +198,7 @@
             timeout_s=8.0,
         )
 
-    def test_the_kernel_asks_whether_a_silent_runner_lives(self) -> None:
+    def test_keepalive_is_enabled_for_runners(self) -> None:
         async def scenario() -> None:
             server = scripted.ScriptedRunner([_SILENT])
             async with trio.open_nursery() as nursery:
@@ -217,7 +216,7 @@
     def _count_open(self, scene: serving_scene.Scene) -> int:
         return len(scene.listener._connections)
 
-    def test_a_caller_that_takes_nothing_is_given_up(self) -> None:
+    def test_a_caller_that_stops_reading_is_disconnected(self) -> None:
         large = b"a" * 8_000_000
         answer = _HEAD + b"content-length: %d\r\n\r\n" % len(large) + large
 
@@ -235,7 +234,7 @@
 
         self._run(scenario, [Script((answer,))])
 
-    def test_the_kernel_asks_whether_a_waiting_caller_lives(self) -> None:
+    def test_keepalive_is_enabled_for_waiting_callers(self) -> None:
         async def scenario(scene: serving_scene.Scene) -> None:
             async with await scene.open_caller() as caller:
                 await caller.send_all(_CALL % 5000)
--- a/tests/test_forwarding/test_stop_window.py
+++ b/tests/test_forwarding/test_stop_window.py
@@ -1,4 +1,4 @@
-"""A stop lets in what ends in time, by kind of request and learnt length."""
+"""A graceful stop accepts only requests that finish before it ends."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests import forwarder_case as case
 
 _GRACE_S = 7.6
-# Of a stream of 240 tokens that an engine begins within 0.4 s.
+# A stream of 240 tokens whose first event comes after 0.4 s.
 _TOKENS = 240
 _FIRST_EVENT_S = 0.4
 _GENERATION_S = 3.0
@@ -27,7 +27,7 @@
         budget_s: float = 15.0,
         samples: int = 20,
     ) -> float:
-        """Return the overrun of a request that comes so long after SIGTERM."""
+        """Return the overrun of a request that comes `after_s` into a stop."""
         overruns = []
 
         async def scenario() -> None:
@@ -44,22 +44,24 @@
         self.run_clocked(scenario)
         return overruns[0]
 
-    def test_a_short_stream_is_let_in_and_a_long_one_is_not(self) -> None:
+    def test_a_short_stream_is_accepted_and_a_long_one_is_not(self) -> None:
         self.assertEqual(0.0, self._find_overrun(3.4, tokens=15))
         self.assertGreater(self._find_overrun(3.4, tokens=240), 0.0)
 
-    def test_a_long_stream_is_let_in_only_while_there_is_time(self) -> None:
+    def test_a_long_stream_is_accepted_only_while_there_is_time(self) -> None:
         self.assertEqual(0.0, self._find_overrun(0.1, tokens=100))
         self.assertGreater(self._find_overrun(5.3, tokens=100), 0.0)
 
-    def test_what_its_caller_gives_up_in_time_is_let_in(self) -> None:
+    def test_a_request_whose_deadline_is_before_the_end_is_accepted(
+        self,
+    ) -> None:
         self.assertEqual(0.0, self._find_overrun(3.4, budget_s=4.0))
 
-    def test_with_nothing_learnt_the_callers_time_counts(self) -> None:
+    def test_without_known_lengths_the_deadline_counts(self) -> None:
         self.assertGreater(self._find_overrun(0.0, samples=1), 0.0)
         self.assertEqual(0.0, self._find_overrun(0.0, samples=1, budget_s=5.0))
 
-    def test_a_plain_call_goes_by_its_callers_time(self) -> None:
+    def test_a_plain_call_is_accepted_by_its_deadline(self) -> None:
         kind_of_call = catalog.CallKind.NON_IDEMPOTENT
         for after_s, budget_s, is_accepted in [
             (3.4, 1.0, True),
@@ -70,7 +72,7 @@
             )
             self.assertEqual(is_accepted, overrun_s == 0.0)
 
-    def test_without_a_stop_everything_is_let_in(self) -> None:
+    def test_without_a_stop_everything_is_accepted(self) -> None:
         window = stop_window.StopWindow(lengths.StreamLengths())
         stream = catalog.CallKind.STREAM
         request = stop_window.LastRequest("model", stream, None, 1e6)
@@ -78,7 +80,9 @@
 
 
 class StopAnswerTest(case.ForwarderTestCase):
-    def test_what_would_be_cut_is_told_to_go_elsewhere_at_once(self) -> None:
+    def test_a_request_that_would_be_truncated_is_rejected_at_once(
+        self,
+    ) -> None:
         async def scenario(scene: serving_scene.Scene) -> None:
             scene.stop.begin(lambda: trio.current_time() + 1.0)
             reply = await scene.ask(case.CALL % (b"GET /lookup/7", 5000))
@@ -107,7 +111,7 @@
             streams.note("model", 0.2, 100, 5.0)
         self.assertGreater(streams.find_mean_s("model", 100), 4.5)
 
-    def test_a_few_streams_are_not_believed(self) -> None:
+    def test_a_few_streams_give_no_mean(self) -> None:
         streams = lengths.StreamLengths()
         streams.note("model", 0.1, 100, 0.5)
         self.assertIsNone(streams.find_mean_s("model", 100))
