--- a/packages/daemon/src/martenquay_daemon/callers/app.py
+++ b/packages/daemon/src/martenquay_daemon/callers/app.py
@@ -47,15 +47,15 @@
         limits: models.LimitSettings,
         readiness: Readiness,
         known_teams: teams.TeamDirectory,
-        chat_desk: chats.ChatDesk,
-        service_desk: services.ServiceDesk,
+        chat_handler: chats.ChatDesk,
+        service_handler: services.ServiceDesk,
         counters: metrics.DaemonMetrics,
     ) -> None:
         self._limits = limits
         self._readiness = readiness
         self._teams = known_teams
-        self._chats = chat_desk
-        self._services = service_desk
+        self._chats = chat_handler
+        self._services = service_handler
         self._metrics = counters
 
     async def __call__(
@@ -71,7 +71,7 @@
             case "http", "/healthz":
                 await serving.send_answer(send, 200, b"alive\n")
             case "http", "/readyz":
-                await self._tell_readiness(send)
+                await self._send_readiness(send)
             case "http", "/metrics":
                 await self._send_metrics(send)
             case "http", _:
@@ -80,7 +80,7 @@
                 )
                 await self._serve(caller)
 
-    async def _tell_readiness(self, send: serving.Send) -> None:
+    async def _send_readiness(self, send: serving.Send) -> None:
         ready = self._readiness.is_ready
         body = b"ready\n" if ready else b"not ready\n"
         await serving.send_answer(send, 200 if ready else 503, body)
@@ -103,7 +103,7 @@
         team = self._teams.find(authorization)
         path = caller.scope["path"]
         if not self._readiness.is_started:
-            await caller.fail(_explain_starting())
+            await caller.fail(_create_starting_failure())
         elif team is None:
             code = results.ResultCode.BAD_CREDENTIAL
             message = "no team has this credential"
@@ -120,6 +120,6 @@
             await caller.fail(results.Failure(code, f"no {path}"))
 
 
-def _explain_starting() -> results.Failure:
+def _create_starting_failure() -> results.Failure:
     code = results.ResultCode.NOT_RUN_STARTING
     return results.Failure(code, "the configuration is not read yet", 1.0)
--- a/packages/daemon/src/martenquay_daemon/callers/chat.py
+++ b/packages/daemon/src/martenquay_daemon/callers/chat.py
@@ -18,10 +18,10 @@
 
 __all__ = [
     "ChatRequest",
-    "CollectingSink",
+    "DiscardingSink",
     "StreamingSink",
-    "read_chat",
-    "render_answer",
+    "encode_completion",
+    "parse_chat_request",
 ]
 
 _MAX_TOKENS = 32_768
@@ -59,18 +59,18 @@
         return "\n".join(f"{m.role}: {m.content}" for m in self.messages)
 
 
-def read_chat(body: bytes) -> Result[ChatRequest, results.Failure]:
+def parse_chat_request(body: bytes) -> Result[ChatRequest, results.Failure]:
     """Return the request that a body holds, or what is wrong with it."""
     try:
         return Ok(ChatRequest.model_validate_json(body))
     except pydantic.ValidationError as error:
         first = error.errors()[0]
-        place = ".".join(str(word) for word in first["loc"]) or "body"
+        field_path = ".".join(str(part) for part in first["loc"]) or "body"
         code = results.ResultCode.MALFORMED_REQUEST
-        return Error(results.Failure(code, f"{place}: {first['msg']}"))
+        return Error(results.Failure(code, f"{field_path}: {first['msg']}"))
 
 
-def render_answer(
+def encode_completion(
     request_id: str, route: str, usage: request_progress.Usage
 ) -> bytes:
     """Return a whole answer."""
@@ -90,7 +90,7 @@
     )
 
 
-class CollectingSink:
+class DiscardingSink:
     """Take tokens and do nothing: the usage holds them already."""
 
     async def take(self, text: str) -> None:
@@ -121,16 +121,18 @@
             "created": int(time.time()),
             "model": route,
         }
-        self._before = json.dumps(head)[:-1] + (
+        self._chunk_prefix = json.dumps(head)[:-1] + (
             ', "choices": [{"index": 0, "delta": {"content": '
         )
-        self._after = '}, "finish_reason": null}]}'
+        self._chunk_suffix = '}, "finish_reason": null}]}'
 
     async def take(self, text: str) -> None:
         """Send the next token."""
         if not self.is_open:
             await self._open()
-        await self._write(f"{self._before}{json.dumps(text)}{self._after}")
+        await self._write(
+            f"{self._chunk_prefix}{json.dumps(text)}{self._chunk_suffix}"
+        )
 
     async def finish(self) -> None:
         """Send the last event of a whole answer."""
@@ -175,10 +177,10 @@
 
 
 def _describe_usage(usage: request_progress.Usage) -> dict[str, int]:
-    generated = len(usage.generated)
+    token_count = len(usage.generated)
     return {
         "prompt_tokens": usage.prompt_tokens,
-        "completion_tokens": generated,
-        "total_tokens": usage.prompt_tokens + generated,
+        "completion_tokens": token_count,
+        "total_tokens": usage.prompt_tokens + token_count,
         "recomputed_tokens": usage.recomputed,
     }
--- a/packages/daemon/src/martenquay_daemon/callers/chats.py
+++ b/packages/daemon/src/martenquay_daemon/callers/chats.py
@@ -23,7 +23,7 @@
 __all__ = ["ChatDesk", "TICKET_PREFIX"]
 
 TICKET_PREFIX = "/v1/tickets/"
-_COME_BACK_S = 1.0
+_RETRY_AFTER_S = 1.0
 _JSON = (b"content-type", b"application/json")
 
 
@@ -35,7 +35,7 @@
         partner: str,
         known_teams: teams.TeamDirectory,
         routes: gate.Gate,
-        entrance: admission.Admission,
+        admission_control: admission.Admission,
         model_calls: model.ModelDispatcher,
         deferrable: manager.DeferrableManager,
         requests: registry.RequestRegistry,
@@ -44,7 +44,7 @@
         self._partner = partner
         self._teams = known_teams
         self._gate = routes
-        self._admission = entrance
+        self._admission = admission_control
         self._models = model_calls
         self._deferrable = deferrable
         self._requests = requests
@@ -55,15 +55,17 @@
     ) -> None:
         """Answer a chat request in the way that its urgency asks for."""
         body = await caller.read_body()
-        asked = body.bind(chat.read_chat)
-        known = asked.bind(lambda a: self._find_route(a.model, team.name))
-        if known.is_error():
-            await caller.fail(known.error)
-        elif known.ok.urgency is objects.Urgency.DEFERRABLE:
-            await self._accept(caller, team, known.ok, body.ok)
+        chat_request = body.bind(chat.parse_chat_request)
+        team_route = chat_request.bind(
+            lambda a: self._find_route(a.model, team.name)
+        )
+        if team_route.is_error():
+            await caller.fail(team_route.error)
+        elif team_route.ok.urgency is objects.Urgency.DEFERRABLE:
+            await self._accept_deferrable(caller, team, team_route.ok, body.ok)
         else:
             await caller.run_while_connected(
-                self._answer, caller, team, known.ok, asked.ok
+                self._answer, caller, team, team_route.ok, chat_request.ok
             )
 
     async def send_ticket(
@@ -80,76 +82,84 @@
                 caller.send,
                 caller.request_id,
                 results.ResultCode.PENDING,
-                {"ticket": ticket, "retry_after_s": _COME_BACK_S},
+                {"ticket": ticket, "retry_after_s": _RETRY_AFTER_S},
             )
         else:
-            await self._send_whole(caller, state.answer)
+            await self._send_completion(caller, state.answer)
 
     async def perform(
         self, work: table.Work, body: bytes
     ) -> Result[bytes, results.Failure]:
         """Answer an accepted deferrable request from its body."""
         team = self._teams.find_by_name(work.team)
-        asked = chat.read_chat(body)
-        known = asked.bind(lambda a: self._find_route(a.model, work.team))
-        if team is None or known.is_error():
+        chat_request = chat.parse_chat_request(body)
+        team_route = chat_request.bind(
+            lambda a: self._find_route(a.model, work.team)
+        )
+        if team is None or team_route.is_error():
             # It can never run, so this is its answer.
             failure = results.Failure(
                 results.ResultCode.UNKNOWN_ROUTE,
                 f"route {work.route} or team {work.team} is gone",
             )
             return Ok(replies.encode_failure(work.ticket, failure))
-        answered = await self._generate(
-            work.ticket, team, known.ok, asked.ok, chat.CollectingSink()
+        result = await self._generate(
+            work.ticket,
+            team,
+            team_route.ok,
+            chat_request.ok,
+            chat.DiscardingSink(),
         )
-        return answered.map(
-            lambda usage: chat.render_answer(work.ticket, work.route, usage)
+        return result.map(
+            lambda usage: chat.encode_completion(work.ticket, work.route, usage)
         )
 
     async def _answer(
         self,
         caller: exchange.Exchange,
         team: teams.KnownTeam,
-        known: gate.KnownRoute,
-        asked: chat.ChatRequest,
+        team_route: gate.TeamRoute,
+        chat_request: chat.ChatRequest,
     ) -> None:
-        headers = replies.result_headers(
+        headers = replies.create_result_headers(
             caller.request_id, results.ResultCode.OK
         )
         sink = chat.StreamingSink(
-            caller.send, caller.request_id, known.name, headers
+            caller.send, caller.request_id, team_route.name, headers
         )
-        answered = await self._generate(
+        result = await self._generate(
             caller.request_id,
             team,
-            known,
-            asked,
-            sink if asked.stream else chat.CollectingSink(),
+            team_route,
+            chat_request,
+            sink if chat_request.stream else chat.DiscardingSink(),
         )
-        match answered:
+        match result:
             case Result(tag="ok", ok=usage):
-                await self._finish(caller, known, asked, sink, usage)
+                await self._finish_answer(
+                    caller, team_route, chat_request, sink, usage
+                )
             case Result(error=failure) if sink.is_open:
-                caller.count(failure.code, known)
+                caller.count(failure.code, team_route)
                 await sink.fail(failure)
             case Result(error=failure):
-                await caller.fail(failure, known)
+                await caller.fail(failure, team_route)
 
     async def _generate(
         self,
         request_id: str,
         team: teams.KnownTeam,
-        known: gate.KnownRoute,
-        asked: chat.ChatRequest,
+        team_route: gate.TeamRoute,
+        chat_request: chat.ChatRequest,
         sink: request_progress.TokenSink,
     ) -> Result[request_progress.Usage, results.Failure]:
         """Wait for room, then generate the answer into a sink."""
-        prompt = asked.build_prompt()
-        cost = blocks.count_tokens(prompt) + asked.max_tokens
-        ask = self._gate.build_ask(team, known, cost)
+        prompt = chat_request.build_prompt()
+        cost = blocks.count_tokens(prompt) + chat_request.max_tokens
+        ask = self._gate.build_ask(team, team_route, cost)
         self._requests.open(
             registry.RunningRequest(
-                request_id, team.name, known.name, known.urgency.value
+                request_id, team.name, team_route.name, team_route.urgency.value
             )
         )
         try:
@@ -159,10 +169,10 @@
             request = request_progress.ModelRequest(
                 request_id,
                 self._partner,
-                known.route.pool,
-                known.urgency,
+                team_route.route.pool,
+                team_route.urgency,
                 prompt,
-                asked.max_tokens,
+                chat_request.max_tokens,
                 ask.deadline,
             )
             try:
@@ -172,28 +182,28 @@
         finally:
             self._requests.close(request_id)
 
-    async def _finish(
+    async def _finish_answer(
         self,
         caller: exchange.Exchange,
-        known: gate.KnownRoute,
-        asked: chat.ChatRequest,
+        team_route: gate.TeamRoute,
+        chat_request: chat.ChatRequest,
         sink: chat.StreamingSink,
         usage: request_progress.Usage,
     ) -> None:
-        caller.count(results.ResultCode.OK, known)
-        labels = {"pool": known.route.pool}
+        caller.count(results.ResultCode.OK, team_route)
+        labels = {"pool": team_route.route.pool}
         self._metrics.generated.add(labels, len(usage.generated))
-        if asked.stream:
+        if chat_request.stream:
             await sink.finish()
             return
-        body = chat.render_answer(caller.request_id, known.name, usage)
-        await self._send_whole(caller, body, usage.runner, usage.zone)
+        body = chat.encode_completion(caller.request_id, team_route.name, usage)
+        await self._send_completion(caller, body, usage.runner, usage.zone)
 
-    async def _accept(
+    async def _accept_deferrable(
         self,
         caller: exchange.Exchange,
         team: teams.KnownTeam,
-        known: gate.KnownRoute,
+        team_route: gate.TeamRoute,
         body: bytes,
     ) -> None:
         # The caller's key names the ticket, so that a repeat of a request
@@ -202,35 +212,37 @@
         if not exchange.ID_PATTERN.match(ticket):
             code = results.ResultCode.MALFORMED_REQUEST
             message = "a key has letters, digits and _.:- only, 64 at most"
-            await caller.fail(results.Failure(code, message), known)
+            await caller.fail(results.Failure(code, message), team_route)
             return
         accepted = await self._deferrable.accept(
-            ticket, team.name, known.name, body
+            ticket, team.name, team_route.name, body
         )
         if accepted.is_error():
-            await caller.fail(accepted.error, known)
+            await caller.fail(accepted.error, team_route)
             return
         code = results.ResultCode.ACCEPTED
-        caller.count(code, known)
+        caller.count(code, team_route)
         content = {"ticket": ticket, "answer": f"{TICKET_PREFIX}{ticket}"}
         await replies.send_result(caller.send, caller.request_id, code, content)
 
-    async def _send_whole(
+    async def _send_completion(
         self,
         caller: exchange.Exchange,
         body: bytes,
         runner: str = "",
         zone: str = "",
     ) -> None:
-        headers = replies.result_headers(
+        headers = replies.create_result_headers(
             caller.request_id, results.ResultCode.OK, runner, zone
         )
         await serving.send_answer(caller.send, 200, body, [_JSON, *headers])
 
     def _find_route(
         self, name: str, team: str
-    ) -> Result[gate.KnownRoute, results.Failure]:
+    ) -> Result[gate.TeamRoute, results.Failure]:
         found = self._gate.find_route(name, team)
         return found.bind(
-            lambda known: gate.require_kind(known, objects.PoolKind.MODEL)
+            lambda team_route: gate.require_kind(
+                team_route, objects.PoolKind.MODEL
+            )
         )
--- a/packages/daemon/src/martenquay_daemon/callers/exchange.py
+++ b/packages/daemon/src/martenquay_daemon/callers/exchange.py
@@ -47,9 +47,11 @@
         self.scope = scope
         self.send = send
         self.key = serving.find_header(scope, b"idempotency-key")
-        given = serving.find_header(scope, b"x-request-id") or ""
-        is_usable = ID_PATTERN.match(given) is not None
-        self.request_id = given if is_usable else f"req-{secrets.token_hex(8)}"
+        caller_id = serving.find_header(scope, b"x-request-id") or ""
+        is_valid = ID_PATTERN.match(caller_id) is not None
+        self.request_id = (
+            caller_id if is_valid else f"req-{secrets.token_hex(8)}"
+        )
         self._receive = receive
         self._limits = limits
         self._metrics = counters
@@ -80,27 +82,27 @@
         Raises:
             serving.CallerGoneError: The caller left.
         """
-        gone = False
+        has_left = False
 
         async def watch() -> None:
-            nonlocal gone
+            nonlocal has_left
             while (await self._receive())["type"] != "http.disconnect":
                 pass
-            gone = True
+            has_left = True
             nursery.cancel_scope.cancel()
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(watch)
             await work(*args)
             nursery.cancel_scope.cancel()
-        if gone:
+        if has_left:
             raise serving.CallerGoneError
 
     async def fail(
-        self, failure: results.Failure, known: gate.KnownRoute | None = None
+        self, failure: results.Failure, team_route: gate.TeamRoute | None = None
     ) -> None:
         """Send a failure as the final answer."""
-        self.count(failure.code, known)
+        self.count(failure.code, team_route)
         _LOG.write(
             f"Refused {self.request_id}: {failure.message}.",
             request=self.request_id,
@@ -109,13 +111,13 @@
         await replies.send_failure(self.send, self.request_id, failure)
 
     def count(
-        self, code: results.ResultCode, known: gate.KnownRoute | None
+        self, code: results.ResultCode, team_route: gate.TeamRoute | None
     ) -> None:
         """Count the answer by route, urgency and result."""
         self._metrics.requests.inc(
             {
-                "route": known.name if known else "",
-                "urgency": known.urgency.value if known else "",
+                "route": team_route.name if team_route else "",
+                "urgency": team_route.urgency.value if team_route else "",
                 "code": str(code.value),
             }
         )
--- a/packages/daemon/src/martenquay_daemon/callers/gate.py
+++ b/packages/daemon/src/martenquay_daemon/callers/gate.py
@@ -18,17 +18,17 @@
     from martenquay_daemon.configuration import store
     from martenquay_daemon.membership import directory, table
 
-__all__ = ["Gate", "KnownRoute", "require_kind"]
+__all__ = ["Gate", "TeamRoute", "require_kind"]
 
-_DEFAULT_RUNNING = 64
-_DEFAULT_QUEUE = 256
+_DEFAULT_CONCURRENCY = 64
+_DEFAULT_QUEUE_LENGTH = 256
 # A daemon may use more than an even part of a pool, for callers are not
 # spread evenly over the daemons.
-_UNEVEN = 2.0
+_MAX_SHARE_FACTOR = 2.0
 
 
 @dataclasses.dataclass(frozen=True)
-class KnownRoute:
+class TeamRoute:
     """A route with what holds for one team.
 
     Attributes:
@@ -61,7 +61,7 @@
 
     def find_route(
         self, name: str, team: str
-    ) -> Result[KnownRoute, results.Failure]:
+    ) -> Result[TeamRoute, results.Failure]:
         """Return a route as it holds for a team."""
         route = self._config.find_route(self._partner, name)
         pool = (
@@ -71,10 +71,10 @@
             code = results.ResultCode.UNKNOWN_ROUTE
             return Error(results.Failure(code, f"no route {name!r}"))
         urgency = self._find_urgency(name, team) or route.urgency
-        return Ok(KnownRoute(name, route, pool, urgency))
+        return Ok(TeamRoute(name, route, pool, urgency))
 
     def build_ask(
-        self, team: teams.KnownTeam, known: KnownRoute, cost: float
+        self, team: teams.KnownTeam, team_route: TeamRoute, cost: float
     ) -> admission.Ask:
         """Return what the admission has to know of a request.
 
@@ -87,10 +87,10 @@
             weight=team.team.weight,
             concurrency=max(1, math.ceil(team.team.concurrency / daemons)),
             token_rate=team.team.token_rate / daemons,
-            pool=known.route.pool,
-            urgency=known.urgency,
+            pool=team_route.route.pool,
+            urgency=team_route.urgency,
             cost=cost,
-            deadline=trio.current_time() + known.route.deadline_s,
+            deadline=trio.current_time() + team_route.route.deadline_s,
         )
 
     def find_capacity(self, pool: str) -> admission.PoolCapacity:
@@ -104,16 +104,20 @@
                 )
         runners = self._runners.list_pool(self._partner, pool)
         slots = sum(runner.slots for runner in runners)
-        lent = self._runners.list_lent(self._partner, pool)
-        slots += sum(runner.slots for runner in lent)
+        borrowed = self._runners.list_lent(self._partner, pool)
+        slots += sum(runner.slots for runner in borrowed)
         if slots == 0:
             return admission.PoolCapacity(
-                _DEFAULT_RUNNING, _DEFAULT_QUEUE, _DEFAULT_RUNNING
+                _DEFAULT_CONCURRENCY,
+                _DEFAULT_QUEUE_LENGTH,
+                _DEFAULT_CONCURRENCY,
             )
         daemons = max(1, len(self._members.list_serving(self._partner)))
-        even = slots / daemons
+        even_share = slots / daemons
         return admission.PoolCapacity(
-            max(2, math.ceil(even * _UNEVEN)), _DEFAULT_QUEUE, even
+            max(2, math.ceil(even_share * _MAX_SHARE_FACTOR)),
+            _DEFAULT_QUEUE_LENGTH,
+            even_share,
         )
 
     def _find_urgency(self, route: str, team: str) -> objects.Urgency | None:
@@ -128,11 +132,13 @@
 
 
 def require_kind(
-    known: KnownRoute, kind: objects.PoolKind
-) -> Result[KnownRoute, results.Failure]:
+    team_route: TeamRoute, kind: objects.PoolKind
+) -> Result[TeamRoute, results.Failure]:
     """Return the route if its pool is of a kind, or say that it is not."""
-    if known.pool.kind is kind:
-        return Ok(known)
+    if team_route.pool.kind is kind:
+        return Ok(team_route)
     code = results.ResultCode.UNKNOWN_ROUTE
-    message = f"route {known.name!r} leads to a {known.pool.kind.value}"
+    message = (
+        f"route {team_route.name!r} leads to a {team_route.pool.kind.value}"
+    )
     return Error(results.Failure(code, message))
--- a/packages/daemon/src/martenquay_daemon/callers/replies.py
+++ b/packages/daemon/src/martenquay_daemon/callers/replies.py
@@ -11,9 +11,9 @@
 from martenquay_core.util import serving
 
 __all__ = [
+    "create_result_headers",
     "describe_failure",
     "encode_failure",
-    "result_headers",
     "send_failure",
     "send_result",
 ]
@@ -21,7 +21,7 @@
 _JSON = (b"content-type", b"application/json")
 
 
-def result_headers(
+def create_result_headers(
     request_id: str, code: results.ResultCode, runner: str = "", zone: str = ""
 ) -> list[tuple[bytes, bytes]]:
     """Return the headers that every answer carries."""
@@ -46,7 +46,7 @@
     body = msgspec.json.encode(
         {"code": code.value, "name": code.name} | content
     )
-    headers = [_JSON, *result_headers(request_id, code)]
+    headers = [_JSON, *create_result_headers(request_id, code)]
     await serving.send_answer(send, status, body, headers)
 
 
@@ -55,7 +55,7 @@
 ) -> None:
     """Send a failure, with when to come back if that helps."""
     status = results.describe_result(failure.code).http_status
-    headers = [_JSON, *result_headers(request_id, failure.code)]
+    headers = [_JSON, *create_result_headers(request_id, failure.code)]
     if failure.retry_after_s is not None:
         seconds = max(1, math.ceil(failure.retry_after_s))
         headers.append((b"retry-after", str(seconds).encode()))
--- a/packages/daemon/src/martenquay_daemon/callers/services.py
+++ b/packages/daemon/src/martenquay_daemon/callers/services.py
@@ -21,8 +21,8 @@
 __all__ = ["SERVICE_PREFIX", "ServiceDesk"]
 
 SERVICE_PREFIX = "/services/"
-_PASSED_HEADERS = {b"content-type", b"accept", b"idempotency-key"}
-_COST = 1.0
+_FORWARDED_HEADERS = {b"content-type", b"accept", b"idempotency-key"}
+_CALL_COST = 1.0
 
 
 class ServiceDesk:
@@ -32,14 +32,14 @@
         self,
         partner: str,
         routes: gate.Gate,
-        entrance: admission.Admission,
+        admission_control: admission.Admission,
         service_calls: service.ServiceDispatcher,
         requests: registry.RequestRegistry,
         background: trio.Nursery,
     ) -> None:
         self._partner = partner
         self._gate = routes
-        self._admission = entrance
+        self._admission = admission_control
         self._services = service_calls
         self._requests = requests
         self._background = background
@@ -48,34 +48,34 @@
         self, caller: exchange.Exchange, team: teams.KnownTeam
     ) -> None:
         """Answer a service call."""
-        below = caller.scope["path"].removeprefix(SERVICE_PREFIX)
-        name, _, rest = below.partition("/")
-        known = self._gate.find_route(name, team.name).bind(
+        route_path = caller.scope["path"].removeprefix(SERVICE_PREFIX)
+        name, _, rest = route_path.partition("/")
+        team_route = self._gate.find_route(name, team.name).bind(
             lambda found: gate.require_kind(found, objects.PoolKind.SERVICE)
         )
-        if known.is_error():
-            await caller.fail(known.error)
+        if team_route.is_error():
+            await caller.fail(team_route.error)
             return
         body = await caller.read_body()
         if body.is_error():
-            await caller.fail(body.error, known.ok)
+            await caller.fail(body.error, team_route.ok)
             return
-        ask = self._gate.build_ask(team, known.ok, _COST)
+        ask = self._gate.build_ask(team, team_route.ok, _CALL_COST)
         permit = await self._admission.enter(ask)
         if permit.is_error():
-            await caller.fail(permit.error, known.ok)
+            await caller.fail(permit.error, team_route.ok)
             return
         call = self._build_call(
-            caller, team, known.ok, f"/{rest}", body.ok, ask.deadline
+            caller, team, team_route.ok, f"/{rest}", body.ok, ask.deadline
         )
-        answered = await self._call(call, permit.ok, known.ok)
-        await self._send(caller, known.ok, answered)
+        result = await self._call(call, permit.ok, team_route.ok)
+        await self._send(caller, team_route.ok, result)
 
     def _build_call(
         self,
         caller: exchange.Exchange,
         team: teams.KnownTeam,
-        known: gate.KnownRoute,
+        team_route: gate.TeamRoute,
         path: str,
         body: bytes,
         deadline: float,
@@ -84,17 +84,17 @@
         headers = [
             (name, value)
             for name, value in caller.scope["headers"]
-            if name in _PASSED_HEADERS
+            if name in _FORWARDED_HEADERS
         ]
         headers.append((b"x-request-id", caller.request_id.encode()))
         return service.ServiceCall(
             request_id=caller.request_id,
             partner=self._partner,
             team=team.name,
-            route=known.name,
-            pool=known.route.pool,
-            repeatable=known.route.repeatable,
-            checks_orders=known.pool.checks_orders,
+            route=team_route.name,
+            pool=team_route.route.pool,
+            repeatable=team_route.route.repeatable,
+            checks_orders=team_route.pool.checks_orders,
             method=caller.scope["method"],
             path=f"{path}?{query}" if query else path,
             headers=headers,
@@ -107,42 +107,42 @@
         self,
         call: service.ServiceCall,
         permit: admission.Permit,
-        known: gate.KnownRoute,
+        team_route: gate.TeamRoute,
     ) -> Result[service.ServiceAnswer, results.Failure]:
         """Make the call in a task that outlives a caller that leaves.
 
         The call may have run when the caller is gone; its outcome has to be
         kept for the caller's next try.
         """
-        outcome_in, outcome_out = trio.open_memory_channel(1)
+        outcome_sender, outcome_receiver = trio.open_memory_channel(1)
 
         async def run() -> None:
             try:
-                outcome_in.send_nowait(await self._services.call(call))
+                outcome_sender.send_nowait(await self._services.call(call))
             finally:
                 self._admission.leave(permit)
                 self._requests.close(call.request_id)
 
         self._requests.open(
             registry.RunningRequest(
-                call.request_id, call.team, call.route, known.urgency.value
+                call.request_id, call.team, call.route, team_route.urgency.value
             )
         )
         self._background.start_soon(run)
-        return await outcome_out.receive()
+        return await outcome_receiver.receive()
 
     async def _send(
         self,
         caller: exchange.Exchange,
-        known: gate.KnownRoute,
-        answered: Result[service.ServiceAnswer, results.Failure],
+        team_route: gate.TeamRoute,
+        result: Result[service.ServiceAnswer, results.Failure],
     ) -> None:
-        if answered.is_error():
-            await caller.fail(answered.error, known)
+        if result.is_error():
+            await caller.fail(result.error, team_route)
             return
-        answer = answered.ok
-        caller.count(results.ResultCode.OK, known)
-        headers = replies.result_headers(
+        answer = result.ok
+        caller.count(results.ResultCode.OK, team_route)
+        headers = replies.create_result_headers(
             caller.request_id, results.ResultCode.OK, answer.runner, answer.zone
         )
         headers.append((b"content-type", answer.content_type.encode()))
