--- a/packages/daemon/src/martenquay_daemon/callers/__init__.py
+++ b/packages/daemon/src/martenquay_daemon/callers/__init__.py
@@ -1,1 +1,1 @@
-"""Answer callers over HTTP."""
+"""ASGI app for callers: chat completions, tickets and service calls."""
--- a/packages/daemon/src/martenquay_daemon/callers/app.py
+++ b/packages/daemon/src/martenquay_daemon/callers/app.py
@@ -1,4 +1,4 @@
-"""Serve callers' HTTP: one task for each request, written straight down."""
+"""ASGI app for callers: authentication, routing by path, health checks."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 
 class Readiness:
-    """Whether the balancer should send callers here.
+    """State behind the readiness check of the load balancer.
 
     Attributes:
         is_started: The configuration has been read.
-        is_stopping: The daemon was told to stop.
-        in_progress: Requests being answered now.
+        is_stopping: A graceful stop has begun.
+        in_progress: Number of requests that are being answered.
     """
 
     def __init__(self) -> None:
@@ -35,12 +35,12 @@
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether new callers are welcome."""
+        """Whether the daemon accepts new callers."""
         return self.is_started and not self.is_stopping
 
 
 class CallerApp:
-    """The ASGI app for callers."""
+    """Authenticates callers and passes their requests to the handlers."""
 
     def __init__(
         self,
--- a/packages/daemon/src/martenquay_daemon/callers/chat.py
+++ b/packages/daemon/src/martenquay_daemon/callers/chat.py
@@ -1,4 +1,4 @@
-"""Read chat requests and write answers in the shape model clients speak."""
+"""Chat completions API: parse requests, encode answers and streams."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
     """One message of a conversation.
 
     Attributes:
-        role: Who speaks.
-        content: What is said.
+        role: Author of the message.
+        content: Text of the message.
     """
 
     role: Literal["system", "user", "assistant"]
@@ -40,13 +40,13 @@
 
 
 class ChatRequest(pydantic.BaseModel):
-    """A chat completions request; fields that are not named are ignored.
+    """A chat completions request; unknown fields are ignored.
 
     Attributes:
-        model: The route's name.
+        model: Name of the route.
         messages: The conversation.
-        max_tokens: How many tokens to generate.
-        stream: Send tokens as they come.
+        max_tokens: The most tokens to generate.
+        stream: Send tokens as server-sent events.
     """
 
     model: str
@@ -60,7 +60,7 @@
 
 
 def parse_chat_request(body: bytes) -> Result[ChatRequest, results.Failure]:
-    """Return the request that a body holds, or what is wrong with it."""
+    """Parse a request body; a failure names the first invalid field."""
     try:
         return Ok(ChatRequest.model_validate_json(body))
     except pydantic.ValidationError as error:
@@ -73,7 +73,7 @@
 def encode_completion(
     request_id: str, route: str, usage: request_progress.Usage
 ) -> bytes:
-    """Return a whole answer."""
+    """Encode an answer that is not streamed as JSON."""
     text = "".join(usage.generated)
     message = {"role": "assistant", "content": text}
     return msgspec.json.encode(
@@ -91,17 +91,17 @@
 
 
 class DiscardingSink:
-    """Take tokens and do nothing: the usage holds them already."""
+    """Discards tokens; the usage already collects them."""
 
     async def take(self, text: str) -> None:
-        """Take the next token."""
+        """Discard a token."""
 
 
 class StreamingSink:
-    """Send each token to the caller as a server-sent event.
+    """Sends each token to the caller as a server-sent event.
 
     Attributes:
-        is_open: The head of the answer has been sent.
+        is_open: The response head has been sent.
     """
 
     def __init__(
@@ -114,7 +114,8 @@
         self.is_open = False
         self._send = send
         self._headers = headers
-        # Only the token differs between events, so the rest is made once.
+        # Events differ only in their token, so the JSON around it is encoded
+        # once for each answer.
         head = {
             "id": request_id,
             "object": "chat.completion.chunk",
@@ -135,14 +136,14 @@
         )
 
     async def finish(self) -> None:
-        """Send the last event of a whole answer."""
+        """Send the event that completes the stream."""
         if not self.is_open:
             await self._open()
         await self._write("[DONE]")
         await self._send({"type": "http.response.body", "body": b""})
 
     async def fail(self, failure: results.Failure) -> None:
-        """Send an explicit last event instead of the rest."""
+        """Send an error event in place of the remaining tokens."""
         content = json.dumps(
             {
                 "error": {
--- a/packages/daemon/src/martenquay_daemon/callers/chats.py
+++ b/packages/daemon/src/martenquay_daemon/callers/chats.py
@@ -1,4 +1,4 @@
-"""Serve chat requests: stream them, or accept them to be answered later."""
+"""Handler of chat requests, immediate or deferrable, and of tickets."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class ChatDesk:
-    """Serve the chat requests and tickets of one daemon."""
+    """Answers chat requests, accepts deferrable ones and serves tickets."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
     async def serve(
         self, caller: exchange.Exchange, team: teams.KnownTeam
     ) -> None:
-        """Answer a chat request in the way that its urgency asks for."""
+        """Answer a chat request, or accept it if its route is deferrable."""
         body = await caller.read_body()
         chat_request = body.bind(chat.parse_chat_request)
         team_route = chat_request.bind(
@@ -71,7 +71,7 @@
     async def send_ticket(
         self, caller: exchange.Exchange, team: teams.KnownTeam, ticket: str
     ) -> None:
-        """Send the answer to a ticket, or that there is none yet."""
+        """Send the answer to a deferrable request, or that it is pending."""
         is_own = table.find_team(ticket) == team.name
         state = await self._deferrable.fetch(ticket) if is_own else None
         if state is None or not state.known:
@@ -90,14 +90,22 @@
     async def perform(
         self, work: table.Work, body: bytes
     ) -> Result[bytes, results.Failure]:
-        """Answer an accepted deferrable request from its body."""
+        """Answer an accepted deferrable request.
+
+        Args:
+            work: The accepted request.
+            body: Its body as the caller sent it.
+
+        Returns:
+            The encoded answer. A request whose route or team no longer exists
+            is answered with an encoded failure, since retries can't succeed.
+        """
         team = self._teams.find_by_name(work.team)
         chat_request = chat.parse_chat_request(body)
         team_route = chat_request.bind(
             lambda a: self._find_route(a.model, work.team)
         )
         if team is None or team_route.is_error():
-            # It can never run, so this is its answer.
             failure = results.Failure(
                 results.ResultCode.UNKNOWN_ROUTE,
                 f"route {work.route} or team {work.team} is gone",
@@ -153,7 +161,7 @@
         chat_request: chat.ChatRequest,
         sink: request_progress.TokenSink,
     ) -> Result[request_progress.Usage, results.Failure]:
-        """Wait for room, then generate the answer into a sink."""
+        """Wait for admission, then generate the answer into a sink."""
         prompt = chat_request.build_prompt()
         cost = blocks.count_tokens(prompt) + chat_request.max_tokens
         ask = self._gate.build_ask(team, team_route, cost)
@@ -206,8 +214,8 @@
         team_route: gate.TeamRoute,
         body: bytes,
     ) -> None:
-        # The caller's key names the ticket, so that a repeat of a request
-        # whose answer was lost is the same request.
+        # The idempotency key becomes the ticket, or a retry after a lost answer
+        # would be accepted as a second request.
         ticket = f"{team.name}.{caller.key or secrets.token_hex(16)}"
         if not exchange.ID_PATTERN.match(ticket):
             code = results.ResultCode.MALFORMED_REQUEST
--- a/packages/daemon/src/martenquay_daemon/callers/exchange.py
+++ b/packages/daemon/src/martenquay_daemon/callers/exchange.py
@@ -1,4 +1,4 @@
-"""Hold one request of a caller and send it its one final answer."""
+"""One HTTP request of a caller with its id, body and final answer."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 
 
 class Exchange:
-    """One request and its answer.
+    """An HTTP request and the means to answer it.
 
     Attributes:
         scope: The ASGI scope.
-        send: Sends pieces of the answer.
+        send: The ASGI send callable.
         key: The caller's idempotency key, or None.
-        request_id: The caller's own id if it can be used, else a new one.
+        request_id: The caller's request id if it is valid, else a new one.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         self._metrics = counters
 
     async def read_body(self) -> Result[bytes, results.Failure]:
-        """Return the whole body within the limits of the settings."""
+        """Return the whole body, or a failure if it is too large or slow."""
         try:
             body = await serving.read_body(
                 self._receive,
@@ -77,10 +77,10 @@
     async def run_while_connected(
         self, work: Callable[..., Awaitable[None]], *args: object
     ) -> None:
-        """Run work and give it up when the caller leaves.
+        """Await `work(*args)`, cancelling it if the caller disconnects.
 
         Raises:
-            serving.CallerGoneError: The caller left.
+            serving.CallerGoneError: The caller disconnected.
         """
         has_left = False
 
--- a/packages/daemon/src/martenquay_daemon/callers/gate.py
+++ b/packages/daemon/src/martenquay_daemon/callers/gate.py
@@ -1,4 +1,4 @@
-"""Decide how a team's request is served: its route, urgency and limits."""
+"""Look up the route, urgency and limits that apply to a request."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
 
 _DEFAULT_CONCURRENCY = 64
 _DEFAULT_QUEUE_LENGTH = 256
-# A daemon may use more than an even part of a pool, for callers are not
-# spread evenly over the daemons.
+# A daemon may use more than an even share of a pool, since the load is not
+# balanced evenly over the daemons.
 _MAX_SHARE_FACTOR = 2.0
 
 
 @dataclasses.dataclass(frozen=True)
 class TeamRoute:
-    """A route with what holds for one team.
+    """A route as configured for one team.
 
     Attributes:
-        name: The route's name.
+        name: Name of the route.
         route: The route.
-        pool: Its pool.
-        urgency: The route's urgency, or that of a rule for the team.
+        pool: The pool that serves it.
+        urgency: Urgency from a rule for the team, else that of the route.
     """
 
     name: str
@@ -45,7 +45,7 @@
 
 
 class Gate:
-    """Look up what a request may use."""
+    """Looks up routes and pool capacity in the current configuration."""
 
     def __init__(
         self,
@@ -62,7 +62,7 @@
     def find_route(
         self, name: str, team: str
     ) -> Result[TeamRoute, results.Failure]:
-        """Return a route as it holds for a team."""
+        """Return a route for a team; fail if it or its pool doesn't exist."""
         route = self._config.find_route(self._partner, name)
         pool = (
             self._config.find_pool(self._partner, route.pool) if route else None
@@ -76,10 +76,15 @@
     def build_ask(
         self, team: teams.KnownTeam, team_route: TeamRoute, cost: float
     ) -> admission.Ask:
-        """Return what the admission has to know of a request.
+        """Return the admission request for a request of a team.
 
-        A team's limits hold for the partner as a whole, so each serving
-        daemon lets in its even part.
+        A team's limits apply to the partner as a whole, so each serving
+        daemon enforces an even share.
+
+        Args:
+            team: The team.
+            team_route: The route of the request.
+            cost: Tokens, or 1 for a service call.
         """
         daemons = max(1, len(self._members.list_serving(self._partner)))
         return admission.Ask(
@@ -94,7 +99,7 @@
         )
 
     def find_capacity(self, pool: str) -> admission.PoolCapacity:
-        """Return what this daemon may use of a pool."""
+        """Return the concurrency and queue length for a pool here."""
         for _, limit in self._config.list_objects(
             self._partner, objects.Kind.LIMIT
         ):
@@ -134,7 +139,7 @@
 def require_kind(
     team_route: TeamRoute, kind: objects.PoolKind
 ) -> Result[TeamRoute, results.Failure]:
-    """Return the route if its pool is of a kind, or say that it is not."""
+    """Return the route, or a failure if its pool is of another kind."""
     if team_route.pool.kind is kind:
         return Ok(team_route)
     code = results.ResultCode.UNKNOWN_ROUTE
--- a/packages/daemon/src/martenquay_daemon/callers/replies.py
+++ b/packages/daemon/src/martenquay_daemon/callers/replies.py
@@ -1,4 +1,4 @@
-"""Write results to callers: the code in the body and in a header."""
+"""Encode and send results, with the result code in body and header."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 def create_result_headers(
     request_id: str, code: results.ResultCode, runner: str = "", zone: str = ""
 ) -> list[tuple[bytes, bytes]]:
-    """Return the headers that every answer carries."""
+    """Return the headers that every answer has."""
     headers = [
         (b"x-request-id", request_id.encode()),
         (b"x-martenquay-result", str(code.value).encode()),
@@ -41,7 +41,7 @@
     code: results.ResultCode,
     content: dict[str, Any],
 ) -> None:
-    """Send a result that is not a failure."""
+    """Send a successful result with JSON content."""
     status = results.describe_result(code).http_status
     body = msgspec.json.encode(
         {"code": code.value, "name": code.name} | content
@@ -53,7 +53,7 @@
 async def send_failure(
     send: serving.Send, request_id: str, failure: results.Failure
 ) -> None:
-    """Send a failure, with when to come back if that helps."""
+    """Send a failure, with `retry-after` if a retry may succeed."""
     status = results.describe_result(failure.code).http_status
     headers = [_JSON, *create_result_headers(request_id, failure.code)]
     if failure.retry_after_s is not None:
@@ -64,14 +64,14 @@
 
 
 def encode_failure(request_id: str, failure: results.Failure) -> bytes:
-    """Return a failure as JSON."""
+    """Encode a failure as JSON."""
     return msgspec.json.encode(describe_failure(request_id, failure))
 
 
 def describe_failure(
     request_id: str, failure: results.Failure
 ) -> dict[str, Any]:
-    """Return a failure as it is told to callers and operators."""
+    """Return the fields of a failure for callers and operators."""
     return {
         "code": failure.code.value,
         "name": failure.code.name,
--- a/packages/daemon/src/martenquay_daemon/callers/services.py
+++ b/packages/daemon/src/martenquay_daemon/callers/services.py
@@ -1,4 +1,4 @@
-"""Serve calls to plain services."""
+"""Handler of HTTP calls to backend services."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class ServiceDesk:
-    """Serve the service calls of one daemon."""
+    """Admits service calls, dispatches them and returns their answers."""
 
     def __init__(
         self,
@@ -109,10 +109,10 @@
         permit: admission.Permit,
         team_route: gate.TeamRoute,
     ) -> Result[service.ServiceAnswer, results.Failure]:
-        """Make the call in a task that outlives a caller that leaves.
+        """Make the call in a background task and wait for its outcome.
 
-        The call may have run when the caller is gone; its outcome has to be
-        kept for the caller's next try.
+        The task goes on if the caller disconnects, since the call may already
+        run and a retry of the caller needs its outcome.
         """
         outcome_sender, outcome_receiver = trio.open_memory_channel(1)
 
--- a/packages/daemon/src/martenquay_daemon/callers/teams.py
+++ b/packages/daemon/src/martenquay_daemon/callers/teams.py
@@ -1,4 +1,4 @@
-"""Find the team that a credential belongs to."""
+"""Authenticate teams by their bearer credentials."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class KnownTeam:
-    """A team that a caller belongs to.
+    """A configured team.
 
     Attributes:
-        name: Its name.
-        team: Its limits.
+        name: Name of the team.
+        team: Its configuration, with its limits.
     """
 
     name: str
@@ -30,7 +30,7 @@
 
 
 class TeamDirectory:
-    """The teams of one partner by the digests of their credentials."""
+    """Teams of one partner, by the digests of their credentials."""
 
     def __init__(self, config: store.ConfigStore, partner: str) -> None:
         self._config = config
@@ -44,7 +44,7 @@
             return None
         if self._offset != self._config.applied.value:
             self._rebuild()
-        # The digest is a key of high entropy, so a look-up leaks nothing.
+        # Looking up a digest leaks no part of the credential by its timing.
         credential = authorization.removeprefix(_BEARER)
         return self._by_digest.get(credentials.digest_credential(credential))
 
