--- a/packages/daemon/src/martenquay_daemon/callers/app.py
+++ b/packages/daemon/src/martenquay_daemon/callers/app.py
@@ -94,7 +94,9 @@
         try:
             await self._answer(caller)
         except serving.CallerGoneError:
-            _LOG.write(f"The caller of {caller.request_id} left.")
+            _LOG.write(
+                f"The caller of request {caller.request_id} disconnected."
+            )
         finally:
             self._readiness.in_progress -= 1
 
--- a/packages/daemon/src/martenquay_daemon/callers/exchange.py
+++ b/packages/daemon/src/martenquay_daemon/callers/exchange.py
@@ -104,7 +104,7 @@
         """Send a failure as the final answer."""
         self.count(failure.code, team_route)
         _LOG.write(
-            f"Refused {self.request_id}: {failure.message}.",
+            f"Request {self.request_id} failed: {failure.message}.",
             request=self.request_id,
             code=failure.code.value,
         )
