--- a/packages/daemon/src/martenquay_daemon/forwarding/forwarder.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/forwarder.py
@@ -169,7 +169,7 @@
     def _refuse_overrun(
         self, current: exchange.Exchange
     ) -> answers.OwnAnswer | None:
-        request = stop_window.LastRequest(
+        request = stop_window.NewRequest(
             current.service,
             current.route.kind,
             current.call.tokens_out,
--- a/packages/daemon/src/martenquay_daemon/forwarding/stop_window.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/stop_window.py
@@ -14,7 +14,7 @@
 
     from martenquay_daemon.engines import lengths
 
-__all__ = ["LastRequest", "StopWindow"]
+__all__ = ["NewRequest", "StopWindow"]
 
 # Longest duration of a stream as a multiple of the mean for its token count.
 # Generous, since a truncated stream costs its caller more than a rejected one.
@@ -22,8 +22,8 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class LastRequest:
-    """What bounds the duration of a request that is not sent yet.
+class NewRequest:
+    """A request that is not sent to a runner yet.
 
     Attributes:
         service: The service that it is for.
@@ -54,7 +54,7 @@
         """
         self._find_deadline = find_deadline
 
-    def find_overrun(self, request: LastRequest) -> float:
+    def find_overrun(self, request: NewRequest) -> float:
         """Return by how many seconds a request may outlast the stop.
 
         Args:
@@ -70,7 +70,7 @@
             0.0, trio.current_time() + max_duration_s - self._find_deadline()
         )
 
-    def _estimate_max_duration(self, request: LastRequest) -> float:
+    def _estimate_max_duration(self, request: NewRequest) -> float:
         """Return the longest expected duration of a request in seconds."""
         is_stream = request.kind is catalog.CallKind.STREAM
         if not is_stream or request.max_tokens is None:
--- a/tests/test_forwarding/test_stop_window.py
+++ b/tests/test_forwarding/test_stop_window.py
@@ -38,7 +38,7 @@
             end = trio.current_time() + _GRACE_S
             window.begin(lambda: end)
             await trio.sleep(after_s)
-            request = stop_window.LastRequest("model", kind, tokens, budget_s)
+            request = stop_window.NewRequest("model", kind, tokens, budget_s)
             overruns.append(window.find_overrun(request))
 
         self.run_clocked(scenario)
@@ -75,7 +75,7 @@
     def test_without_a_stop_everything_is_accepted(self) -> None:
         window = stop_window.StopWindow(lengths.StreamLengths())
         stream = catalog.CallKind.STREAM
-        request = stop_window.LastRequest("model", stream, None, 1e6)
+        request = stop_window.NewRequest("model", stream, None, 1e6)
         self.assertEqual(0.0, window.find_overrun(request))
 
 
