--- a/packages/daemon/src/martenquay_daemon/forwarding/attempt.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/attempt.py
@@ -101,7 +101,7 @@
                 async with connections.connect_runner(
                     runner.address,
                     _CONNECT_S,
-                    lasts_s=current.deadline - trio.current_time(),
+                    max_use_s=current.deadline - trio.current_time(),
                 ) as connection:
                     bounds = silence_limits.find_silence_limits(
                         current, placement, may_move
--- a/packages/daemon/src/martenquay_daemon/forwarding/runner_connection.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/runner_connection.py
@@ -183,14 +183,14 @@
 
 @contextlib.asynccontextmanager
 async def connect_runner(
-    address: str, timeout_s: float, *, lasts_s: float = 0.0
+    address: str, timeout_s: float, *, max_use_s: float = 0.0
 ) -> AsyncIterator[RunnerConnection]:
     """Open a connection to a runner; leaving the context closes it.
 
     Args:
         address: Host and port.
         timeout_s: Timeout for connecting.
-        lasts_s: Longest time for which the connection is used. A short one
+        max_use_s: Longest time for which the connection is used. A short one
             does without TCP keep-alive, which would not probe in that time.
 
     Raises:
@@ -201,7 +201,7 @@
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
-        if lasts_s > _KEEPALIVE.unacknowledged_s:
+        if max_use_s > _KEEPALIVE.unacknowledged_s:
             keepalive.enable_keepalive(sock, _KEEPALIVE)
         with trio.fail_after(timeout_s):
             await sock.connect((host, int(port)))
--- a/tests/test_forwarding/test_silent_connections.py
+++ b/tests/test_forwarding/test_silent_connections.py
@@ -204,7 +204,7 @@
             async with trio.open_nursery() as nursery:
                 await nursery.start(server.run)
                 async with connections.connect_runner(
-                    server.address, 5.0, lasts_s=5.0
+                    server.address, 5.0, max_use_s=5.0
                 ):
                     self.assertEqual(1, _count_keepalives(server.address))
                 nursery.cancel_scope.cancel()
