--- a/packages/daemon/src/martenquay_daemon/forwarding/attempt.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/attempt.py
@@ -312,7 +312,7 @@
             events = splitter.feed(piece)
             if events and not is_begun:
                 is_begun = True
-                connection.has_begun = True
+                connection.has_first_event = True
                 running.note_first_event()
                 took_s = trio.current_time() - current.sent_at
                 self._learn_first_event(current, placement, took_s)
--- a/packages/daemon/src/martenquay_daemon/forwarding/runner_connection.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/runner_connection.py
@@ -81,13 +81,13 @@
         last_activity_at: When the runner last sent bytes, or else when the
             connection opened, in trio's time.
         has_response_head: The response head has been received.
-        has_begun: The first event of a stream has been received.
+        has_first_event: The first event of a stream has been received.
     """
 
     def __init__(self, stream: trio.SocketStream) -> None:
         self.last_activity_at = trio.current_time()
         self.has_response_head = False
-        self.has_begun = False
+        self.has_first_event = False
         self._stream = stream
         self._http = h11.Connection(h11.CLIENT)
 
--- a/packages/daemon/src/martenquay_daemon/forwarding/silence.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/silence.py
@@ -121,7 +121,7 @@
 def _find_max_silence(
     connection: connections.RunnerConnection, limits: SilenceLimits
 ) -> float:
-    if connection.has_begun:
+    if connection.has_first_event:
         return limits.max_pause_s
     return limits.max_silence_s
 
--- a/tests/test_forwarding/test_silence.py
+++ b/tests/test_forwarding/test_silence.py
@@ -20,7 +20,7 @@
     def __init__(self) -> None:
         self.last_activity_at = trio.current_time()
         self.has_response_head = False
-        self.has_begun = False
+        self.has_first_event = False
 
 
 async def _find_reachable(address: str) -> bool:
@@ -29,13 +29,15 @@
 
 
 class SilenceTest(clocked.ClockedTestCase):
-    def _wait(self, limits: silence.SilenceLimits, *, has_begun: bool) -> float:
+    def _wait(
+        self, limits: silence.SilenceLimits, *, has_first_event: bool
+    ) -> float:
         """Return the silence after which a reachable runner is abandoned."""
         took: list[float] = []
 
         async def scenario() -> None:
             connection = _Connection()
-            connection.has_begun = has_begun
+            connection.has_first_event = has_first_event
             placement = placer.Placement(builders.build_runner(), 0.0, 0, 1)
             with mock.patch.object(silence, "_is_unreachable", _find_reachable):
                 await silence.wait_until_gone(connection, placement, limits)
@@ -48,8 +50,8 @@
         self,
     ) -> None:
         limits = silence.SilenceLimits(0.3, 0.3, 4.0, 2.0, lambda: True)
-        self.assertAlmostEqual(4.0, self._wait(limits, has_begun=False))
-        self.assertAlmostEqual(2.0, self._wait(limits, has_begun=True))
+        self.assertAlmostEqual(4.0, self._wait(limits, has_first_event=False))
+        self.assertAlmostEqual(2.0, self._wait(limits, has_first_event=True))
 
     def test_silence_alone_ends_no_request_that_may_not_move(
         self,
@@ -58,7 +60,7 @@
         limits = silence.SilenceLimits(
             0.3, 0.3, 4.0, 2.0, lambda: clock() >= 7.0
         )
-        took_s = self._wait(limits, has_begun=True)
+        took_s = self._wait(limits, has_first_event=True)
         self.assertGreaterEqual(took_s, 7.0)
         self.assertLess(took_s, 7.5)
 
