--- a/packages/daemon/src/martenquay_daemon/callers/app.py
+++ b/packages/daemon/src/martenquay_daemon/callers/app.py
@@ -47,7 +47,7 @@
         limits: models.LimitSettings,
         readiness: Readiness,
         known_teams: teams.TeamDirectory,
-        chat_handler: chats.ChatDesk,
+        chat_handler: chats.ChatHandler,
         service_handler: services.ServiceDesk,
         counters: metrics.DaemonMetrics,
     ) -> None:
--- a/packages/daemon/src/martenquay_daemon/callers/chats.py
+++ b/packages/daemon/src/martenquay_daemon/callers/chats.py
@@ -20,14 +20,14 @@
     from martenquay_daemon.limits import admission
     from martenquay_daemon.util import metrics
 
-__all__ = ["ChatDesk", "TICKET_PREFIX"]
+__all__ = ["ChatHandler", "TICKET_PREFIX"]
 
 TICKET_PREFIX = "/v1/tickets/"
 _RETRY_AFTER_S = 1.0
 _JSON = (b"content-type", b"application/json")
 
 
-class ChatDesk:
+class ChatHandler:
     """Answers chat requests, accepts deferrable ones and serves tickets."""
 
     def __init__(
--- a/packages/daemon/src/martenquay_daemon/parts.py
+++ b/packages/daemon/src/martenquay_daemon/parts.py
@@ -255,7 +255,7 @@
         )
         known_teams = teams.TeamDirectory(self.config, settings.partner)
         entrance = admission.Admission(self._gate.find_capacity)
-        self.chats = chats.ChatDesk(
+        self.chats = chats.ChatHandler(
             settings.partner,
             known_teams,
             self._gate,
