--- a/packages/daemon/src/martenquay_daemon/callers/app.py
+++ b/packages/daemon/src/martenquay_daemon/callers/app.py
@@ -48,7 +48,7 @@
         readiness: Readiness,
         known_teams: teams.TeamDirectory,
         chat_handler: chats.ChatHandler,
-        service_handler: services.ServiceDesk,
+        service_handler: services.ServiceHandler,
         counters: metrics.DaemonMetrics,
     ) -> None:
         self._limits = limits
--- a/packages/daemon/src/martenquay_daemon/callers/services.py
+++ b/packages/daemon/src/martenquay_daemon/callers/services.py
@@ -18,14 +18,14 @@
     from martenquay_daemon.callers import exchange, teams
     from martenquay_daemon.limits import admission
 
-__all__ = ["SERVICE_PREFIX", "ServiceDesk"]
+__all__ = ["SERVICE_PREFIX", "ServiceHandler"]
 
 SERVICE_PREFIX = "/services/"
 _FORWARDED_HEADERS = {b"content-type", b"accept", b"idempotency-key"}
 _CALL_COST = 1.0
 
 
-class ServiceDesk:
+class ServiceHandler:
     """Admits service calls, dispatches them and returns their answers."""
 
     def __init__(
--- a/packages/daemon/src/martenquay_daemon/parts.py
+++ b/packages/daemon/src/martenquay_daemon/parts.py
@@ -265,7 +265,7 @@
             self.requests,
             self.metrics,
         )
-        service_desk = services.ServiceDesk(
+        service_handler = services.ServiceHandler(
             settings.partner,
             self._gate,
             entrance,
@@ -278,7 +278,7 @@
             readiness,
             known_teams,
             self.chats,
-            service_desk,
+            service_handler,
             self.metrics,
         )
 
