--- a/bench/routing/sites.py
+++ b/bench/routing/sites.py
@@ -92,7 +92,9 @@
         self.index = prefixes.PrefixIndex()
         ejector = ejection.Ejector()
         self._config = config
-        self._gate = gate.Gate(partner, config, self.runners, self.members)
+        self._gate = gate.RouteDirectory(
+            partner, config, self.runners, self.members
+        )
         self.admission = admission.Admission(self._gate.find_capacity)
         placer: Any = placement.Placer(
             zone, self.runners, self.loads, self.index, ejector, rng
--- a/packages/daemon/src/martenquay_daemon/callers/chats.py
+++ b/packages/daemon/src/martenquay_daemon/callers/chats.py
@@ -34,7 +34,7 @@
         self,
         partner: str,
         known_teams: teams.TeamDirectory,
-        routes: gate.Gate,
+        routes: gate.RouteDirectory,
         admission_control: admission.Admission,
         model_calls: model.ModelDispatcher,
         deferrable: manager.DeferrableManager,
--- a/packages/daemon/src/martenquay_daemon/callers/gate.py
+++ b/packages/daemon/src/martenquay_daemon/callers/gate.py
@@ -18,7 +18,7 @@
     from martenquay_daemon.configuration import store
     from martenquay_daemon.membership import directory, table
 
-__all__ = ["Gate", "TeamRoute", "require_kind"]
+__all__ = ["RouteDirectory", "TeamRoute", "require_kind"]
 
 _DEFAULT_CONCURRENCY = 64
 _DEFAULT_QUEUE_LENGTH = 256
@@ -44,7 +44,7 @@
     urgency: objects.Urgency
 
 
-class Gate:
+class RouteDirectory:
     """Looks up routes and pool capacity in the current configuration."""
 
     def __init__(
--- a/packages/daemon/src/martenquay_daemon/callers/services.py
+++ b/packages/daemon/src/martenquay_daemon/callers/services.py
@@ -31,7 +31,7 @@
     def __init__(
         self,
         partner: str,
-        routes: gate.Gate,
+        routes: gate.RouteDirectory,
         admission_control: admission.Admission,
         service_calls: service.ServiceDispatcher,
         requests: registry.RequestRegistry,
--- a/packages/daemon/src/martenquay_daemon/parts.py
+++ b/packages/daemon/src/martenquay_daemon/parts.py
@@ -234,7 +234,7 @@
         work_map = shards.ShardMap(
             self.members, "work", limits.work_shards, limits.shard_followers
         )
-        self._gate = gate.Gate(
+        self._gate = gate.RouteDirectory(
             settings.partner, self.config, self.runners, self.members
         )
         self.deferrable = deferrable_manager.DeferrableManager(
