--- a/bench/routing/sites.py
+++ b/bench/routing/sites.py
@@ -14,7 +14,7 @@
 from martenquay_core.peers import messages
 from martenquay_core.platform import instances
 from martenquay_core.util import blocks
-from martenquay_daemon.callers import gate, teams
+from martenquay_daemon.callers import route_directory, teams
 from martenquay_daemon.configuration import store
 from martenquay_daemon.dispatch import model, registry, request_progress
 from martenquay_daemon.limits import admission, ejection, retries
@@ -92,7 +92,7 @@
         self.index = prefixes.PrefixIndex()
         ejector = ejection.Ejector()
         self._config = config
-        self._gate = gate.RouteDirectory(
+        self._gate = route_directory.RouteDirectory(
             partner, config, self.runners, self.members
         )
         self.admission = admission.Admission(self._gate.find_capacity)
--- a/packages/daemon/src/martenquay_daemon/callers/chats.py
+++ b/packages/daemon/src/martenquay_daemon/callers/chats.py
@@ -10,7 +10,7 @@
 from martenquay_core import results
 from martenquay_core.config import objects
 from martenquay_core.util import blocks, serving
-from martenquay_daemon.callers import chat, exchange, gate, replies
+from martenquay_daemon.callers import chat, exchange, replies, route_directory
 from martenquay_daemon.deferrable import table
 from martenquay_daemon.dispatch import model, registry, request_progress
 
@@ -34,7 +34,7 @@
         self,
         partner: str,
         known_teams: teams.TeamDirectory,
-        routes: gate.RouteDirectory,
+        routes: route_directory.RouteDirectory,
         admission_control: admission.Admission,
         model_calls: model.ModelDispatcher,
         deferrable: manager.DeferrableManager,
@@ -43,7 +43,7 @@
     ) -> None:
         self._partner = partner
         self._teams = known_teams
-        self._gate = routes
+        self._routes = routes
         self._admission = admission_control
         self._models = model_calls
         self._deferrable = deferrable
@@ -126,7 +126,7 @@
         self,
         caller: exchange.Exchange,
         team: teams.KnownTeam,
-        team_route: gate.TeamRoute,
+        team_route: route_directory.TeamRoute,
         chat_request: chat.ChatRequest,
     ) -> None:
         headers = replies.create_result_headers(
@@ -157,14 +157,14 @@
         self,
         request_id: str,
         team: teams.KnownTeam,
-        team_route: gate.TeamRoute,
+        team_route: route_directory.TeamRoute,
         chat_request: chat.ChatRequest,
         sink: request_progress.TokenSink,
     ) -> Result[request_progress.Usage, results.Failure]:
         """Wait for admission, then generate the answer into a sink."""
         prompt = chat_request.build_prompt()
         cost = blocks.count_tokens(prompt) + chat_request.max_tokens
-        ask = self._gate.build_ask(team, team_route, cost)
+        ask = self._routes.build_ask(team, team_route, cost)
         self._requests.open(
             registry.RunningRequest(
                 request_id, team.name, team_route.name, team_route.urgency.value
@@ -193,7 +193,7 @@
     async def _finish_answer(
         self,
         caller: exchange.Exchange,
-        team_route: gate.TeamRoute,
+        team_route: route_directory.TeamRoute,
         chat_request: chat.ChatRequest,
         sink: chat.StreamingSink,
         usage: request_progress.Usage,
@@ -211,7 +211,7 @@
         self,
         caller: exchange.Exchange,
         team: teams.KnownTeam,
-        team_route: gate.TeamRoute,
+        team_route: route_directory.TeamRoute,
         body: bytes,
     ) -> None:
         # The idempotency key becomes the ticket, or a retry after a lost answer
@@ -247,10 +247,10 @@
 
     def _find_route(
         self, name: str, team: str
-    ) -> Result[gate.TeamRoute, results.Failure]:
-        found = self._gate.find_route(name, team)
+    ) -> Result[route_directory.TeamRoute, results.Failure]:
+        found = self._routes.find_route(name, team)
         return found.bind(
-            lambda team_route: gate.require_kind(
+            lambda team_route: route_directory.require_kind(
                 team_route, objects.PoolKind.MODEL
             )
         )
--- a/packages/daemon/src/martenquay_daemon/callers/exchange.py
+++ b/packages/daemon/src/martenquay_daemon/callers/exchange.py
@@ -17,7 +17,7 @@
     from collections.abc import Awaitable, Callable
 
     from martenquay_core.settings import models
-    from martenquay_daemon.callers import gate
+    from martenquay_daemon.callers import route_directory
     from martenquay_daemon.util import metrics
 
 __all__ = ["ID_PATTERN", "Exchange"]
@@ -99,7 +99,9 @@
             raise serving.CallerGoneError
 
     async def fail(
-        self, failure: results.Failure, team_route: gate.TeamRoute | None = None
+        self,
+        failure: results.Failure,
+        team_route: route_directory.TeamRoute | None = None,
     ) -> None:
         """Send a failure as the final answer."""
         self.count(failure.code, team_route)
@@ -111,7 +113,9 @@
         await replies.send_failure(self.send, self.request_id, failure)
 
     def count(
-        self, code: results.ResultCode, team_route: gate.TeamRoute | None
+        self,
+        code: results.ResultCode,
+        team_route: route_directory.TeamRoute | None,
     ) -> None:
         """Count the answer by route, urgency and result."""
         self._metrics.requests.inc(
--- a/packages/daemon/src/martenquay_daemon/callers/services.py
+++ b/packages/daemon/src/martenquay_daemon/callers/services.py
@@ -9,7 +9,7 @@
 from martenquay_core import results
 from martenquay_core.config import objects
 from martenquay_core.util import serving
-from martenquay_daemon.callers import gate, replies
+from martenquay_daemon.callers import replies, route_directory
 from martenquay_daemon.dispatch import registry, service
 
 if TYPE_CHECKING:
@@ -31,14 +31,14 @@
     def __init__(
         self,
         partner: str,
-        routes: gate.RouteDirectory,
+        routes: route_directory.RouteDirectory,
         admission_control: admission.Admission,
         service_calls: service.ServiceDispatcher,
         requests: registry.RequestRegistry,
         background: trio.Nursery,
     ) -> None:
         self._partner = partner
-        self._gate = routes
+        self._routes = routes
         self._admission = admission_control
         self._services = service_calls
         self._requests = requests
@@ -50,8 +50,10 @@
         """Answer a service call."""
         route_path = caller.scope["path"].removeprefix(SERVICE_PREFIX)
         name, _, rest = route_path.partition("/")
-        team_route = self._gate.find_route(name, team.name).bind(
-            lambda found: gate.require_kind(found, objects.PoolKind.SERVICE)
+        team_route = self._routes.find_route(name, team.name).bind(
+            lambda found: route_directory.require_kind(
+                found, objects.PoolKind.SERVICE
+            )
         )
         if team_route.is_error():
             await caller.fail(team_route.error)
@@ -60,7 +62,7 @@
         if body.is_error():
             await caller.fail(body.error, team_route.ok)
             return
-        ask = self._gate.build_ask(team, team_route.ok, _CALL_COST)
+        ask = self._routes.build_ask(team, team_route.ok, _CALL_COST)
         permit = await self._admission.enter(ask)
         if permit.is_error():
             await caller.fail(permit.error, team_route.ok)
@@ -75,7 +77,7 @@
         self,
         caller: exchange.Exchange,
         team: teams.KnownTeam,
-        team_route: gate.TeamRoute,
+        team_route: route_directory.TeamRoute,
         path: str,
         body: bytes,
         deadline: float,
@@ -107,7 +109,7 @@
         self,
         call: service.ServiceCall,
         permit: admission.Permit,
-        team_route: gate.TeamRoute,
+        team_route: route_directory.TeamRoute,
     ) -> Result[service.ServiceAnswer, results.Failure]:
         """Make the call in a background task and wait for its outcome.
 
@@ -134,7 +136,7 @@
     async def _send(
         self,
         caller: exchange.Exchange,
-        team_route: gate.TeamRoute,
+        team_route: route_directory.TeamRoute,
         result: Result[service.ServiceAnswer, results.Failure],
     ) -> None:
         if result.is_error():
--- a/packages/daemon/src/martenquay_daemon/parts.py
+++ b/packages/daemon/src/martenquay_daemon/parts.py
@@ -11,7 +11,7 @@
 from martenquay_core.runners import engine
 from martenquay_daemon import answers
 from martenquay_daemon.callers import app as caller_app
-from martenquay_daemon.callers import chats, gate, services, teams
+from martenquay_daemon.callers import chats, route_directory, services, teams
 from martenquay_daemon.claims import manager as claim_manager
 from martenquay_daemon.configuration import changes, follower, publisher, store
 from martenquay_daemon.deferrable import manager as deferrable_manager
@@ -234,7 +234,7 @@
         work_map = shards.ShardMap(
             self.members, "work", limits.work_shards, limits.shard_followers
         )
-        self._gate = gate.RouteDirectory(
+        self._routes = route_directory.RouteDirectory(
             settings.partner, self.config, self.runners, self.members
         )
         self.deferrable = deferrable_manager.DeferrableManager(
@@ -254,11 +254,11 @@
             workers=limits.deferrable_workers,
         )
         known_teams = teams.TeamDirectory(self.config, settings.partner)
-        entrance = admission.Admission(self._gate.find_capacity)
+        entrance = admission.Admission(self._routes.find_capacity)
         self.chats = chats.ChatHandler(
             settings.partner,
             known_teams,
-            self._gate,
+            self._routes,
             entrance,
             self._models,
             self.deferrable,
@@ -267,7 +267,7 @@
         )
         service_handler = services.ServiceHandler(
             settings.partner,
-            self._gate,
+            self._routes,
             entrance,
             self._services,
             self.requests,
