--- a/tests/test_forwarding/test_silence.py
+++ b/tests/test_forwarding/test_silence.py
@@ -23,7 +23,7 @@
         self.has_first_event = False
 
 
-async def _find_reachable(address: str) -> bool:
+async def _never_unreachable(address: str) -> bool:
     del address
     return False
 
@@ -39,7 +39,9 @@
             connection = _Connection()
             connection.has_first_event = has_first_event
             placement = placer.Placement(builders.build_runner(), 0.0, 0, 1)
-            with mock.patch.object(silence, "_is_unreachable", _find_reachable):
+            with mock.patch.object(
+                silence, "_is_unreachable", _never_unreachable
+            ):
                 await silence.wait_until_gone(connection, placement, limits)
             took.append(trio.current_time() - connection.last_activity_at)
 
