--- a/packages/daemon/src/martenquay_daemon/callers/app.py
+++ b/packages/daemon/src/martenquay_daemon/callers/app.py
@@ -1,4 +1,4 @@
-"""Serve callers' HTTP: one task for each request, written straight down."""
+"""ASGI app for callers: authentication, routing by path, health checks."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 
 class Readiness:
-    """Whether the balancer should send callers here.
+    """State behind the readiness check of the load balancer.
 
     Attributes:
         is_started: The configuration has been read.
-        is_stopping: The daemon was told to stop.
-        in_progress: Requests being answered now.
+        is_stopping: A graceful stop has begun.
+        in_progress: Number of requests that are being answered.
     """
 
     def __init__(self) -> None:
@@ -35,27 +35,27 @@
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether new callers are welcome."""
+        """Whether the daemon accepts new callers."""
         return self.is_started and not self.is_stopping
 
 
 class CallerApp:
-    """The ASGI app for callers."""
+    """Authenticates callers and passes their requests to the handlers."""
 
     def __init__(
         self,
         limits: models.LimitSettings,
         readiness: Readiness,
         known_teams: teams.TeamDirectory,
-        chat_desk: chats.ChatDesk,
-        service_desk: services.ServiceDesk,
+        chat_handler: chats.ChatHandler,
+        service_handler: services.ServiceHandler,
         counters: metrics.DaemonMetrics,
     ) -> None:
         self._limits = limits
         self._readiness = readiness
         self._teams = known_teams
-        self._chats = chat_desk
-        self._services = service_desk
+        self._chats = chat_handler
+        self._services = service_handler
         self._metrics = counters
 
     async def __call__(
@@ -71,7 +71,7 @@
             case "http", "/healthz":
                 await serving.send_answer(send, 200, b"alive\n")
             case "http", "/readyz":
-                await self._tell_readiness(send)
+                await self._send_readiness(send)
             case "http", "/metrics":
                 await self._send_metrics(send)
             case "http", _:
@@ -80,7 +80,7 @@
                 )
                 await self._serve(caller)
 
-    async def _tell_readiness(self, send: serving.Send) -> None:
+    async def _send_readiness(self, send: serving.Send) -> None:
         ready = self._readiness.is_ready
         body = b"ready\n" if ready else b"not ready\n"
         await serving.send_answer(send, 200 if ready else 503, body)
@@ -94,7 +94,9 @@
         try:
             await self._answer(caller)
         except serving.CallerGoneError:
-            _LOG.write(f"The caller of {caller.request_id} left.")
+            _LOG.write(
+                f"The caller of request {caller.request_id} disconnected."
+            )
         finally:
             self._readiness.in_progress -= 1
 
@@ -103,7 +105,7 @@
         team = self._teams.find(authorization)
         path = caller.scope["path"]
         if not self._readiness.is_started:
-            await caller.fail(_explain_starting())
+            await caller.fail(_create_starting_failure())
         elif team is None:
             code = results.ResultCode.BAD_CREDENTIAL
             message = "no team has this credential"
@@ -120,6 +122,6 @@
             await caller.fail(results.Failure(code, f"no {path}"))
 
 
-def _explain_starting() -> results.Failure:
+def _create_starting_failure() -> results.Failure:
     code = results.ResultCode.NOT_RUN_STARTING
     return results.Failure(code, "the configuration is not read yet", 1.0)
--- a/packages/daemon/src/martenquay_daemon/callers/chats.py
+++ b/packages/daemon/src/martenquay_daemon/callers/chats.py
@@ -1,4 +1,4 @@
-"""Serve chat requests: stream them, or accept them to be answered later."""
+"""Handler of chat requests, immediate or deferrable, and of tickets."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from martenquay_core import results
 from martenquay_core.config import objects
 from martenquay_core.util import blocks, serving
-from martenquay_daemon.callers import chat, exchange, gate, replies
+from martenquay_daemon.callers import chat, exchange, replies, route_directory
 from martenquay_daemon.deferrable import table
 from martenquay_daemon.dispatch import model, registry, request_progress
 
@@ -20,22 +20,22 @@
     from martenquay_daemon.limits import admission
     from martenquay_daemon.util import metrics
 
-__all__ = ["ChatDesk", "TICKET_PREFIX"]
+__all__ = ["ChatHandler", "TICKET_PREFIX"]
 
 TICKET_PREFIX = "/v1/tickets/"
-_COME_BACK_S = 1.0
+_RETRY_AFTER_S = 1.0
 _JSON = (b"content-type", b"application/json")
 
 
-class ChatDesk:
-    """Serve the chat requests and tickets of one daemon."""
+class ChatHandler:
+    """Answers chat requests, accepts deferrable ones and serves tickets."""
 
     def __init__(
         self,
         partner: str,
         known_teams: teams.TeamDirectory,
-        routes: gate.Gate,
-        entrance: admission.Admission,
+        routes: route_directory.RouteDirectory,
+        admission_control: admission.Admission,
         model_calls: model.ModelDispatcher,
         deferrable: manager.DeferrableManager,
         requests: registry.RequestRegistry,
@@ -43,8 +43,8 @@
     ) -> None:
         self._partner = partner
         self._teams = known_teams
-        self._gate = routes
-        self._admission = entrance
+        self._routes = routes
+        self._admission = admission_control
         self._models = model_calls
         self._deferrable = deferrable
         self._requests = requests
@@ -53,23 +53,25 @@
     async def serve(
         self, caller: exchange.Exchange, team: teams.KnownTeam
     ) -> None:
-        """Answer a chat request in the way that its urgency asks for."""
+        """Answer a chat request, or accept it if its route is deferrable."""
         body = await caller.read_body()
-        asked = body.bind(chat.read_chat)
-        known = asked.bind(lambda a: self._find_route(a.model, team.name))
-        if known.is_error():
-            await caller.fail(known.error)
-        elif known.ok.urgency is objects.Urgency.DEFERRABLE:
-            await self._accept(caller, team, known.ok, body.ok)
+        chat_request = body.bind(chat.parse_chat_request)
+        team_route = chat_request.bind(
+            lambda a: self._find_route(a.model, team.name)
+        )
+        if team_route.is_error():
+            await caller.fail(team_route.error)
+        elif team_route.ok.urgency is objects.Urgency.DEFERRABLE:
+            await self._accept_deferrable(caller, team, team_route.ok, body.ok)
         else:
             await caller.run_while_connected(
-                self._answer, caller, team, known.ok, asked.ok
+                self._answer, caller, team, team_route.ok, chat_request.ok
             )
 
     async def send_ticket(
         self, caller: exchange.Exchange, team: teams.KnownTeam, ticket: str
     ) -> None:
-        """Send the answer to a ticket, or that there is none yet."""
+        """Send the answer to a deferrable request, or that it is pending."""
         is_own = table.find_team(ticket) == team.name
         state = await self._deferrable.fetch(ticket) if is_own else None
         if state is None or not state.known:
@@ -80,76 +82,92 @@
                 caller.send,
                 caller.request_id,
                 results.ResultCode.PENDING,
-                {"ticket": ticket, "retry_after_s": _COME_BACK_S},
+                {"ticket": ticket, "retry_after_s": _RETRY_AFTER_S},
             )
         else:
-            await self._send_whole(caller, state.answer)
+            await self._send_completion(caller, state.answer)
 
     async def perform(
         self, work: table.Work, body: bytes
     ) -> Result[bytes, results.Failure]:
-        """Answer an accepted deferrable request from its body."""
+        """Answer an accepted deferrable request.
+
+        Args:
+            work: The accepted request.
+            body: Its body as the caller sent it.
+
+        Returns:
+            The encoded answer. A request whose route or team no longer exists
+            is answered with an encoded failure, since retries can't succeed.
+        """
         team = self._teams.find_by_name(work.team)
-        asked = chat.read_chat(body)
-        known = asked.bind(lambda a: self._find_route(a.model, work.team))
-        if team is None or known.is_error():
-            # It can never run, so this is its answer.
+        chat_request = chat.parse_chat_request(body)
+        team_route = chat_request.bind(
+            lambda a: self._find_route(a.model, work.team)
+        )
+        if team is None or team_route.is_error():
             failure = results.Failure(
                 results.ResultCode.UNKNOWN_ROUTE,
                 f"route {work.route} or team {work.team} is gone",
             )
             return Ok(replies.encode_failure(work.ticket, failure))
-        answered = await self._generate(
-            work.ticket, team, known.ok, asked.ok, chat.CollectingSink()
+        result = await self._generate(
+            work.ticket,
+            team,
+            team_route.ok,
+            chat_request.ok,
+            chat.DiscardingSink(),
         )
-        return answered.map(
-            lambda usage: chat.render_answer(work.ticket, work.route, usage)
+        return result.map(
+            lambda usage: chat.encode_completion(work.ticket, work.route, usage)
         )
 
     async def _answer(
         self,
         caller: exchange.Exchange,
         team: teams.KnownTeam,
-        known: gate.KnownRoute,
-        asked: chat.ChatRequest,
+        team_route: route_directory.TeamRoute,
+        chat_request: chat.ChatRequest,
     ) -> None:
-        headers = replies.result_headers(
+        headers = replies.create_result_headers(
             caller.request_id, results.ResultCode.OK
         )
         sink = chat.StreamingSink(
-            caller.send, caller.request_id, known.name, headers
+            caller.send, caller.request_id, team_route.name, headers
         )
-        answered = await self._generate(
+        result = await self._generate(
             caller.request_id,
             team,
-            known,
-            asked,
-            sink if asked.stream else chat.CollectingSink(),
+            team_route,
+            chat_request,
+            sink if chat_request.stream else chat.DiscardingSink(),
         )
-        match answered:
+        match result:
             case Result(tag="ok", ok=usage):
-                await self._finish(caller, known, asked, sink, usage)
+                await self._finish_answer(
+                    caller, team_route, chat_request, sink, usage
+                )
             case Result(error=failure) if sink.is_open:
-                caller.count(failure.code, known)
+                caller.count(failure.code, team_route)
                 await sink.fail(failure)
             case Result(error=failure):
-                await caller.fail(failure, known)
+                await caller.fail(failure, team_route)
 
     async def _generate(
         self,
         request_id: str,
         team: teams.KnownTeam,
-        known: gate.KnownRoute,
-        asked: chat.ChatRequest,
+        team_route: route_directory.TeamRoute,
+        chat_request: chat.ChatRequest,
         sink: request_progress.TokenSink,
     ) -> Result[request_progress.Usage, results.Failure]:
-        """Wait for room, then generate the answer into a sink."""
-        prompt = asked.build_prompt()
-        cost = blocks.count_tokens(prompt) + asked.max_tokens
-        ask = self._gate.build_ask(team, known, cost)
+        """Wait for admission, then generate the answer into a sink."""
+        prompt = chat_request.build_prompt()
+        cost = blocks.count_tokens(prompt) + chat_request.max_tokens
+        ask = self._routes.build_ask(team, team_route, cost)
         self._requests.open(
             registry.RunningRequest(
-                request_id, team.name, known.name, known.urgency.value
+                request_id, team.name, team_route.name, team_route.urgency.value
             )
         )
         try:
@@ -159,10 +177,10 @@
             request = request_progress.ModelRequest(
                 request_id,
                 self._partner,
-                known.route.pool,
-                known.urgency,
+                team_route.route.pool,
+                team_route.urgency,
                 prompt,
-                asked.max_tokens,
+                chat_request.max_tokens,
                 ask.deadline,
             )
             try:
@@ -172,65 +190,67 @@
         finally:
             self._requests.close(request_id)
 
-    async def _finish(
+    async def _finish_answer(
         self,
         caller: exchange.Exchange,
-        known: gate.KnownRoute,
-        asked: chat.ChatRequest,
+        team_route: route_directory.TeamRoute,
+        chat_request: chat.ChatRequest,
         sink: chat.StreamingSink,
         usage: request_progress.Usage,
     ) -> None:
-        caller.count(results.ResultCode.OK, known)
-        labels = {"pool": known.route.pool}
+        caller.count(results.ResultCode.OK, team_route)
+        labels = {"pool": team_route.route.pool}
         self._metrics.generated.add(labels, len(usage.generated))
-        if asked.stream:
+        if chat_request.stream:
             await sink.finish()
             return
-        body = chat.render_answer(caller.request_id, known.name, usage)
-        await self._send_whole(caller, body, usage.runner, usage.zone)
+        body = chat.encode_completion(caller.request_id, team_route.name, usage)
+        await self._send_completion(caller, body, usage.runner, usage.zone)
 
-    async def _accept(
+    async def _accept_deferrable(
         self,
         caller: exchange.Exchange,
         team: teams.KnownTeam,
-        known: gate.KnownRoute,
+        team_route: route_directory.TeamRoute,
         body: bytes,
     ) -> None:
-        # The caller's key names the ticket, so that a repeat of a request
-        # whose answer was lost is the same request.
+        # The idempotency key becomes the ticket, or a retry after a lost answer
+        # would be accepted as a second request.
         ticket = f"{team.name}.{caller.key or secrets.token_hex(16)}"
         if not exchange.ID_PATTERN.match(ticket):
             code = results.ResultCode.MALFORMED_REQUEST
             message = "a key has letters, digits and _.:- only, 64 at most"
-            await caller.fail(results.Failure(code, message), known)
+            await caller.fail(results.Failure(code, message), team_route)
             return
         accepted = await self._deferrable.accept(
-            ticket, team.name, known.name, body
+            ticket, team.name, team_route.name, body
         )
         if accepted.is_error():
-            await caller.fail(accepted.error, known)
+            await caller.fail(accepted.error, team_route)
             return
         code = results.ResultCode.ACCEPTED
-        caller.count(code, known)
+        caller.count(code, team_route)
         content = {"ticket": ticket, "answer": f"{TICKET_PREFIX}{ticket}"}
         await replies.send_result(caller.send, caller.request_id, code, content)
 
-    async def _send_whole(
+    async def _send_completion(
         self,
         caller: exchange.Exchange,
         body: bytes,
         runner: str = "",
         zone: str = "",
     ) -> None:
-        headers = replies.result_headers(
+        headers = replies.create_result_headers(
             caller.request_id, results.ResultCode.OK, runner, zone
         )
         await serving.send_answer(caller.send, 200, body, [_JSON, *headers])
 
     def _find_route(
         self, name: str, team: str
-    ) -> Result[gate.KnownRoute, results.Failure]:
-        found = self._gate.find_route(name, team)
+    ) -> Result[route_directory.TeamRoute, results.Failure]:
+        found = self._routes.find_route(name, team)
         return found.bind(
-            lambda known: gate.require_kind(known, objects.PoolKind.MODEL)
+            lambda team_route: route_directory.require_kind(
+                team_route, objects.PoolKind.MODEL
+            )
         )
--- a/packages/daemon/src/martenquay_daemon/callers/gate.py
+++ b/packages/daemon/src/martenquay_daemon/callers/route_directory.py
@@ -1,4 +1,4 @@
-"""Decide how a team's request is served: its route, urgency and limits."""
+"""Look up the route, urgency and limits that apply to a request."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
     from martenquay_daemon.configuration import store
     from martenquay_daemon.membership import directory, table
 
-__all__ = ["Gate", "KnownRoute", "require_kind"]
+__all__ = ["RouteDirectory", "TeamRoute", "require_kind"]
 
-_DEFAULT_RUNNING = 64
-_DEFAULT_QUEUE = 256
-# A daemon may use more than an even part of a pool, for callers are not
-# spread evenly over the daemons.
-_UNEVEN = 2.0
+_DEFAULT_CONCURRENCY = 64
+_DEFAULT_QUEUE_LENGTH = 256
+# A daemon may use more than an even share of a pool, since the load is not
+# balanced evenly over the daemons.
+_MAX_SHARE_FACTOR = 2.0
 
 
 @dataclasses.dataclass(frozen=True)
-class KnownRoute:
-    """A route with what holds for one team.
+class TeamRoute:
+    """A route as configured for one team.
 
     Attributes:
-        name: The route's name.
+        name: Name of the route.
         route: The route.
-        pool: Its pool.
-        urgency: The route's urgency, or that of a rule for the team.
+        pool: The pool that serves it.
+        urgency: Urgency from a rule for the team, else that of the route.
     """
 
     name: str
@@ -44,8 +44,8 @@
     urgency: objects.Urgency
 
 
-class Gate:
-    """Look up what a request may use."""
+class RouteDirectory:
+    """Looks up routes and pool capacity in the current configuration."""
 
     def __init__(
         self,
@@ -61,8 +61,8 @@
 
     def find_route(
         self, name: str, team: str
-    ) -> Result[KnownRoute, results.Failure]:
-        """Return a route as it holds for a team."""
+    ) -> Result[TeamRoute, results.Failure]:
+        """Return a route for a team; fail if it or its pool doesn't exist."""
         route = self._config.find_route(self._partner, name)
         pool = (
             self._config.find_pool(self._partner, route.pool) if route else None
@@ -71,15 +71,20 @@
             code = results.ResultCode.UNKNOWN_ROUTE
             return Error(results.Failure(code, f"no route {name!r}"))
         urgency = self._find_urgency(name, team) or route.urgency
-        return Ok(KnownRoute(name, route, pool, urgency))
+        return Ok(TeamRoute(name, route, pool, urgency))
 
     def build_ask(
-        self, team: teams.KnownTeam, known: KnownRoute, cost: float
+        self, team: teams.KnownTeam, team_route: TeamRoute, cost: float
     ) -> admission.PermitRequest:
-        """Return what the admission has to know of a request.
+        """Return the admission request for a request of a team.
 
-        A team's limits hold for the partner as a whole, so each serving
-        daemon lets in its even part.
+        A team's limits apply to the partner as a whole, so each serving
+        daemon enforces an even share.
+
+        Args:
+            team: The team.
+            team_route: The route of the request.
+            cost: Tokens, or 1 for a service call.
         """
         daemons = max(1, len(self._members.list_serving(self._partner)))
         return admission.PermitRequest(
@@ -87,14 +92,14 @@
             weight=team.team.weight,
             concurrency=max(1, math.ceil(team.team.concurrency / daemons)),
             token_rate=team.team.token_rate / daemons,
-            pool=known.route.pool,
-            urgency=known.urgency,
+            pool=team_route.route.pool,
+            urgency=team_route.urgency,
             cost=cost,
-            deadline=trio.current_time() + known.route.deadline_s,
+            deadline=trio.current_time() + team_route.route.deadline_s,
         )
 
     def find_capacity(self, pool: str) -> admission.PoolCapacity:
-        """Return what this daemon may use of a pool."""
+        """Return the concurrency and queue length for a pool here."""
         for _, limit in self._config.list_objects(
             self._partner, objects.Kind.LIMIT
         ):
@@ -104,16 +109,20 @@
                 )
         runners = self._runners.list_pool(self._partner, pool)
         slots = sum(runner.slots for runner in runners)
-        lent = self._runners.list_lent(self._partner, pool)
-        slots += sum(runner.slots for runner in lent)
+        borrowed = self._runners.list_lent(self._partner, pool)
+        slots += sum(runner.slots for runner in borrowed)
         if slots == 0:
             return admission.PoolCapacity(
-                _DEFAULT_RUNNING, _DEFAULT_QUEUE, _DEFAULT_RUNNING
+                _DEFAULT_CONCURRENCY,
+                _DEFAULT_QUEUE_LENGTH,
+                _DEFAULT_CONCURRENCY,
             )
         daemons = max(1, len(self._members.list_serving(self._partner)))
-        even = slots / daemons
+        even_share = slots / daemons
         return admission.PoolCapacity(
-            max(2, math.ceil(even * _UNEVEN)), _DEFAULT_QUEUE, even
+            max(2, math.ceil(even_share * _MAX_SHARE_FACTOR)),
+            _DEFAULT_QUEUE_LENGTH,
+            even_share,
         )
 
     def _find_urgency(self, route: str, team: str) -> objects.Urgency | None:
@@ -128,11 +137,13 @@
 
 
 def require_kind(
-    known: KnownRoute, kind: objects.PoolKind
-) -> Result[KnownRoute, results.Failure]:
-    """Return the route if its pool is of a kind, or say that it is not."""
-    if known.pool.kind is kind:
-        return Ok(known)
+    team_route: TeamRoute, kind: objects.PoolKind
+) -> Result[TeamRoute, results.Failure]:
+    """Return the route, or a failure if its pool is of another kind."""
+    if team_route.pool.kind is kind:
+        return Ok(team_route)
     code = results.ResultCode.UNKNOWN_ROUTE
-    message = f"route {known.name!r} leads to a {known.pool.kind.value}"
+    message = (
+        f"route {team_route.name!r} leads to a {team_route.pool.kind.value}"
+    )
     return Error(results.Failure(code, message))
--- a/packages/daemon/src/martenquay_daemon/forwarding/attempt.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/attempt.py
@@ -101,7 +101,7 @@
                 async with connections.connect_runner(
                     runner.address,
                     _CONNECT_S,
-                    lasts_s=current.deadline - trio.current_time(),
+                    max_use_s=current.deadline - trio.current_time(),
                 ) as connection:
                     bounds = silence_limits.find_silence_limits(
                         current, placement, may_move
@@ -312,7 +312,7 @@
             events = splitter.feed(piece)
             if events and not is_begun:
                 is_begun = True
-                connection.has_begun = True
+                connection.has_first_event = True
                 running.note_first_event()
                 took_s = trio.current_time() - current.sent_at
                 self._learn_first_event(current, placement, took_s)
--- a/packages/daemon/src/martenquay_daemon/forwarding/stop_window.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/stop_window.py
@@ -1,4 +1,4 @@
-"""Tell which requests still come to their end before a planned stop."""
+"""Estimate whether a new request can finish before a graceful stop ends."""
 
 from __future__ import annotations
 
@@ -14,69 +14,70 @@
 
     from martenquay_daemon.engines import durations
 
-__all__ = ["LastRequest", "StopWindow"]
+__all__ = ["NewRequest", "StopWindow"]
 
-# How many times the mean of streams that ask for as many tokens one may take.
-# Of 2,467 chats of some seconds on a day of high load one in a hundred took
-# more than 2.3 times it, of 8,514 streams of all lengths one in twenty 2.6
-# times. A stream that is cut is lost with all that its caller has waited; one
-# that is turned away begins elsewhere within milliseconds.
-_LONGEST_FACTOR = 3.0
+# Longest duration of a stream as a multiple of the mean for its token count.
+# Generous, since a truncated stream costs its caller more than a rejected one.
+_MAX_DURATION_FACTOR = 3.0
 
 
 @dataclasses.dataclass(frozen=True)
-class LastRequest:
-    """A request that comes while this daemon may be stopping.
+class NewRequest:
+    """A request that is not sent to a runner yet.
 
     Attributes:
-        service: Whose runner is to answer it.
-        kind: Of its route.
-        tokens: The most tokens that it asks for; None if it does not say.
-        left_s: Until its caller or its route gives it up.
+        service: The service that it is for.
+        kind: The kind of its route.
+        max_tokens: Limit of generated tokens; None if the request has none.
+        time_left_s: Time until its deadline.
     """
 
     service: str
     kind: catalog.CallKind
-    tokens: int | None
-    left_s: float
+    max_tokens: int | None
+    time_left_s: float
 
 
 class StopWindow:
-    """How much time a stop leaves, and who can use it."""
+    """Time that a graceful stop leaves for new requests."""
 
-    def __init__(self, streams: durations.StreamDurations) -> None:
-        self._streams = streams
-        self._find_end: Callable[[], float] | None = None
+    def __init__(self, stream_durations: durations.StreamDurations) -> None:
+        self._stream_durations = stream_durations
+        self._find_deadline: Callable[[], float] | None = None
 
-    def begin(self, find_end: Callable[[], float]) -> None:
-        """Begin to stop.
+    def begin(self, find_deadline: Callable[[], float]) -> None:
+        """Start the stop.
 
         Args:
-            find_end: Returns when all has to be over, in trio's time;
-                operators may move it.
+            find_deadline: Returns when all requests must have ended, in trio's
+                time; operators may change it during the stop.
         """
-        self._find_end = find_end
+        self._find_deadline = find_deadline
 
-    def find_overrun(self, request: LastRequest) -> float:
-        """Return by how much a request may outlast the stop.
+    def find_overrun(self, request: NewRequest) -> float:
+        """Return by how many seconds a request may outlast the stop.
 
         Args:
-            request: The request, not yet sent to anybody.
+            request: A request that is not sent to a runner yet.
 
         Returns:
-            Seconds; 0 if there is no stop or its time suffices.
+            Seconds; 0 if there is no stop or the request fits into it.
         """
-        if self._find_end is None:
+        if self._find_deadline is None:
             return 0.0
-        longest_s = self._find_longest(request)
-        return max(0.0, trio.current_time() + longest_s - self._find_end())
+        max_duration_s = self._estimate_max_duration(request)
+        return max(
+            0.0, trio.current_time() + max_duration_s - self._find_deadline()
+        )
 
-    def _find_longest(self, request: LastRequest) -> float:
-        """Return the longest time that an answer takes, as far as known."""
+    def _estimate_max_duration(self, request: NewRequest) -> float:
+        """Return the longest expected duration of a request in seconds."""
         is_stream = request.kind is catalog.CallKind.STREAM
-        if not is_stream or request.tokens is None:
-            return request.left_s
-        mean_s = self._streams.find_mean_s(request.service, request.tokens)
+        if not is_stream or request.max_tokens is None:
+            return request.time_left_s
+        mean_s = self._stream_durations.find_mean_s(
+            request.service, request.max_tokens
+        )
         if mean_s is None:
-            return request.left_s
-        return min(request.left_s, _LONGEST_FACTOR * mean_s)
+            return request.time_left_s
+        return min(request.time_left_s, _MAX_DURATION_FACTOR * mean_s)
