--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -162,8 +162,8 @@
     Mutation(
         "a loan ends counted from the report that it names",
         f"{DAEMON}/allowances/refill_shares.py",
-        "end = reported_at + loan.ends_s",
-        "end = now + loan.ends_s",
+        "end = reported_at + delegation.ends_s",
+        "end = now + delegation.ends_s",
         _RIGHTS,
     ),
     Mutation(
--- a/packages/daemon/src/martenquay_daemon/allowances/gate.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/gate.py
@@ -18,9 +18,9 @@
 
 # For so long a request waits for units that other daemons have: a message there
 # and one back, each sent within 40 ms.
-_WAIT_S = 0.2
+_TRANSFER_WAIT_S = 0.2
 # Between two looks whether parts have come.
-_LOOK_S = 0.05
+_SHARE_POLL_S = 0.05
 
 
 class QuotaHolders(Protocol):
@@ -30,17 +30,17 @@
         """Tell whether this daemon keeps the units that it needs itself."""
 
     async def ask(
-        self, team: str, wish: terms.AdmissionRequest
+        self, team: str, request: terms.AdmissionRequest
     ) -> terms.AdmissionDecision | None:
         """Have a daemon decide that keeps this one's; None if none answers."""
 
     async def ask_address(
-        self, address: str, team: str, wish: terms.AdmissionRequest
+        self, address: str, team: str, request: terms.AdmissionRequest
     ) -> terms.AdmissionDecision | None:
         """Have one daemon decide that has units; None if it says nothing."""
 
 
-def _lack_none() -> bool:
+def _lacks_none() -> bool:
     return False
 
 
@@ -53,34 +53,34 @@
     """
 
     def __init__(
-        self, units: quota_ledger.QuotaLedger, keepers: QuotaHolders
+        self, units: quota_ledger.QuotaLedger, holders: QuotaHolders
     ) -> None:
-        self.lacks_shares: Callable[[], bool] = _lack_none
-        self._units = units
-        self._keepers = keepers
+        self.lacks_shares: Callable[[], bool] = _lacks_none
+        self._ledger = units
+        self._holders = holders
 
     async def acquire(
-        self, team: catalog.Team, wish: terms.AdmissionRequest
+        self, team: catalog.Team, request: terms.AdmissionRequest
     ) -> terms.AdmissionDecision:
         """Spend units for a request that came to this daemon."""
         if team.rate <= 0:
             return terms.AdmissionDecision(0.0)
-        if not self._keepers.holds_quota_here():
-            answer = await self._keepers.ask(team.name, wish)
+        if not self._holders.holds_quota_here():
+            answer = await self._holders.ask(team.name, request)
             if answer is not None:
                 return answer
-        verdict = await self._take_here(team, wish)
+        verdict = await self._spend_locally(team, request)
         match verdict:
             case terms.HeldElsewhere(holder=holder) if holder:
-                answer = await self._keepers.ask_address(
-                    holder, team.name, wish
+                answer = await self._holders.ask_address(
+                    holder, team.name, request
                 )
                 if answer is not None and answer.is_admitted:
                     return answer
-        return await self.settle(team, wish, verdict, _WAIT_S)
+        return await self.settle(team, request, verdict, _TRANSFER_WAIT_S)
 
-    async def _take_here(
-        self, team: catalog.Team, wish: terms.AdmissionRequest
+    async def _spend_locally(
+        self, team: catalog.Team, request: terms.AdmissionRequest
     ) -> terms.Verdict:
         """Return the verdict of the units here, once there can be some.
 
@@ -88,19 +88,19 @@
         within the second in which parts are lent. Refused then, they mostly
         gave up; a second later there was enough for all.
         """
-        end = trio.current_time() + wish.max_wait_s
-        verdict = self._units.try_spend(team, wish)
+        deadline = trio.current_time() + request.max_wait_s
+        verdict = self._ledger.try_spend(team, request)
         while isinstance(verdict, terms.Refused) and self.lacks_shares():
-            if trio.current_time() >= end:
+            if trio.current_time() >= deadline:
                 break
-            await trio.sleep(_LOOK_S)
-            verdict = self._units.try_spend(team, wish, is_again=True)
+            await trio.sleep(_SHARE_POLL_S)
+            verdict = self._ledger.try_spend(team, request, is_again=True)
         return verdict
 
     async def settle(
         self,
         team: catalog.Team,
-        wish: terms.AdmissionRequest,
+        request: terms.AdmissionRequest,
         verdict: terms.Verdict,
         wait_s: float,
     ) -> terms.AdmissionDecision:
@@ -108,43 +108,47 @@
 
         Args:
             team: Who spends.
-            wish: What for.
+            request: What for.
             verdict: The verdict.
             wait_s: How long the request may wait for units of others.
         """
         match verdict:
             case terms.HeldElsewhere(missing=missing):
-                verdict = await self._wait(team, wish, missing, wait_s)
-        standing = self._units.describe(team.name)
+                verdict = await self._wait_for_quota(
+                    team, request, missing, wait_s
+                )
+        status = self._ledger.describe(team.name)
         match verdict:
             case terms.Admitted():
-                return terms.AdmissionDecision(0.0, standing)
+                return terms.AdmissionDecision(0.0, status)
             case _:
-                retry_s = self._units.refuse(team, wish.units)
-                return terms.AdmissionDecision(retry_s, standing)
+                retry_s = self._ledger.schedule_retry(team, request.units)
+                return terms.AdmissionDecision(retry_s, status)
 
-    async def _wait(
+    async def _wait_for_quota(
         self,
         team: catalog.Team,
-        wish: terms.AdmissionRequest,
+        request: terms.AdmissionRequest,
         missing: float,
         wait_s: float,
     ) -> terms.Verdict:
         """Wait a moment for units that others have."""
         verdict: terms.Verdict = terms.HeldElsewhere(missing)
-        self._units.note_shortage(team, missing)
+        self._ledger.note_shortage(team, missing)
         try:
             with trio.move_on_after(wait_s):
                 while isinstance(verdict, terms.HeldElsewhere):
-                    await self._units.news.wait()
-                    verdict = self._units.try_spend(team, wish, is_again=True)
+                    await self._ledger.quota_received.wait()
+                    verdict = self._ledger.try_spend(
+                        team, request, is_again=True
+                    )
         finally:
-            self._units.note_shortage(team, -missing)
+            self._ledger.note_shortage(team, -missing)
         return verdict
 
 
 def create_gate(
-    units: quota_ledger.QuotaLedger, keepers: QuotaHolders
+    units: quota_ledger.QuotaLedger, holders: QuotaHolders
 ) -> AllowanceGate:
     """Return a gate."""
-    return AllowanceGate(units, keepers)
+    return AllowanceGate(units, holders)
--- a/packages/daemon/src/martenquay_daemon/allowances/quota_ledger.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/quota_ledger.py
@@ -33,26 +33,26 @@
 __all__ = ["QuotaLedger", "QuotaTransfer", "create_quota_ledger"]
 
 # Over this time the demand at a daemon is measured.
-_DEMAND_MEMORY_S = 1.0
+_DEMAND_DECAY_S = 1.0
 # Plain calls, which cost next to nothing, may use up the whole of what may be
 # owed; each step of less urgency leaves this part of it and of the units.
-_RESERVE = 0.1
-_MOST_RESERVE = 0.3
+_RESERVE_STEP_RATIO = 0.1
+_MAX_RESERVE_RATIO = 0.3
 # A caller that is told to come back sooner only meets the same refusal.
-_LEAST_WAIT_S = 0.1
+_MIN_RETRY_S = 0.1
 # Promises to more refused callers than come back within this time are not
 # worth telling apart.
-_LONGEST_WAIT_S = 4.0
+_MAX_RETRY_S = 4.0
 # What a refused caller is told while it is not known what comes here: a part
 # is lent or counted again within this time.
-_UNKNOWN_WAIT_S = 0.5
+_DEFAULT_RETRY_S = 0.5
 # What was told longer ago is no ground for gifts: its receiver is cut off.
-_FRESH_S = 1.2
+_BALANCE_MAX_AGE_S = 1.2
 # A request that cannot be on time any more leaves this part of the units for
 # those that can.
-_LATE_PART = 0.5
+_ON_TIME_RESERVE_RATIO = 0.5
 # Below this part of its part of the units, a daemon tells the others soon.
-_LOW = 0.3
+_LOW_LEVEL_RATIO = 0.3
 
 
 @dataclasses.dataclass(frozen=True)
@@ -71,7 +71,7 @@
 
 
 @dataclasses.dataclass
-class _Other:
+class _Peer:
     """What another daemon has told.
 
     Attributes:
@@ -84,15 +84,15 @@
     """
 
     heard: int
-    heard_at: float
+    received_at: float
     address: str
-    holdings: dict[str, sharing.QuotaBalance]
-    given: dict[str, float] = dataclasses.field(default_factory=dict)
-    taken: dict[str, float] = dataclasses.field(default_factory=dict)
+    balances: dict[str, sharing.QuotaBalance]
+    transferred: dict[str, float] = dataclasses.field(default_factory=dict)
+    redirected: dict[str, float] = dataclasses.field(default_factory=dict)
 
 
 @dataclasses.dataclass(frozen=True)
-class _Pace:
+class _RefillPolicy:
     """What a team's rate and the bounds come to.
 
     Attributes:
@@ -123,25 +123,27 @@
         promised: Units that refused callers were told to come back for.
     """
 
-    pace: _Pace
-    pile: quota_bucket.QuotaBucket
-    minted_at: float
+    policy: _RefillPolicy
+    bucket: quota_bucket.QuotaBucket
+    refilled_at: float
     asked: float = 0.0
-    asked_at: float = 0.0
+    demand_at: float = 0.0
     needed: float = 0.0
-    minted: float = 0.0
+    refilled: float = 0.0
     promised: float = 0.0
 
-    def find_asked(self, now: float) -> float:
+    def find_demand(self, now: float) -> float:
         """Return the units a second that callers ask for."""
-        kept = math.exp((self.asked_at - now) / _DEMAND_MEMORY_S)
+        kept = math.exp((self.demand_at - now) / _DEMAND_DECAY_S)
         return kept * self.asked
 
-    def hold(self, now: float, overdraft: float) -> sharing.QuotaBalance:
+    def create_balance(
+        self, now: float, overdraft: float
+    ) -> sharing.QuotaBalance:
         """Return what there is, for others and for reckoning with them."""
-        asked = self.find_asked(now)
+        asked = self.find_demand(now)
         return sharing.QuotaBalance(
-            self.pile.level, asked, self.needed, overdraft
+            self.bucket.level, asked, self.needed, overdraft
         )
 
 
@@ -157,28 +159,28 @@
     def __init__(
         self,
         bounds: terms.ToleranceBounds,
-        mint_rights: refill_shares.RefillShares,
+        shares: refill_shares.RefillShares,
         notify_soon: Callable[[], None],
     ) -> None:
         """Begin without units.
 
         Args:
             bounds: What is tolerated.
-            mint_rights: What this daemon may mint.
+            shares: What this daemon may mint.
             notify_soon: Has this daemon's units told to others soon.
         """
         self.bounds = bounds
-        self.rights = mint_rights
-        self.news = trio.Event()
-        self._hurry = notify_soon
+        self.rights = shares
+        self.quota_received = trio.Event()
+        self._notify_soon = notify_soon
         self._started_at = trio.current_time()
         self._accounts: dict[str, _Account] = {}
-        self._others: dict[str, _Other] = {}
+        self._peers: dict[str, _Peer] = {}
 
     def try_spend(
         self,
         team: catalog.Team,
-        wish: terms.AdmissionRequest,
+        request: terms.AdmissionRequest,
         *,
         is_again: bool = False,
     ) -> terms.Verdict:
@@ -186,15 +188,15 @@
 
         Args:
             team: Who spends.
-            wish: What for.
+            request: What for.
             is_again: The request has waited for units.
         """
         account = self._refill(team)
         if not is_again:
-            self._note_asked(account, wish.units)
-        return self._decide(team, account, wish)
+            self._record_demand(account, request.units)
+        return self._decide(team, account, request)
 
-    def refuse(self, team: catalog.Team, units: float) -> float:
+    def schedule_retry(self, team: catalog.Team, units: float) -> float:
         """Return when a caller that is refused should come back, in seconds.
 
         Callers that are refused together are called back one after the
@@ -202,18 +204,18 @@
         """
         account = self._refill(team)
         account.promised += units
-        rate = account.pace.rate * self.rights.find_usable_share()
+        rate = account.policy.rate * self.rights.find_usable_share()
         if rate <= 0:
-            return _UNKNOWN_WAIT_S
-        wait_s = (account.promised - account.pile.level) / rate
-        return min(_LONGEST_WAIT_S, max(_LEAST_WAIT_S, wait_s))
+            return _DEFAULT_RETRY_S
+        wait_s = (account.promised - account.bucket.level) / rate
+        return min(_MAX_RETRY_S, max(_MIN_RETRY_S, wait_s))
 
     def note_shortage(self, team: catalog.Team, units: float) -> None:
         """Note that a request waits for units; less than 0 if no more."""
         account = self._refill(team)
         account.needed = max(0.0, account.needed + units)
         if units > 0:
-            self._hurry()
+            self._notify_soon()
 
     def refill(self, teams: Iterable[catalog.Team]) -> None:
         """Bring the units of all teams up to now."""
@@ -227,17 +229,17 @@
         if account is None:
             return terms.QuotaStatus()
         return terms.QuotaStatus(
-            account.pile.total,
-            account.pile.debt,
+            account.bucket.total,
+            account.bucket.debt,
             self.rights.find_usable_share(),
-            account.find_asked(trio.current_time()),
+            account.find_demand(trio.current_time()),
         )
 
     def list_holdings(self) -> dict[str, sharing.QuotaBalance]:
         """Return what this daemon has, by team."""
         now = trio.current_time()
         return {
-            team: account.hold(now, self._find_most_owed(account))
+            team: account.create_balance(now, self._find_max_overdraft(account))
             for team, account in self._accounts.items()
         }
 
@@ -245,104 +247,110 @@
         self, teams: Iterable[catalog.Team]
     ) -> dict[str, QuotaTransfer]:
         """Take out what others lack more; return it by receiver."""
-        gifts: dict[str, QuotaTransfer] = {}
+        transfers: dict[str, QuotaTransfer] = {}
         now = trio.current_time()
         for team in teams:
             if team.rate <= 0:
                 continue
             account = self._refill(team)
-            for member, units in self._find_gifts(team, account).items():
-                other = self._others[member]
-                parcels = account.pile.take_away(now, units)
-                other.given[team.name] = other.given.get(team.name, 0.0) + units
-                gift = gifts.setdefault(member, QuotaTransfer(other.heard, {}))
-                gift.parcels[team.name] = [
-                    (parcel.units, parcel.ends_at - now) for parcel in parcels
+            for member, units in self._find_transfers(team, account).items():
+                peer = self._peers[member]
+                parcels = account.bucket.withdraw(now, units)
+                peer.transferred[team.name] = (
+                    peer.transferred.get(team.name, 0.0) + units
+                )
+                transfer = transfers.setdefault(
+                    member, QuotaTransfer(peer.heard, {})
+                )
+                transfer.parcels[team.name] = [
+                    (lot.units, lot.expires_at - now) for lot in parcels
                 ]
-        return gifts
+        return transfers
 
     def apply_balances(
         self,
         member: str,
         number: int,
-        holdings: dict[str, sharing.QuotaBalance],
+        balances: dict[str, sharing.QuotaBalance],
         address: str = "",
     ) -> None:
         """Take what another daemon has told of its units."""
-        known = self._others.get(member)
+        known = self._peers.get(member)
         if known is not None and number <= known.heard:
             return
-        self._others[member] = _Other(
-            number, trio.current_time(), address, holdings
+        self._peers[member] = _Peer(
+            number, trio.current_time(), address, balances
         )
-        if any(self._is_to_give(team) for team in holdings):
-            self._hurry()
+        if any(self._can_transfer(team) for team in balances):
+            self._notify_soon()
 
-    def accept_transfer(self, gift: QuotaTransfer, told_at: float) -> None:
+    def accept_transfer(self, transfer: QuotaTransfer, sent_at: float) -> None:
         """Take units that another daemon has given.
 
         Args:
-            gift: The units.
-            told_at: When the message was sent that the gift answers, in
+            transfer: The units.
+            sent_at: When the message was sent that the gift answers, in
                 trio's time. The gift was made later, so units do not live
                 longer by their way, however long that took.
         """
         now = trio.current_time()
-        for team, parcels in gift.parcels.items():
+        for team, parcels in transfer.parcels.items():
             account = self._accounts.get(team)
             if account is None:
                 continue
-            account.pile.expire(now)
+            account.bucket.expire(now)
             for units, life_s in parcels:
-                account.pile.add(
-                    now, quota_bucket.QuotaLot(units, told_at + life_s)
+                account.bucket.add(
+                    now, quota_bucket.QuotaLot(units, sent_at + life_s)
                 )
-        self.news.set()
-        self.news = trio.Event()
+        self.quota_received.set()
+        self.quota_received = trio.Event()
 
     def forget(self, member: str) -> None:
         """Drop a daemon that is gone for good."""
-        self._others.pop(member, None)
+        self._peers.pop(member, None)
 
     def forget_all(self) -> None:
         """Drop all others; those who come next are new."""
-        self._others.clear()
+        self._peers.clear()
 
     def _decide(
         self,
         team: catalog.Team,
         account: _Account,
-        wish: terms.AdmissionRequest,
+        request: terms.AdmissionRequest,
     ) -> terms.Verdict:
-        pile = account.pile
-        units = wish.units
-        if wish.is_late and self._is_short(account, units):
+        bucket = account.bucket
+        units = request.units
+        if request.is_late and self._is_kept_for_on_time(account, units):
             return terms.Refused()
-        kept = min(_MOST_RESERVE, _RESERVE * wish.reserve)
-        owed = (1 - kept) * self._find_most_owed(account)
+        kept = min(_MAX_RESERVE_RATIO, _RESERVE_STEP_RATIO * request.reserve)
+        overdraft = (1 - kept) * self._find_max_overdraft(account)
         # Whether a request passes hardly depends on its size, or the large
         # ones would starve while small ones use up what comes.
-        has_some = wish.reserve == 0 or pile.level > 0
-        missing = units - pile.level - owed
-        if has_some and missing <= 0:
-            pile.spend(units)
-            self._note_low(team, account)
+        has_credit = request.reserve == 0 or bucket.level > 0
+        missing = units - bucket.level - overdraft
+        if has_credit and missing <= 0:
+            bucket.spend(units)
+            self._notify_if_low(team, account)
             return terms.Admitted()
-        missing = max(missing, 1.0 - pile.level)
-        if self._is_elsewhere(team, missing):
-            return terms.HeldElsewhere(missing, self._find_holder(team, units))
+        missing = max(missing, 1.0 - bucket.level)
+        if self._is_held_elsewhere(team, missing):
+            return terms.HeldElsewhere(
+                missing, self._choose_holder(team, units)
+            )
         return terms.Refused()
 
-    def _is_short(self, account: _Account, units: float) -> bool:
+    def _is_kept_for_on_time(self, account: _Account, units: float) -> bool:
         """Tell whether a request would take units from those on time."""
         now = trio.current_time()
-        comes = account.pace.rate * self.rights.find_usable_share()
-        if account.find_asked(now) <= comes:
+        refill_rate = account.policy.rate * self.rights.find_usable_share()
+        if account.find_demand(now) <= refill_rate:
             return False
-        full = self._find_full(account)
-        return account.pile.level - units < _LATE_PART * full
+        capacity = self._find_capacity(account)
+        return account.bucket.level - units < _ON_TIME_RESERVE_RATIO * capacity
 
-    def _find_holder(self, team: catalog.Team, units: float) -> str:
+    def _choose_holder(self, team: catalog.Team, units: float) -> str:
         """Return where the request can be let in, or nothing.
 
         Asking there takes a few ms. Units that are handed over take 0.1 s and
@@ -350,19 +358,19 @@
         """
         found = ""
         most = 0.0
-        for member, one in self._list_others(team).items():
-            other = self._others[member]
-            level = one.level - other.taken.get(team.name, 0.0)
+        for member, one in self._list_peer_balances(team).items():
+            peer = self._peers[member]
+            level = one.level - peer.redirected.get(team.name, 0.0)
             is_enough = level > 0 and level + one.overdraft >= units
-            if other.address and is_enough and level > most:
+            if peer.address and is_enough and level > most:
                 found, most = member, level
         if not found:
             return ""
-        other = self._others[found]
-        other.taken[team.name] = other.taken.get(team.name, 0.0) + units
-        return other.address
+        peer = self._peers[found]
+        peer.redirected[team.name] = peer.redirected.get(team.name, 0.0) + units
+        return peer.address
 
-    def _find_most_owed(self, account: _Account) -> float:
+    def _find_max_overdraft(self, account: _Account) -> float:
         """Return what this daemon may owe.
 
         The process before this one may have owed as much when it ended. Until
@@ -371,70 +379,72 @@
         """
         most = self.bounds.find_max_overdraft()
         held, fresh = self.rights.find_overdraft_shares()
-        return most * held + min(most * fresh, account.pile.unspent)
+        return most * held + min(most * fresh, account.bucket.expired_units)
 
-    def _is_elsewhere(self, team: catalog.Team, missing: float) -> bool:
+    def _is_held_elsewhere(self, team: catalog.Team, missing: float) -> bool:
         """Tell whether others have what is missing here."""
-        there = 0.0
-        for one in self._list_others(team).values():
+        available = 0.0
+        for one in self._list_peer_balances(team).values():
             if one.needed <= 0:
-                there += one.spendable
-        return there >= missing
+                available += one.spendable
+        return available >= missing
 
-    def _note_low(self, team: catalog.Team, account: _Account) -> None:
-        full = self._find_full(account)
-        is_low = account.pile.level < _LOW * full
-        if is_low and self._is_elsewhere(team, full):
-            self._hurry()
+    def _notify_if_low(self, team: catalog.Team, account: _Account) -> None:
+        capacity = self._find_capacity(account)
+        is_low = account.bucket.level < _LOW_LEVEL_RATIO * capacity
+        if is_low and self._is_held_elsewhere(team, capacity):
+            self._notify_soon()
 
-    def _find_full(self, account: _Account) -> float:
+    def _find_capacity(self, account: _Account) -> float:
         """Return the units that this daemon's part may come to."""
-        full = account.pace.rate * account.pace.life_s
-        return full * self.rights.find_usable_share()
+        capacity = account.policy.rate * account.policy.life_s
+        return capacity * self.rights.find_usable_share()
 
-    def _is_to_give(self, team: str) -> bool:
+    def _can_transfer(self, team: str) -> bool:
         """Tell whether another daemon waits for units that are here."""
         account = self._accounts.get(team)
         if account is None:
             return False
-        if account.pile.level + self._find_most_owed(account) <= 0:
+        if account.bucket.level + self._find_max_overdraft(account) <= 0:
             return False
         return any(
-            other.holdings[team].needed > other.given.get(team, 0.0)
-            for other in self._others.values()
-            if team in other.holdings
+            peer.balances[team].needed > peer.transferred.get(team, 0.0)
+            for peer in self._peers.values()
+            if team in peer.balances
         )
 
-    def _find_gifts(
+    def _find_transfers(
         self, team: catalog.Team, account: _Account
     ) -> dict[str, float]:
-        own = account.hold(trio.current_time(), self._find_most_owed(account))
-        others = self._list_others(team)
-        rate = account.pace.rate
-        gifts = sharing.find_transfers(own, others, rate)
-        if not gifts:
-            gifts = sharing.find_scarcity_transfers(
-                own, others, account.minted, rate
+        own = account.create_balance(
+            trio.current_time(), self._find_max_overdraft(account)
+        )
+        others = self._list_peer_balances(team)
+        rate = account.policy.rate
+        transfers = sharing.find_transfers(own, others, rate)
+        if not transfers:
+            transfers = sharing.find_scarcity_transfers(
+                own, others, account.refilled, rate
             )
-        account.minted = 0.0
-        return gifts
+        account.refilled = 0.0
+        return transfers
 
-    def _list_others(
+    def _list_peer_balances(
         self, team: catalog.Team
     ) -> dict[str, sharing.QuotaBalance]:
         """Return what others have, with what was given to them since."""
-        oldest = trio.current_time() - _FRESH_S
+        oldest = trio.current_time() - _BALANCE_MAX_AGE_S
         found = {}
-        for member, other in self._others.items():
-            holding = other.holdings.get(team.name)
-            if holding is None or other.heard_at < oldest:
+        for member, peer in self._peers.items():
+            balance = peer.balances.get(team.name)
+            if balance is None or peer.received_at < oldest:
                 continue
-            given = other.given.get(team.name, 0.0)
+            transferred = peer.transferred.get(team.name, 0.0)
             found[member] = sharing.QuotaBalance(
-                holding.level + given,
-                holding.asked,
-                max(0.0, holding.needed - given),
-                holding.overdraft,
+                balance.level + transferred,
+                balance.asked,
+                max(0.0, balance.needed - transferred),
+                balance.overdraft,
             )
         return found
 
@@ -442,54 +452,56 @@
         now = self.rights.advance()
         account = self._accounts.get(team.name)
         if account is None:
-            pace = self._find_pace(team)
+            policy = self._create_policy(team)
             account = _Account(
-                pace, quota_bucket.QuotaBucket(pace.life_s), self._started_at
+                policy,
+                quota_bucket.QuotaBucket(policy.life_s),
+                self._started_at,
             )
             self._accounts[team.name] = account
-        elif account.pace.team is not team or account.pace.bounds is not (
+        elif account.policy.team is not team or account.policy.bounds is not (
             self.bounds
         ):
-            self._change_pace(account, self._find_pace(team))
-        account.pile.expire(now)
-        minted = self._mint(account, now)
-        account.minted += minted
-        account.promised = max(0.0, account.promised - minted)
-        account.minted_at = now
+            self._apply_policy(account, self._create_policy(team))
+        account.bucket.expire(now)
+        refilled = self._add_refill(account, now)
+        account.refilled += refilled
+        account.promised = max(0.0, account.promised - refilled)
+        account.refilled_at = now
         return account
 
-    def _mint(self, account: _Account, now: float) -> float:
+    def _add_refill(self, account: _Account, now: float) -> float:
         """Mint what has come since the last time; return how much."""
-        minted = 0.0
-        for span in self.rights.list_spans(account.minted_at):
-            rate = account.pace.rate * span.part
-            account.pile.mint(now, span.start, span.end, rate)
-            minted += rate * (span.end - span.start)
-        return minted
-
-    def _find_pace(self, team: catalog.Team) -> _Pace:
+        refilled = 0.0
+        for span in self.rights.list_spans(account.refilled_at):
+            rate = account.policy.rate * span.part
+            account.bucket.add_refill(now, span.start, span.end, rate)
+            refilled += rate * (span.end - span.start)
+        return refilled
+
+    def _create_policy(self, team: catalog.Team) -> _RefillPolicy:
         bounds = self.bounds
         rate = bounds.find_refill_rate(team)
-        return _Pace(team, bounds, rate, bounds.find_life(team))
+        return _RefillPolicy(team, bounds, rate, bounds.find_unit_life(team))
 
-    def _change_pace(self, account: _Account, pace: _Pace) -> None:
+    def _apply_policy(self, account: _Account, policy: _RefillPolicy) -> None:
         """Go on by another rate or other bounds."""
-        if not math.isclose(account.pace.life_s, pace.life_s):
-            account.pile = account.pile.change_life(
-                trio.current_time(), pace.life_s
+        if not math.isclose(account.policy.life_s, policy.life_s):
+            account.bucket = account.bucket.copy_with_life(
+                trio.current_time(), policy.life_s
             )
-        account.pace = pace
+        account.policy = policy
 
-    def _note_asked(self, account: _Account, units: float) -> None:
+    def _record_demand(self, account: _Account, units: float) -> None:
         now = trio.current_time()
-        account.asked = account.find_asked(now) + units / _DEMAND_MEMORY_S
-        account.asked_at = now
+        account.asked = account.find_demand(now) + units / _DEMAND_DECAY_S
+        account.demand_at = now
 
 
 def create_quota_ledger(
     bounds: terms.ToleranceBounds,
-    mint_rights: refill_shares.RefillShares,
+    shares: refill_shares.RefillShares,
     notify_soon: Callable[[], None],
 ) -> QuotaLedger:
     """Return a ledger without units."""
-    return QuotaLedger(bounds, mint_rights, notify_soon)
+    return QuotaLedger(bounds, shares, notify_soon)
--- a/packages/daemon/src/martenquay_daemon/allowances/refill_shares.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/refill_shares.py
@@ -25,7 +25,7 @@
     "ShareDelegation",
     "RefillShares",
     "RateShare",
-    "Span",
+    "ShareSpan",
 ]
 
 # A part is lent for so long and lent again twice a second. It has to outlast
@@ -33,7 +33,7 @@
 # lost. For as long nobody mints the parts that a lost daemon had borrowed.
 DELEGATION_S = 1.8
 # No unit lives longer, so nobody mints for a time that is longer ago.
-_KEPT_S = 10.0
+_HISTORY_S = 10.0
 
 
 @dataclasses.dataclass(frozen=True)
@@ -45,7 +45,7 @@
         since: Since when it is this daemon's, in trio's time.
     """
 
-    part: float
+    share: float
     since: float
 
 
@@ -70,7 +70,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Span:
+class ShareSpan:
     """A time with one part.
 
     Attributes:
@@ -81,20 +81,20 @@
 
     start: float
     end: float
-    part: float
+    share: float
 
 
 @dataclasses.dataclass
-class _Lent:
+class _Delegated:
     receiver: str = ""
-    part: float = 0.0
+    share: float = 0.0
     # When the receiver's time begins, after the time of the one before it.
     starts_at: float = -math.inf
     until: float = -math.inf
 
 
 @dataclasses.dataclass
-class _Borrowed:
+class _Received:
     """What one instance has lent to this daemon.
 
     Attributes:
@@ -104,7 +104,7 @@
     """
 
     member: str
-    span: Span
+    span: ShareSpan
     held_since: float
 
 
@@ -117,66 +117,66 @@
 
     def __init__(
         self,
-        find_own: Callable[[], RateShare],
+        read_share: Callable[[], RateShare],
         window_s: float,
         find_sole_since: Callable[[], float] = lambda: -math.inf,
     ) -> None:
         """Begin at the start of the process.
 
         Args:
-            find_own: Returns this instance's part.
+            read_share: Returns this instance's part.
             window_s: The time over which teams' units are counted.
             find_sole_since: Returns since when nobody uses a loan of the
                 process before this one any more, in trio's time; infinity
                 while that is not known.
         """
         self.window_s = window_s
-        self._find_own = find_own
+        self._read_share = read_share
         self._find_sole_since = find_sole_since
         self._started_at = trio.current_time()
-        self._at = self._started_at
-        self._own = 0.0
+        self._advanced_at = self._started_at
+        self._last_share = 0.0
         # Until then the process before may have lent what is now this one's.
-        self._own_from = self._started_at + DELEGATION_S
-        self._lent = _Lent()
+        self._usable_from = self._started_at + DELEGATION_S
+        self._delegated = _Delegated()
         self._larger_until = -math.inf
-        self._borrowed: dict[str, _Borrowed] = {}
-        self._former: dict[str, set[str]] = {}
-        self._spans: collections.deque[Span] = collections.deque()
+        self._received: dict[str, _Received] = {}
+        self._former_members: dict[str, set[str]] = {}
+        self._spans: collections.deque[ShareSpan] = collections.deque()
 
     def advance(self) -> float:
         """Count the time up to now; return now."""
         now = trio.current_time()
-        if now <= self._at:
+        if now <= self._advanced_at:
             return now
         own = self._find_own_span(now)
-        if not self._borrowed:
+        if not self._received:
             if own.start < own.end:
-                self._append(own)
+                self._append_span(own)
         else:
-            lent = [one.span for one in self._borrowed.values()]
-            for span in _flatten([own, *lent], self._at, now):
-                self._append(span)
-        self._at = now
-        while self._spans and self._spans[0].end < now - _KEPT_S:
+            received = [one.span for one in self._received.values()]
+            for span in _sum_spans([own, *received], self._advanced_at, now):
+                self._append_span(span)
+        self._advanced_at = now
+        while self._spans and self._spans[0].end < now - _HISTORY_S:
             self._spans.popleft()
         return now
 
-    def list_spans(self, since: float) -> Iterator[Span]:
+    def list_spans(self, since: float) -> Iterator[ShareSpan]:
         """Return what may be minted for the time after `since`."""
         found = []
         for span in reversed(self._spans):
             if span.end <= since:
                 break
             start = max(span.start, since)
-            found.append(Span(start, span.end, span.part))
+            found.append(ShareSpan(start, span.end, span.share))
         return reversed(found)
 
     def find_usable_share(self) -> float:
         """Return the part that may be minted now."""
         now = trio.current_time()
-        return self._find_own_now(now) + sum(
-            one.span.part for one in self._list_active(now)
+        return self._find_own_usable_share(now) + sum(
+            one.span.share for one in self._list_usable(now)
         )
 
     def find_overdraft_shares(self) -> tuple[float, float]:
@@ -188,15 +188,19 @@
             started.
         """
         now = trio.current_time()
-        oldest = now - self.window_s
+        window_start = now - self.window_s
         # Whom it was lent to may have owed on it.
-        own = self._find_own_now(now) if self._lent.until <= oldest else 0.0
+        own = (
+            self._find_own_usable_share(now)
+            if self._delegated.until <= window_start
+            else 0.0
+        )
         held = sum(
-            one.span.part
-            for one in self._list_active(now)
-            if one.held_since <= oldest
+            one.span.share
+            for one in self._list_usable(now)
+            if one.held_since <= window_start
         )
-        if self._started_at <= oldest:
+        if self._started_at <= window_start:
             return held + own, 0.0
         return held, own
 
@@ -208,20 +212,22 @@
             heard: The number of that one's last report.
         """
         now = self.advance()
-        own = self._get_own()
-        if own.part <= 0 or now < max(own.since, self._own_from):
+        own = self._read_own_share()
+        if own.share <= 0 or now < max(own.since, self._usable_from):
             return None
-        last = self._lent
+        last = self._delegated
         starts_at = last.starts_at
         if last.receiver != receiver:
             # What the one before may use is not to be used twice.
             starts_at = max(now, last.until)
-        if own.part < last.part:
+        if own.share < last.share:
             self._larger_until = last.until
-        self._lent = _Lent(receiver, own.part, starts_at, now + DELEGATION_S)
+        self._delegated = _Delegated(
+            receiver, own.share, starts_at, now + DELEGATION_S
+        )
         starts_s = max(0.0, starts_at - now)
         return ShareDelegation(
-            receiver, heard, own.part, starts_s, DELEGATION_S
+            receiver, heard, own.share, starts_s, DELEGATION_S
         )
 
     def has_larger_delegation(self) -> bool:
@@ -232,7 +238,7 @@
         self,
         instance: str,
         member: str,
-        loan: ShareDelegation,
+        delegation: ShareDelegation,
         reported_at: float,
     ) -> None:
         """Take another instance's part for a while.
@@ -240,19 +246,19 @@
         Args:
             instance: Whose part it is.
             member: The process that lent it.
-            loan: What it said.
+            delegation: What it said.
             reported_at: When the report that the loan names was sent, in
                 trio's time; the loan was made after that.
         """
-        if member in self._former.get(instance, ()):
+        if member in self._former_members.get(instance, ()):
             # Sent before that process ended, and late.
             return
         now = self.advance()
-        start = now + loan.starts_s
-        end = reported_at + loan.ends_s
+        start = now + delegation.starts_s
+        end = reported_at + delegation.ends_s
         if end <= start:
             return
-        known = self._borrowed.get(instance)
+        known = self._received.get(instance)
         if known is None:
             held_since = start
         else:
@@ -260,79 +266,96 @@
             # a shorter gap nobody else has.
             is_short = start - known.span.end < self.window_s
             held_since = known.held_since if is_short else start
-            if known.span.part == loan.part and start <= known.span.end:
+            if known.span.share == delegation.part and start <= known.span.end:
                 start = known.span.start
                 end = max(end, known.span.end)
-        span = Span(start, end, loan.part)
-        self._borrowed[instance] = _Borrowed(member, span, held_since)
+        span = ShareSpan(start, end, delegation.part)
+        self._received[instance] = _Received(member, span, held_since)
 
     def end_former_delegations(self, instance: str, member: str) -> None:
         """End what an earlier process of an instance had lent.
 
         Its next one may use the part itself, or lend it to somebody else.
         """
-        known = self._borrowed.get(instance)
+        known = self._received.get(instance)
         if known is None or known.member == member:
             return
-        self._former.setdefault(instance, set()).add(known.member)
+        self._former_members.setdefault(instance, set()).add(known.member)
         now = self.advance()
         if known.span.end > now:
             known.span = dataclasses.replace(known.span, end=now)
         known.member = member
 
-    def count_lenders(self) -> int:
+    def count_delegators(self) -> int:
         """Return how many instances lend to this daemon now."""
-        return sum(1 for _ in self._list_active(trio.current_time()))
+        return sum(1 for _ in self._list_usable(trio.current_time()))
 
-    def _get_own(self) -> RateShare:
-        own = self._find_own()
-        if own.part > 0:
+    def _read_own_share(self) -> RateShare:
+        own = self._read_share()
+        if own.share > 0:
             # Before the log has told of other daemons, it is not known
             # whether any may have borrowed.
-            self._own_from = min(self._own_from, self._find_sole_since())
+            self._usable_from = min(self._usable_from, self._find_sole_since())
         return own
 
-    def _find_own_now(self, now: float) -> float:
-        own = self._get_own()
-        is_here = now >= max(self._lent.until, self._own_from, own.since)
-        return own.part if is_here else 0.0
+    def _find_own_usable_share(self, now: float) -> float:
+        own = self._read_own_share()
+        is_here = now >= max(
+            self._delegated.until, self._usable_from, own.since
+        )
+        return own.share if is_here else 0.0
 
-    def _list_active(self, now: float) -> Iterator[_Borrowed]:
+    def _list_usable(self, now: float) -> Iterator[_Received]:
         return (
             one
-            for one in self._borrowed.values()
+            for one in self._received.values()
             if one.span.start <= now < one.span.end
         )
 
-    def _find_own_span(self, now: float) -> Span:
+    def _find_own_span(self, now: float) -> ShareSpan:
         """Return for when the own part may be minted since the last time."""
-        own = self._get_own()
+        own = self._read_own_share()
         # While the part grew or fell, others may have had the difference.
-        kept = min(self._own, own.part) if self._own > 0 else own.part
-        self._own = own.part
-        start = max(self._at, self._lent.until, self._own_from, own.since)
-        return Span(start, now, kept)
+        kept = (
+            min(self._last_share, own.share)
+            if self._last_share > 0
+            else own.share
+        )
+        self._last_share = own.share
+        start = max(
+            self._advanced_at,
+            self._delegated.until,
+            self._usable_from,
+            own.since,
+        )
+        return ShareSpan(start, now, kept)
 
-    def _append(self, span: Span) -> None:
+    def _append_span(self, span: ShareSpan) -> None:
         if self._spans and self._spans[-1].end == span.start:
             last = self._spans[-1]
-            if math.isclose(last.part, span.part):
-                self._spans[-1] = Span(last.start, span.end, last.part)
+            if math.isclose(last.share, span.share):
+                self._spans[-1] = ShareSpan(last.start, span.end, last.share)
                 return
-        if span.part > 0:
+        if span.share > 0:
             self._spans.append(span)
 
 
-def _flatten(sources: list[Span], start: float, end: float) -> Iterator[Span]:
+def _sum_spans(
+    sources: list[ShareSpan], start: float, end: float
+) -> Iterator[ShareSpan]:
     """Return spans one after the other whose parts are sums."""
-    cut = [
-        Span(max(start, one.start), min(end, one.end), one.part)
+    clipped = [
+        ShareSpan(max(start, one.start), min(end, one.end), one.share)
         for one in sources
     ]
-    cut = [one for one in cut if one.start < one.end and one.part > 0]
-    edges = sorted({start, end, *(e for s in cut for e in (s.start, s.end))})
+    clipped = [one for one in clipped if one.start < one.end and one.share > 0]
+    edges = sorted(
+        {start, end, *(e for s in clipped for e in (s.start, s.end))}
+    )
     for left, right in itertools.pairwise(edges):
-        part = sum(
-            one.part for one in cut if one.start <= left and one.end >= right
+        share = sum(
+            one.share
+            for one in clipped
+            if one.start <= left and one.end >= right
         )
-        yield Span(left, right, part)
+        yield ShareSpan(left, right, share)
--- a/packages/daemon/src/martenquay_daemon/allowances/sharing.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/sharing.py
@@ -18,12 +18,12 @@
 
 # Each daemon keeps a part of the units as if it were asked for so much of an
 # even part of the rate besides: the next request may come to any of them.
-_BASE_DEMAND = 0.3
+_BASE_DEMAND_RATIO = 0.3
 # Less than this part of an even share is not worth a message.
-_LEAST_GIFT = 0.05
+_MIN_TRANSFER_RATIO = 0.05
 # A daemon that a request waits at is given no more than this part of what
 # another one has.
-_MOST_FOR_NEED = 0.8
+_MAX_SHORTAGE_RATIO = 0.8
 
 
 @dataclasses.dataclass(frozen=True)
@@ -60,18 +60,20 @@
     """
     if not others:
         return {}
-    for_need = _find_for_need(own, others)
-    rest = dataclasses.replace(own, level=own.level - sum(for_need.values()))
-    gifts = _find_excess(rest, others, rate) if rest.level > 0 else {}
-    for name, units in for_need.items():
-        gifts[name] = gifts.get(name, 0.0) + units
-    return gifts
+    to_waiting = _find_shortage_transfers(own, others)
+    rest = dataclasses.replace(own, level=own.level - sum(to_waiting.values()))
+    transfers = (
+        _find_balancing_transfers(rest, others, rate) if rest.level > 0 else {}
+    )
+    for name, units in to_waiting.items():
+        transfers[name] = transfers.get(name, 0.0) + units
+    return transfers
 
 
 def find_scarcity_transfers(
     own: QuotaBalance,
     others: Mapping[str, QuotaBalance],
-    minted: float,
+    refilled: float,
     rate: float,
 ) -> dict[str, float]:
     """Return what is passed on of what was minted while units are scarce.
@@ -83,61 +85,71 @@
     Args:
         own: What this daemon has.
         others: What the others have, by name.
-        minted: Units that this daemon minted since it last gave.
+        refilled: Units that this daemon minted since it last gave.
         rate: Units a second that come to all daemons together.
     """
     asked = own.asked + sum(one.asked for one in others.values())
-    even = asked / (1 + len(others))
-    if asked <= rate or own.asked >= even:
+    mean = asked / (1 + len(others))
+    if asked <= rate or own.asked >= mean:
         return {}
-    more = {
-        name: one.asked - even
+    above_mean = {
+        name: one.asked - mean
         for name, one in others.items()
-        if one.asked > even
+        if one.asked > mean
     }
-    passed = min(minted * (1 - own.asked / even), own.spendable)
-    total = sum(more.values())
-    if passed <= 0 or total <= 0:
+    forwarded = min(refilled * (1 - own.asked / mean), own.spendable)
+    total = sum(above_mean.values())
+    if forwarded <= 0 or total <= 0:
         return {}
-    return {name: passed * units / total for name, units in more.items()}
+    return {
+        name: forwarded * units / total for name, units in above_mean.items()
+    }
 
 
-def _find_for_need(
+def _find_shortage_transfers(
     own: QuotaBalance, others: Mapping[str, QuotaBalance]
 ) -> dict[str, float]:
     """Return what goes to waiting requests, each daemon a part of it."""
-    needs = {name: one.needed for name, one in others.items() if one.needed > 0}
-    if not needs:
+    shortages = {
+        name: one.needed for name, one in others.items() if one.needed > 0
+    }
+    if not shortages:
         return {}
-    there = own.spendable + sum(
+    available = own.spendable + sum(
         one.spendable for one in others.values() if one.needed <= 0
     )
     if own.spendable <= 0 or own.needed > 0:
         return {}
-    total = sum(needs.values())
-    given = min(_MOST_FOR_NEED, total / there) * own.spendable
-    return {name: given * units / total for name, units in needs.items()}
+    total = sum(shortages.values())
+    transferred = min(_MAX_SHORTAGE_RATIO, total / available) * own.spendable
+    return {
+        name: transferred * units / total for name, units in shortages.items()
+    }
 
 
-def _find_excess(
+def _find_balancing_transfers(
     own: QuotaBalance, others: Mapping[str, QuotaBalance], rate: float
 ) -> dict[str, float]:
     """Return what evens out holdings by what they are asked for."""
     count = 1 + len(others)
-    base = _BASE_DEMAND * rate / count
-    weight = sum(one.asked + base for one in (own, *others.values()))
+    base_demand = _BASE_DEMAND_RATIO * rate / count
+    total_weight = sum(
+        one.asked + base_demand for one in (own, *others.values())
+    )
     total = own.level + sum(one.level for one in others.values())
-    if total <= 0 or weight <= 0:
+    if total <= 0 or total_weight <= 0:
         return {}
-    excess = own.level - total * (own.asked + base) / weight
-    missing = {
-        name: total * (one.asked + base) / weight - one.level
+    surplus = own.level - total * (own.asked + base_demand) / total_weight
+    deficits = {
+        name: total * (one.asked + base_demand) / total_weight - one.level
         for name, one in others.items()
     }
-    missing = {name: units for name, units in missing.items() if units > 0}
-    if excess <= 0 or not missing:
+    deficits = {name: units for name, units in deficits.items() if units > 0}
+    if surplus <= 0 or not deficits:
         return {}
-    part = min(1.0, excess / sum(missing.values()))
-    least = _LEAST_GIFT * total / count
-    gifts = {name: part * units for name, units in missing.items()}
-    return {name: units for name, units in gifts.items() if units >= least}
+    ratio = min(1.0, surplus / sum(deficits.values()))
+    min_units = _MIN_TRANSFER_RATIO * total / count
+    transfers = {name: ratio * units for name, units in deficits.items()}
+    return {
+        name: units for name, units in transfers.items() if units >= min_units
+    }
--- a/packages/daemon/src/martenquay_daemon/allowances/terms.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/terms.py
@@ -21,16 +21,16 @@
 
 # Units reach a runner so much later than they are spent here, at the most but
 # for connections that take several tries; a window may seem longer by that.
-_DELAY_S = 0.25
+_DELIVERY_DELAY_S = 0.25
 # Of the slack, this part may be owed, for requests larger than what is there.
-_OWED_SLACK = 0.9
+_OVERDRAFT_RATIO = 0.9
 # How long a minted unit may be spent follows from the steady rate, which is so
 # many times the team's own; what is tolerated beyond that may be spent at once.
 # A longer life is for arrivals in clumps and for the way to another daemon (0.1
 # to 0.3 s), a higher rate for teams that always ask for more than they may.
-_STEADY = 1.05
-_LONGEST_LIFE_S = 4.0
-_SHORTEST_LIFE_S = 0.4
+_STEADY_RATE_RATIO = 1.05
+_MAX_UNIT_LIFE_S = 4.0
+_MIN_UNIT_LIFE_S = 0.4
 
 
 @dataclasses.dataclass(frozen=True)
@@ -47,11 +47,13 @@
     overrun: float
     slack: float
 
-    def find_life(self, team: catalog.Team) -> float:
+    def find_unit_life(self, team: catalog.Team) -> float:
         """Return for how many seconds a unit may be spent."""
-        steady_s = self._find_minted(team) / (_STEADY * team.rate)
-        life_s = steady_s - self.window_s - _DELAY_S
-        return min(_LONGEST_LIFE_S, max(_SHORTEST_LIFE_S, life_s))
+        steady_s = self._find_refill_limit(team) / (
+            _STEADY_RATE_RATIO * team.rate
+        )
+        life_s = steady_s - self.window_s - _DELIVERY_DELAY_S
+        return min(_MAX_UNIT_LIFE_S, max(_MIN_UNIT_LIFE_S, life_s))
 
     def find_refill_rate(self, team: catalog.Team) -> float:
         """Return the units a second that all daemons together may mint.
@@ -59,14 +61,14 @@
         What is spent in a window was minted in it or one lifetime before it,
         or is owed.
         """
-        span_s = self.window_s + self.find_life(team) + _DELAY_S
-        return self._find_minted(team) / span_s
+        span_s = self.window_s + self.find_unit_life(team) + _DELIVERY_DELAY_S
+        return self._find_refill_limit(team) / span_s
 
     def find_max_overdraft(self) -> float:
         """Return what all daemons together may spend before it is minted."""
-        return _OWED_SLACK * self.slack
+        return _OVERDRAFT_RATIO * self.slack
 
-    def _find_minted(self, team: catalog.Team) -> float:
+    def _find_refill_limit(self, team: catalog.Team) -> float:
         allowance = team.rate * self.window_s + team.burst
         tolerated = allowance * (1 + self.overrun) + self.slack
         return tolerated - self.find_max_overdraft()
--- a/tests/test_allowances/test_quota_ledger.py
+++ b/tests/test_allowances/test_quota_ledger.py
@@ -19,7 +19,7 @@
 _TEAM = allowance_fleet.TEAM
 _BOUNDS = allowance_fleet.BOUNDS
 _RATE = _BOUNDS.find_refill_rate(_TEAM)
-_LIFE_S = _BOUNDS.find_life(_TEAM)
+_LIFE_S = _BOUNDS.find_unit_life(_TEAM)
 
 
 async def _fill(units: quota_ledger.QuotaLedger) -> None:
@@ -57,7 +57,7 @@
                 bounds = terms.ToleranceBounds(8.0, overrun, slack)
                 minted = bounds.find_refill_rate(team)
                 self.assertGreater(minted, 0.95 * rate)
-                span_s = 8.0 + bounds.find_life(team)
+                span_s = 8.0 + bounds.find_unit_life(team)
                 most = minted * span_s + bounds.find_max_overdraft()
                 allowance = rate * 8.0 + burst
                 self.assertLess(most, allowance * (1 + overrun) + slack)
@@ -163,7 +163,7 @@
         async def scenario() -> None:
             units = allowance_fleet.build_escrow()
             units.refill([_TEAM])
-            waits = [units.refuse(_TEAM, 10_000.0) for _ in range(8)]
+            waits = [units.schedule_retry(_TEAM, 10_000.0) for _ in range(8)]
             self.assertEqual(sorted(waits), waits)
             self.assertGreater(waits[7], waits[0] + 1.0)
             self.assertLessEqual(waits[7], 4.0)
--- a/tests/test_allowances/test_refill_shares.py
+++ b/tests/test_allowances/test_refill_shares.py
@@ -12,12 +12,12 @@
 _WINDOW_S = allowance_fleet.BOUNDS.window_s
 
 
-def _sum_spans(
+def _sum_share_seconds(
     one: refill_shares.RefillShares, since: float = -math.inf
 ) -> float:
     """Return the seconds of the whole rate that may be minted."""
     one.advance()
-    return sum(s.part * (s.end - s.start) for s in one.list_spans(since))
+    return sum(s.share * (s.end - s.start) for s in one.list_spans(since))
 
 
 class MintRightsTest(clocked.ClockedTestCase):
@@ -25,12 +25,12 @@
         async def scenario() -> None:
             lender = allowance_fleet.build_rights(0.1)
             await trio.sleep(1.0)
-            loan = lender.delegate("hub.1", 7)
-            self.assertAlmostEqual(0.1, loan.part)
+            delegation = lender.delegate("hub.1", 7)
+            self.assertAlmostEqual(0.1, delegation.part)
             self.assertEqual(0.0, lender.find_usable_share())
             await trio.sleep(refill_shares.DELEGATION_S + 0.5)
             self.assertAlmostEqual(0.1, lender.find_usable_share())
-            self.assertAlmostEqual(0.15, _sum_spans(lender))
+            self.assertAlmostEqual(0.15, _sum_share_seconds(lender))
 
         self.run_clocked(scenario)
 
@@ -40,14 +40,16 @@
             lender = allowance_fleet.build_rights(0.1)
             reported_at = trio.current_time()
             await trio.sleep(0.5)
-            loan = lender.delegate("hub.1", 7)
+            delegation = lender.delegate("hub.1", 7)
             # However late it comes, it ends before the lender mints again.
             await trio.sleep(0.8)
-            hub.accept_delegation("entry-1", "entry-1.1", loan, reported_at)
+            hub.accept_delegation(
+                "entry-1", "entry-1.1", delegation, reported_at
+            )
             self.assertAlmostEqual(0.1, hub.find_usable_share())
             await trio.sleep(5.0)
             left_s = refill_shares.DELEGATION_S - 0.5 - 0.8
-            self.assertAlmostEqual(0.1 * left_s, _sum_spans(hub))
+            self.assertAlmostEqual(0.1 * left_s, _sum_share_seconds(hub))
             self.assertEqual(0.0, hub.find_usable_share())
 
         self.run_clocked(scenario)
@@ -57,9 +59,11 @@
             hub = allowance_fleet.build_rights(0.0)
             lender = allowance_fleet.build_rights(0.1)
             reported_at = trio.current_time()
-            loan = lender.delegate("hub.1", 7)
+            delegation = lender.delegate("hub.1", 7)
             await trio.sleep(refill_shares.DELEGATION_S + 0.1)
-            hub.accept_delegation("entry-1", "entry-1.1", loan, reported_at)
+            hub.accept_delegation(
+                "entry-1", "entry-1.1", delegation, reported_at
+            )
             self.assertEqual(0.0, hub.find_usable_share())
 
         self.run_clocked(scenario)
@@ -78,8 +82,10 @@
             await trio.sleep(0.6)
             now = trio.current_time()
             for _ in range(4):
-                loan = lender.delegate("hub.2", 3)
-                second.accept_delegation("e", "e.1", loan, trio.current_time())
+                delegation = lender.delegate("hub.2", 3)
+                second.accept_delegation(
+                    "e", "e.1", delegation, trio.current_time()
+                )
                 total = sum(
                     one.find_usable_share() for one in (lender, first, second)
                 )
@@ -95,15 +101,15 @@
             hub = allowance_fleet.build_rights(0.0)
             lender = allowance_fleet.build_rights(0.1)
             now = trio.current_time()
-            loan = lender.delegate("hub.1", 1)
-            hub.accept_delegation("e", "e.1", loan, now)
+            delegation = lender.delegate("hub.1", 1)
+            hub.accept_delegation("e", "e.1", delegation, now)
             await trio.sleep(0.5)
             hub.end_former_delegations("e", "e.2")
             self.assertEqual(0.0, hub.find_usable_share())
             # A message of the process before that comes only now.
-            hub.accept_delegation("e", "e.1", loan, trio.current_time())
+            hub.accept_delegation("e", "e.1", delegation, trio.current_time())
             self.assertEqual(0.0, hub.find_usable_share())
-            self.assertAlmostEqual(0.05, _sum_spans(hub))
+            self.assertAlmostEqual(0.05, _sum_share_seconds(hub))
 
         self.run_clocked(scenario)
 
@@ -122,7 +128,7 @@
             sole_since[0] = trio.current_time()
             await trio.sleep(0.1)
             self.assertAlmostEqual(0.1, one.find_usable_share())
-            self.assertAlmostEqual(0.01, _sum_spans(one))
+            self.assertAlmostEqual(0.01, _sum_share_seconds(one))
             other = refill_shares.RefillShares(
                 lambda: own, _WINDOW_S, lambda: math.inf
             )
