--- a/packages/daemon/src/martenquay_daemon/allowances/__init__.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/__init__.py
@@ -1,1 +1,1 @@
-"""Keep each team inside its allowance over all daemons."""
+"""Limit each team to its allowance across all daemons."""
--- a/packages/daemon/src/martenquay_daemon/allowances/gate.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/gate.py
@@ -1,4 +1,4 @@
-"""Let requests in as far as their teams' allowances go."""
+"""Admit or refuse requests by their teams' quota."""
 
 from __future__ import annotations
 
@@ -16,28 +16,27 @@
 
 __all__ = ["AllowanceGate", "QuotaHolders", "create_gate"]
 
-# For so long a request waits for units that other daemons have: a message there
-# and one back, each sent within 40 ms.
+# How long a request waits for quota of other daemons: a message there and a
+# transfer back.
 _TRANSFER_WAIT_S = 0.2
-# Between two looks whether parts have come.
 _SHARE_POLL_S = 0.05
 
 
 class QuotaHolders(Protocol):
-    """The daemons that keep units for others."""
+    """The daemons that hold quota for others."""
 
     def holds_quota_here(self) -> bool:
-        """Tell whether this daemon keeps the units that it needs itself."""
+        """Return whether this daemon holds the quota that it needs."""
 
     async def ask(
         self, team: str, request: terms.AdmissionRequest
     ) -> terms.AdmissionDecision | None:
-        """Have a daemon decide that keeps this one's; None if none answers."""
+        """Have a quota hub decide; return None if none answers."""
 
     async def ask_address(
         self, address: str, team: str, request: terms.AdmissionRequest
     ) -> terms.AdmissionDecision | None:
-        """Have one daemon decide that has units; None if it says nothing."""
+        """Have the daemon at an address decide; return None if it fails to."""
 
 
 def _lacks_none() -> bool:
@@ -45,48 +44,48 @@
 
 
 class AllowanceGate:
-    """Decide by the units here, or have those decide that keep them.
+    """Decides on requests by local quota, or asks the daemons that hold it.
 
     Attributes:
-        lacks_shares: Tells whether parts that this daemon is to keep have not
-            been lent to it yet; then what is here says little.
+        lacks_shares: Returns whether refill shares that are to be delegated to
+            this daemon have not arrived yet; the quota here is then too low
+            to refuse a request.
     """
 
     def __init__(
-        self, units: quota_ledger.QuotaLedger, holders: QuotaHolders
+        self, ledger: quota_ledger.QuotaLedger, holders: QuotaHolders
     ) -> None:
         self.lacks_shares: Callable[[], bool] = _lacks_none
-        self._ledger = units
+        self._ledger = ledger
         self._holders = holders
 
     async def acquire(
         self, team: catalog.Team, request: terms.AdmissionRequest
     ) -> terms.AdmissionDecision:
-        """Spend units for a request that came to this daemon."""
+        """Spend quota for a request that a caller sent to this daemon."""
         if team.rate <= 0:
             return terms.AdmissionDecision(0.0)
         if not self._holders.holds_quota_here():
-            answer = await self._holders.ask(team.name, request)
-            if answer is not None:
-                return answer
+            decision = await self._holders.ask(team.name, request)
+            if decision is not None:
+                return decision
         verdict = await self._spend_locally(team, request)
         match verdict:
             case terms.HeldElsewhere(holder=holder) if holder:
-                answer = await self._holders.ask_address(
+                decision = await self._holders.ask_address(
                     holder, team.name, request
                 )
-                if answer is not None and answer.is_admitted:
-                    return answer
+                if decision is not None and decision.is_admitted:
+                    return decision
         return await self.settle(team, request, verdict, _TRANSFER_WAIT_S)
 
     async def _spend_locally(
         self, team: catalog.Team, request: terms.AdmissionRequest
     ) -> terms.Verdict:
-        """Return the verdict of the units here, once there can be some.
+        """Try to spend local quota, waiting for refill shares to arrive.
 
-        When all daemons have started, callers that were cut off come back
-        within the second in which parts are lent. Refused then, they mostly
-        gave up; a second later there was enough for all.
+        Without the wait, callers that reconnect after a restart of the fleet
+        would be refused before the shares have been delegated.
         """
         deadline = trio.current_time() + request.max_wait_s
         verdict = self._ledger.try_spend(team, request)
@@ -104,13 +103,13 @@
         verdict: terms.Verdict,
         wait_s: float,
     ) -> terms.AdmissionDecision:
-        """Return what comes of a verdict of the units here.
+        """Turn the local ledger's verdict into a decision.
 
         Args:
-            team: Who spends.
-            request: What for.
-            verdict: The verdict.
-            wait_s: How long the request may wait for units of others.
+            team: The team whose quota is spent.
+            request: What the request asks for.
+            verdict: The local ledger's verdict.
+            wait_s: How long the request may wait for transfers.
         """
         match verdict:
             case terms.HeldElsewhere(missing=missing):
@@ -132,7 +131,7 @@
         missing: float,
         wait_s: float,
     ) -> terms.Verdict:
-        """Wait a moment for units that others have."""
+        """Retry on each transfer until the request is decided or times out."""
         verdict: terms.Verdict = terms.HeldElsewhere(missing)
         self._ledger.note_shortage(team, missing)
         try:
@@ -148,7 +147,7 @@
 
 
 def create_gate(
-    units: quota_ledger.QuotaLedger, holders: QuotaHolders
+    ledger: quota_ledger.QuotaLedger, holders: QuotaHolders
 ) -> AllowanceGate:
     """Return a gate."""
-    return AllowanceGate(units, holders)
+    return AllowanceGate(ledger, holders)
--- a/packages/daemon/src/martenquay_daemon/allowances/quota_bucket.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/quota_bucket.py
@@ -1,4 +1,4 @@
-"""Hold units that may be spent, each for a limited time only."""
+"""Implement a token bucket whose units expire."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 import dataclasses
 import math
 
-__all__ = ["QuotaLot", "QuotaBucket"]
+__all__ = ["QuotaBucket", "QuotaLot"]
 
-# A unit's lifetime is counted in so many steps; one step is by how much a unit
-# may end too soon, never too late.
+# Expiry times are rounded down to this part of a lifetime, so that a bucket
+# holds a bounded number of entries and no unit expires too late.
 _EXPIRY_STEPS = 16
 
 
 @dataclasses.dataclass(frozen=True)
 class QuotaLot:
-    """Units with one end.
+    """Units that expire together.
 
     Attributes:
         units: How many.
-        ends_at: From then on they may not be spent, in trio's time.
+        expires_at: From then on they may not be spent, in trio's time.
     """
 
     units: float
@@ -27,13 +27,13 @@
 
 
 class QuotaBucket:
-    """Units of one team at one daemon, and what it owes.
+    """One team's units at one daemon, with their expiry and its debt.
 
     Attributes:
-        life_s: Units that are minted may be spent for so long.
+        life_s: How long a refilled unit may be spent.
         total: Units that may be spent now.
-        debt: Units that were spent before they were there.
-        unspent: Units that ended before they were spent.
+        debt: Units that were spent in advance; later units pay for them.
+        expired_units: Units that expired unspent.
     """
 
     def __init__(self, life_s: float) -> None:
@@ -42,20 +42,20 @@
         self.debt = 0.0
         self.expired_units = 0.0
         self._step_s = life_s / _EXPIRY_STEPS
-        # Units by the step in which they end, the earliest first.
+        # Ordered by expiry, the earliest first.
         self._units_by_step: collections.OrderedDict[int, float] = (
             collections.OrderedDict()
         )
 
     @property
     def level(self) -> float:
-        """What may be spent, less what is owed."""
+        """Units that may be spent, less the debt."""
         return self.total - self.debt
 
     def add_refill(
         self, now: float, start: float, end: float, rate: float
     ) -> None:
-        """Add what a rate in units a second gave between two times."""
+        """Add the units of a rate per second between two times."""
         start = max(start, now - self.life_s)
         while start < end:
             slice_end = min(end, start + self._step_s)
@@ -64,7 +64,7 @@
             start = slice_end
 
     def add(self, now: float, lot: QuotaLot) -> float:
-        """Add units and pay what is owed; return what was still of use."""
+        """Add units, which pay the debt first; return 0 if they expired."""
         step = math.floor(lot.expires_at / self._step_s)
         if step * self._step_s <= now or lot.units <= 0:
             return 0.0
@@ -76,7 +76,11 @@
         return lot.units
 
     def copy_with_life(self, now: float, life_s: float) -> QuotaBucket:
-        """Return a pile with the same units, none of which lives longer."""
+        """Return a bucket with these units and another lifetime.
+
+        Expiry times only become earlier: a unit that lived longer could be
+        spent in a window that it does not count for.
+        """
         bucket = QuotaBucket(life_s)
         for step, units in self._units_by_step.items():
             expires_at = min(step * self._step_s, now + life_s)
@@ -86,7 +90,7 @@
         return bucket
 
     def expire(self, now: float) -> None:
-        """Drop the units whose time is over."""
+        """Drop expired units."""
         while self._units_by_step:
             step = next(iter(self._units_by_step))
             if step * self._step_s > now:
@@ -94,11 +98,11 @@
             expired = self._units_by_step.pop(step)
             self.total -= expired
             self.expired_units += expired
-        # Sums of fractions drift.
+        # Rounding errors of the sums would otherwise remain in an empty bucket.
         self.total = 0.0
 
     def spend(self, units: float) -> None:
-        """Spend units, those that end first; what is missing is owed."""
+        """Spend units, the first to expire first; add the rest to the debt."""
         while units > 0 and self._units_by_step:
             step, available = next(iter(self._units_by_step.items()))
             used = min(units, available)
@@ -107,21 +111,22 @@
         self.debt += units
 
     def withdraw(self, now: float, units: float) -> list[QuotaLot]:
-        """Take out units for another daemon, those that end last.
+        """Remove units for another daemon, the last to expire first.
 
-        What is missing is owed, and lives as if it were minted now.
+        Units that are not held are added to the debt and expire as if they
+        were refilled now.
         """
-        parcels = []
+        lots = []
         while units > 0 and self._units_by_step:
             step, available = next(reversed(self._units_by_step.items()))
             used = min(units, available)
             units -= used
             self._set_step(step, available - used)
-            parcels.append(QuotaLot(used, step * self._step_s))
+            lots.append(QuotaLot(used, step * self._step_s))
         if units > 0:
             self.debt += units
-            parcels.append(QuotaLot(units, now + self.life_s))
-        return parcels
+            lots.append(QuotaLot(units, now + self.life_s))
+        return lots
 
     def _set_step(self, step: int, units: float) -> None:
         self.total += units - self._units_by_step[step]
--- a/packages/daemon/src/martenquay_daemon/allowances/quota_ledger.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/quota_ledger.py
@@ -1,18 +1,4 @@
-"""Keep each team's allowance by units that exist once.
-
-Each part of a team's rate is minted by one daemon at a time (`rights`), and
-all parts add up to no more than the rate. A unit may be spent for a short time
-after it was minted and then ends, wherever it is. A daemon that has more than
-it is asked for hands units to others: it takes them out of its own first, and a
-unit keeps its end. So all that is spent within a window was minted in it or one
-lifetime before it, whatever daemons believe of each other: messages that are
-late or lost, cuts, kills and freezes can only lose units.
-
-Estimates decide how units are shared out, never how many there are. When every
-daemon took what all had spent from what the others told, two sides of a cut or
-a join took each other for slower than they were, and a greedy team got up to
-12% more than is tolerated on 15 of 52 days with trouble.
-"""
+"""Spend, refill and transfer the teams' quota at one daemon."""
 
 from __future__ import annotations
 
@@ -32,38 +18,34 @@
 
 __all__ = ["QuotaLedger", "QuotaTransfer", "create_quota_ledger"]
 
-# Over this time the demand at a daemon is measured.
+# Time constant of the moving average of demand.
 _DEMAND_DECAY_S = 1.0
-# Plain calls, which cost next to nothing, may use up the whole of what may be
-# owed; each step of less urgency leaves this part of it and of the units.
+# Per step of lower priority, this part of the overdraft is kept for requests of
+# higher priority.
 _RESERVE_STEP_RATIO = 0.1
 _MAX_RESERVE_RATIO = 0.3
-# A caller that is told to come back sooner only meets the same refusal.
 _MIN_RETRY_S = 0.1
-# Promises to more refused callers than come back within this time are not
-# worth telling apart.
 _MAX_RETRY_S = 4.0
-# What a refused caller is told while it is not known what comes here: a part
-# is lent or counted again within this time.
+# Retry delay while this daemon has no refill share.
 _DEFAULT_RETRY_S = 0.5
-# What was told longer ago is no ground for gifts: its receiver is cut off.
+# Older balances are ignored: their daemon may be unreachable, and units that
+# are transferred to it would be lost.
 _BALANCE_MAX_AGE_S = 1.2
-# A request that cannot be on time any more leaves this part of the units for
-# those that can.
+# While quota is scarce, late requests leave this part of the capacity to
+# requests that can still meet their deadline.
 _ON_TIME_RESERVE_RATIO = 0.5
-# Below this part of its part of the units, a daemon tells the others soon.
+# Below this part of its capacity, a daemon sends its balance early.
 _LOW_LEVEL_RATIO = 0.3
 
 
 @dataclasses.dataclass(frozen=True)
 class QuotaTransfer:
-    """Units for one daemon.
+    """Quota that one daemon sends to another.
 
     Attributes:
-        heard: The number of the receiver's last message that the giver had
-            when it gave; lifetimes count from when that one was sent.
-        parcels: Units and how much longer they may be spent, in seconds, by
-            team.
+        heard: The number of the receiver's last message that the sender had
+            processed; remaining lifetimes count from when it was sent.
+        parcels: Units and their remaining lifetime in seconds, by team.
     """
 
     heard: int
@@ -72,18 +54,18 @@
 
 @dataclasses.dataclass
 class _Peer:
-    """What another daemon has told.
+    """The last balances of another daemon.
 
     Attributes:
-        heard: The number of its last message.
-        heard_at: In trio's time.
-        address: Where it can be asked.
-        holdings: By team.
-        given: Units given to it since, by team.
-        taken: Units that requests were sent to it for since, by team.
+        last_number: The number of its last message.
+        received_at: When that message arrived, in trio's time.
+        address: Where it accepts requests for quota.
+        balances: Its balances by team.
+        transferred: Units transferred to it since, by team.
+        redirected: Units that redirected requests took there since, by team.
     """
 
-    heard: int
+    last_number: int
     received_at: float
     address: str
     balances: dict[str, sharing.QuotaBalance]
@@ -93,12 +75,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class _RefillPolicy:
-    """What a team's rate and the bounds come to.
+    """A team's refill rate and unit lifetime.
 
     Attributes:
-        team: It was reckoned for.
-        bounds: It was reckoned from.
-        rate: Units a second that all daemons together mint.
+        team: The team that the policy was computed for.
+        bounds: The bounds that it was computed from.
+        rate: Units per second that all daemons together refill.
         life_s: How long a unit may be spent.
     """
 
@@ -110,50 +92,57 @@
 
 @dataclasses.dataclass
 class _Account:
-    """One team's units at this daemon.
+    """One team's quota at this daemon.
 
     Attributes:
-        pace: How units are minted.
-        pile: What may be spent here.
-        minted_at: Up to when units are minted, in trio's time.
-        asked: Units a second that callers asked for, lately.
-        asked_at: When that was last brought up to date.
-        needed: Units that requests which wait here lack.
-        minted: Units that were minted since some were given away.
-        promised: Units that refused callers were told to come back for.
+        policy: The refill rate and unit lifetime.
+        bucket: The units that may be spent here.
+        refilled_at: The time up to which the bucket is refilled.
+        demand: Moving average of the units requested per second.
+        demand_at: When the average was last updated.
+        shortage: Units that waiting requests lack.
+        refilled: Units refilled since transfers were last computed.
+        promised: Units that refused callers were told to retry for.
     """
 
     policy: _RefillPolicy
     bucket: quota_bucket.QuotaBucket
     refilled_at: float
-    asked: float = 0.0
+    demand: float = 0.0
     demand_at: float = 0.0
-    needed: float = 0.0
+    shortage: float = 0.0
     refilled: float = 0.0
     promised: float = 0.0
 
     def find_demand(self, now: float) -> float:
-        """Return the units a second that callers ask for."""
-        kept = math.exp((self.demand_at - now) / _DEMAND_DECAY_S)
-        return kept * self.asked
+        """Return the units per second that callers request."""
+        decay = math.exp((self.demand_at - now) / _DEMAND_DECAY_S)
+        return decay * self.demand
 
     def create_balance(
         self, now: float, overdraft: float
     ) -> sharing.QuotaBalance:
-        """Return what there is, for others and for reckoning with them."""
-        asked = self.find_demand(now)
+        """Return the team's balance at this daemon."""
+        demand = self.find_demand(now)
         return sharing.QuotaBalance(
-            self.bucket.level, asked, self.needed, overdraft
+            self.bucket.level, demand, self.shortage, overdraft
         )
 
 
 class QuotaLedger:
-    """The teams' units at one daemon.
+    """The teams' quota at one daemon.
+
+    Every unit is held by exactly one daemon and expires a fixed time after it
+    was refilled, also when it is transferred. What is spent within a window was
+    therefore refilled in it or one lifetime before, or is overdraft, however
+    late or incomplete the balances are that daemons know of each other. Lost
+    messages, partitions and kills can lose units but never duplicate them.
 
     Attributes:
-        bounds: What is tolerated; may be replaced.
-        rights: What this daemon may mint.
-        news: Set when units have come from others; then another one is made.
+        bounds: The tolerated excess over the allowances; may be replaced.
+        rights: The shares of the refill rates that this daemon may use.
+        quota_received: Set when a transfer has arrived, then replaced by a
+            new event.
     """
 
     def __init__(
@@ -162,12 +151,12 @@
         shares: refill_shares.RefillShares,
         notify_soon: Callable[[], None],
     ) -> None:
-        """Begin without units.
+        """Create a ledger without quota.
 
         Args:
-            bounds: What is tolerated.
-            shares: What this daemon may mint.
-            notify_soon: Has this daemon's units told to others soon.
+            bounds: The tolerated excess over the allowances.
+            shares: The shares of the refill rates that this daemon may use.
+            notify_soon: Sends this daemon's balances early.
         """
         self.bounds = bounds
         self.rights = shares
@@ -184,12 +173,12 @@
         *,
         is_again: bool = False,
     ) -> terms.Verdict:
-        """Spend units if they are there.
+        """Spend quota if enough is held here.
 
         Args:
-            team: Who spends.
-            request: What for.
-            is_again: The request has waited for units.
+            team: The team whose quota is spent.
+            request: What the request asks for.
+            is_again: The request was counted as demand before.
         """
         account = self._refill(team)
         if not is_again:
@@ -197,10 +186,10 @@
         return self._decide(team, account, request)
 
     def schedule_retry(self, team: catalog.Team, units: float) -> float:
-        """Return when a caller that is refused should come back, in seconds.
+        """Return after how many seconds a refused caller should retry.
 
-        Callers that are refused together are called back one after the
-        other; all at once they would mostly be refused again.
+        Delays grow with the units promised to earlier callers; with equal
+        delays they would retry together and mostly be refused again.
         """
         account = self._refill(team)
         account.promised += units
@@ -211,20 +200,20 @@
         return min(_MAX_RETRY_S, max(_MIN_RETRY_S, wait_s))
 
     def note_shortage(self, team: catalog.Team, units: float) -> None:
-        """Note that a request waits for units; less than 0 if no more."""
+        """Add to the shortage; negative units end a request's wait."""
         account = self._refill(team)
-        account.needed = max(0.0, account.needed + units)
+        account.shortage = max(0.0, account.shortage + units)
         if units > 0:
             self._notify_soon()
 
     def refill(self, teams: Iterable[catalog.Team]) -> None:
-        """Bring the units of all teams up to now."""
+        """Refill the quota of all teams up to now."""
         for team in teams:
             if team.rate > 0:
                 self._refill(team)
 
     def describe(self, team: str) -> terms.QuotaStatus:
-        """Return what decides on a team's next request, for the log."""
+        """Return a team's quota figures for the log."""
         account = self._accounts.get(team)
         if account is None:
             return terms.QuotaStatus()
@@ -236,7 +225,7 @@
         )
 
     def list_holdings(self) -> dict[str, sharing.QuotaBalance]:
-        """Return what this daemon has, by team."""
+        """Return this daemon's balances by team."""
         now = trio.current_time()
         return {
             team: account.create_balance(now, self._find_max_overdraft(account))
@@ -246,7 +235,7 @@
     def create_transfers(
         self, teams: Iterable[catalog.Team]
     ) -> dict[str, QuotaTransfer]:
-        """Take out what others lack more; return it by receiver."""
+        """Withdraw quota that other daemons need more; return it by daemon."""
         transfers: dict[str, QuotaTransfer] = {}
         now = trio.current_time()
         for team in teams:
@@ -255,15 +244,15 @@
             account = self._refill(team)
             for member, units in self._find_transfers(team, account).items():
                 peer = self._peers[member]
-                parcels = account.bucket.withdraw(now, units)
+                lots = account.bucket.withdraw(now, units)
                 peer.transferred[team.name] = (
                     peer.transferred.get(team.name, 0.0) + units
                 )
                 transfer = transfers.setdefault(
-                    member, QuotaTransfer(peer.heard, {})
+                    member, QuotaTransfer(peer.last_number, {})
                 )
                 transfer.parcels[team.name] = [
-                    (lot.units, lot.expires_at - now) for lot in parcels
+                    (lot.units, lot.expires_at - now) for lot in lots
                 ]
         return transfers
 
@@ -274,9 +263,9 @@
         balances: dict[str, sharing.QuotaBalance],
         address: str = "",
     ) -> None:
-        """Take what another daemon has told of its units."""
+        """Record another daemon's balances; older messages are ignored."""
         known = self._peers.get(member)
-        if known is not None and number <= known.heard:
+        if known is not None and number <= known.last_number:
             return
         self._peers[member] = _Peer(
             number, trio.current_time(), address, balances
@@ -285,21 +274,21 @@
             self._notify_soon()
 
     def accept_transfer(self, transfer: QuotaTransfer, sent_at: float) -> None:
-        """Take units that another daemon has given.
+        """Add quota that another daemon has sent.
 
         Args:
-            transfer: The units.
-            sent_at: When the message was sent that the gift answers, in
-                trio's time. The gift was made later, so units do not live
-                longer by their way, however long that took.
+            transfer: The quota.
+            sent_at: When this daemon sent the message that the transfer names
+                in `heard`, in trio's time. The transfer was created later, so
+                counting from this time never extends a unit's lifetime.
         """
         now = trio.current_time()
-        for team, parcels in transfer.parcels.items():
+        for team, lots in transfer.parcels.items():
             account = self._accounts.get(team)
             if account is None:
                 continue
             account.bucket.expire(now)
-            for units, life_s in parcels:
+            for units, life_s in lots:
                 account.bucket.add(
                     now, quota_bucket.QuotaLot(units, sent_at + life_s)
                 )
@@ -307,11 +296,11 @@
         self.quota_received = trio.Event()
 
     def forget(self, member: str) -> None:
-        """Drop a daemon that is gone for good."""
+        """Drop the balances of a daemon that has left the fleet."""
         self._peers.pop(member, None)
 
     def forget_all(self) -> None:
-        """Drop all others; those who come next are new."""
+        """Drop the balances of all other daemons."""
         self._peers.clear()
 
     def _decide(
@@ -324,10 +313,13 @@
         units = request.units
         if request.is_late and self._is_kept_for_on_time(account, units):
             return terms.Refused()
-        kept = min(_MAX_RESERVE_RATIO, _RESERVE_STEP_RATIO * request.reserve)
-        overdraft = (1 - kept) * self._find_max_overdraft(account)
-        # Whether a request passes hardly depends on its size, or the large
-        # ones would starve while small ones use up what comes.
+        reserved = min(
+            _MAX_RESERVE_RATIO, _RESERVE_STEP_RATIO * request.reserve
+        )
+        overdraft = (1 - reserved) * self._find_max_overdraft(account)
+        # Any positive level admits a request, and the overdraft covers the
+        # rest of it; otherwise small requests would drain every refill and
+        # large ones would starve.
         has_credit = request.reserve == 0 or bucket.level > 0
         missing = units - bucket.level - overdraft
         if has_credit and missing <= 0:
@@ -342,7 +334,7 @@
         return terms.Refused()
 
     def _is_kept_for_on_time(self, account: _Account, units: float) -> bool:
-        """Tell whether a request would take units from those on time."""
+        """Return whether a late request would use quota kept for others."""
         now = trio.current_time()
         refill_rate = account.policy.rate * self.rights.find_usable_share()
         if account.find_demand(now) <= refill_rate:
@@ -351,42 +343,44 @@
         return account.bucket.level - units < _ON_TIME_RESERVE_RATIO * capacity
 
     def _choose_holder(self, team: catalog.Team, units: float) -> str:
-        """Return where the request can be let in, or nothing.
+        """Return the address of a daemon that can admit a request, or "".
 
-        Asking there takes a few ms. Units that are handed over take 0.1 s and
-        more, and those that wait for them meanwhile take them from others.
+        Redirecting the request is faster than waiting for a transfer, which
+        other waiting requests could use up first.
         """
-        found = ""
-        most = 0.0
-        for member, one in self._list_peer_balances(team).items():
+        chosen = ""
+        max_level = 0.0
+        for member, balance in self._list_peer_balances(team).items():
             peer = self._peers[member]
-            level = one.level - peer.redirected.get(team.name, 0.0)
-            is_enough = level > 0 and level + one.overdraft >= units
-            if peer.address and is_enough and level > most:
-                found, most = member, level
-        if not found:
+            level = balance.level - peer.redirected.get(team.name, 0.0)
+            is_enough = level > 0 and level + balance.overdraft >= units
+            if peer.address and is_enough and level > max_level:
+                chosen, max_level = member, level
+        if not chosen:
             return ""
-        peer = self._peers[found]
+        peer = self._peers[chosen]
         peer.redirected[team.name] = peer.redirected.get(team.name, 0.0) + units
         return peer.address
 
     def _find_max_overdraft(self, account: _Account) -> float:
-        """Return what this daemon may owe.
+        """Return how far below 0 this daemon's level may go, in units.
 
-        The process before this one may have owed as much when it ended. Until
-        that has left the window this one owes no more than it has let end
-        unspent, which is as good as paying it.
+        On a share that this instance's former process may have overdrawn
+        within the window, the overdraft is limited to the units that have
+        expired unspent, which make up for it.
         """
-        most = self.bounds.find_max_overdraft()
+        max_overdraft = self.bounds.find_max_overdraft()
         held, fresh = self.rights.find_overdraft_shares()
-        return most * held + min(most * fresh, account.bucket.expired_units)
+        return max_overdraft * held + min(
+            max_overdraft * fresh, account.bucket.expired_units
+        )
 
     def _is_held_elsewhere(self, team: catalog.Team, missing: float) -> bool:
-        """Tell whether others have what is missing here."""
+        """Return whether other daemons hold the missing units."""
         available = 0.0
-        for one in self._list_peer_balances(team).values():
-            if one.needed <= 0:
-                available += one.spendable
+        for balance in self._list_peer_balances(team).values():
+            if balance.needed <= 0:
+                available += balance.spendable
         return available >= missing
 
     def _notify_if_low(self, team: catalog.Team, account: _Account) -> None:
@@ -396,12 +390,12 @@
             self._notify_soon()
 
     def _find_capacity(self, account: _Account) -> float:
-        """Return the units that this daemon's part may come to."""
+        """Return the most units that this daemon's share can refill."""
         capacity = account.policy.rate * account.policy.life_s
         return capacity * self.rights.find_usable_share()
 
     def _can_transfer(self, team: str) -> bool:
-        """Tell whether another daemon waits for units that are here."""
+        """Return whether another daemon lacks quota that is held here."""
         account = self._accounts.get(team)
         if account is None:
             return False
@@ -432,7 +426,7 @@
     def _list_peer_balances(
         self, team: catalog.Team
     ) -> dict[str, sharing.QuotaBalance]:
-        """Return what others have, with what was given to them since."""
+        """Return other daemons' recent balances, with transfers since then."""
         oldest = trio.current_time() - _BALANCE_MAX_AGE_S
         found = {}
         for member, peer in self._peers.items():
@@ -471,10 +465,10 @@
         return account
 
     def _add_refill(self, account: _Account, now: float) -> float:
-        """Mint what has come since the last time; return how much."""
+        """Refill an account up to now; return the units added."""
         refilled = 0.0
         for span in self.rights.list_spans(account.refilled_at):
-            rate = account.policy.rate * span.part
+            rate = account.policy.rate * span.share
             account.bucket.add_refill(now, span.start, span.end, rate)
             refilled += rate * (span.end - span.start)
         return refilled
@@ -485,7 +479,7 @@
         return _RefillPolicy(team, bounds, rate, bounds.find_unit_life(team))
 
     def _apply_policy(self, account: _Account, policy: _RefillPolicy) -> None:
-        """Go on by another rate or other bounds."""
+        """Change an account's refill rate and unit lifetime."""
         if not math.isclose(account.policy.life_s, policy.life_s):
             account.bucket = account.bucket.copy_with_life(
                 trio.current_time(), policy.life_s
@@ -494,7 +488,7 @@
 
     def _record_demand(self, account: _Account, units: float) -> None:
         now = trio.current_time()
-        account.asked = account.find_demand(now) + units / _DEMAND_DECAY_S
+        account.demand = account.find_demand(now) + units / _DEMAND_DECAY_S
         account.demand_at = now
 
 
@@ -503,5 +497,5 @@
     shares: refill_shares.RefillShares,
     notify_soon: Callable[[], None],
 ) -> QuotaLedger:
-    """Return a ledger without units."""
+    """Return a ledger without quota."""
     return QuotaLedger(bounds, shares, notify_soon)
--- a/packages/daemon/src/martenquay_daemon/allowances/refill_shares.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/refill_shares.py
@@ -1,11 +1,4 @@
-"""Know which part of each team's rate this daemon may mint, and when.
-
-Each instance has a part of all rates. In a large fleet that is less than one
-request takes, so a daemon lends its part to one that many lend to: for a short
-time, which is counted so that no delay makes it longer. While it is lent, its
-owner mints nothing. So at any moment each part is at one daemon at the most,
-whatever messages are lost or late and whoever is cut off, killed or frozen.
-"""
+"""Track which share of the refill rates this daemon may use, and when."""
 
 from __future__ import annotations
 
@@ -22,27 +15,27 @@
 
 __all__ = [
     "DELEGATION_S",
-    "ShareDelegation",
-    "RefillShares",
     "RateShare",
+    "RefillShares",
+    "ShareDelegation",
     "ShareSpan",
 ]
 
-# A part is lent for so long and lent again twice a second. It has to outlast
-# the report that the loan counts from (up to 0.8 s old) and one digest that is
-# lost. For as long nobody mints the parts that a lost daemon had borrowed.
+# Longer than the age of the report that a delegation counts from plus one lost
+# digest, so that a renewal arrives in time. The shares that a lost daemon held
+# stay unused for this long.
 DELEGATION_S = 1.8
-# No unit lives longer, so nobody mints for a time that is longer ago.
+# Longer than any unit lives: older spans refill nothing.
 _HISTORY_S = 10.0
 
 
 @dataclasses.dataclass(frozen=True)
 class RateShare:
-    """The part of an instance.
+    """An instance's share of the refill rates.
 
     Attributes:
-        part: Of each team's rate; those of all instances add up to 1.
-        since: Since when it is this daemon's, in trio's time.
+        share: Ratio of each team's rate; all instances' shares add up to 1.
+        since: Since when this instance has the share, in trio's time.
     """
 
     share: float
@@ -51,15 +44,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class ShareDelegation:
-    """A part that its owner does not use for some time.
+    """A share that its owner leaves to another daemon for a limited time.
 
     Attributes:
-        receiver: The daemon that may use it, by its process.
+        receiver: The process that may use it.
         heard: The number of the receiver's last report that the owner had
-            when it lent; the loan's end counts from when that was sent.
-        part: Of each team's rate.
-        starts_s: From when on, counted from when it was lent.
-        ends_s: Until when, counted likewise.
+            processed; for the receiver, `ends_s` counts from when it sent
+            that report.
+        part: The share, as a ratio of each team's rate.
+        starts_s: When it begins, in seconds after it was delegated.
+        ends_s: When it ends, in seconds after it was delegated.
     """
 
     receiver: str
@@ -71,12 +65,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class ShareSpan:
-    """A time with one part.
+    """A time span in which one share could be used.
 
     Attributes:
         start: In trio's time.
         end: In trio's time.
-        part: Of each team's rate.
+        share: Ratio of each team's rate.
     """
 
     start: float
@@ -86,21 +80,29 @@
 
 @dataclasses.dataclass
 class _Delegated:
+    """This instance's last delegation.
+
+    Attributes:
+        receiver: The process that may use the share.
+        share: Ratio of each team's rate.
+        starts_at: When it begins, which is after a former receiver's ended.
+        until: When it ends.
+    """
+
     receiver: str = ""
     share: float = 0.0
-    # When the receiver's time begins, after the time of the one before it.
     starts_at: float = -math.inf
     until: float = -math.inf
 
 
 @dataclasses.dataclass
 class _Received:
-    """What one instance has lent to this daemon.
+    """A share that another instance has delegated to this daemon.
 
     Attributes:
-        member: The instance's process that has lent it.
-        span: From when to when.
-        held_since: Since when nobody else has had it for a whole window.
+        member: The instance's process that delegated it.
+        span: When it may be used.
+        held_since: Since when no other daemon can have overdrawn on it.
     """
 
     member: str
@@ -109,10 +111,15 @@
 
 
 class RefillShares:
-    """What this daemon may mint: its own part if not lent, and borrowed ones.
+    """The refill shares of this daemon: its own and those delegated to it.
+
+    In a large fleet an instance's share refills less quota than one request
+    costs, so instances delegate their shares to a quota hub for a limited time.
+    At any time each share is used by at most one daemon, also when messages are
+    lost or late and daemons are partitioned, killed or paused.
 
     Attributes:
-        window_s: The time over which teams' units are counted; may change.
+        window_s: The time over which a team's units are counted; may change.
     """
 
     def __init__(
@@ -121,14 +128,14 @@
         window_s: float,
         find_sole_since: Callable[[], float] = lambda: -math.inf,
     ) -> None:
-        """Begin at the start of the process.
+        """Start counting time at the start of the process.
 
         Args:
-            read_share: Returns this instance's part.
-            window_s: The time over which teams' units are counted.
-            find_sole_since: Returns since when nobody uses a loan of the
-                process before this one any more, in trio's time; infinity
-                while that is not known.
+            read_share: Returns this instance's share.
+            window_s: The time over which a team's units are counted.
+            find_sole_since: Returns since when no hub uses a delegation by
+                this instance's former process, in trio's time; infinity while
+                unknown.
         """
         self.window_s = window_s
         self._read_share = read_share
@@ -136,7 +143,7 @@
         self._started_at = trio.current_time()
         self._advanced_at = self._started_at
         self._last_share = 0.0
-        # Until then the process before may have lent what is now this one's.
+        # Until then a delegation by the former process may be in use.
         self._usable_from = self._started_at + DELEGATION_S
         self._delegated = _Delegated()
         self._larger_until = -math.inf
@@ -145,7 +152,7 @@
         self._spans: collections.deque[ShareSpan] = collections.deque()
 
     def advance(self) -> float:
-        """Count the time up to now; return now."""
+        """Record the usable shares up to now; return now."""
         now = trio.current_time()
         if now <= self._advanced_at:
             return now
@@ -163,7 +170,7 @@
         return now
 
     def list_spans(self, since: float) -> Iterator[ShareSpan]:
-        """Return what may be minted for the time after `since`."""
+        """Return the usable shares after `since`, the earliest first."""
         found = []
         for span in reversed(self._spans):
             if span.end <= since:
@@ -173,43 +180,46 @@
         return reversed(found)
 
     def find_usable_share(self) -> float:
-        """Return the part that may be minted now."""
+        """Return the share that this daemon may use now."""
         now = trio.current_time()
         return self._find_own_usable_share(now) + sum(
-            one.span.share for one in self._list_usable(now)
+            received.span.share for received in self._list_usable(now)
         )
 
     def find_overdraft_shares(self) -> tuple[float, float]:
-        """Return the parts on which units may be owed.
+        """Return the shares on which quota may be overdrawn.
 
         Returns:
-            The part that nobody else can have owed on within the window, and
-            the part on which this daemon's instance may have before it
-            started.
+            The share on which no other daemon can have overdrawn within the
+            window, and the share on which this instance's former process may
+            have.
         """
         now = trio.current_time()
         window_start = now - self.window_s
-        # Whom it was lent to may have owed on it.
+        # The receiver of an earlier delegation may have overdrawn on the share.
         own = (
             self._find_own_usable_share(now)
             if self._delegated.until <= window_start
             else 0.0
         )
         held = sum(
-            one.span.share
-            for one in self._list_usable(now)
-            if one.held_since <= window_start
+            received.span.share
+            for received in self._list_usable(now)
+            if received.held_since <= window_start
         )
         if self._started_at <= window_start:
             return held + own, 0.0
         return held, own
 
     def delegate(self, receiver: str, heard: int) -> ShareDelegation | None:
-        """Lend this instance's part, for a while from now.
+        """Delegate this instance's share for a limited time from now.
 
         Args:
             receiver: The process that may use it.
-            heard: The number of that one's last report.
+            heard: The number of the receiver's last report.
+
+        Returns:
+            The delegation; None if this instance has no share yet.
         """
         now = self.advance()
         own = self._read_own_share()
@@ -218,7 +228,7 @@
         last = self._delegated
         starts_at = last.starts_at
         if last.receiver != receiver:
-            # What the one before may use is not to be used twice.
+            # Otherwise both receivers would use the share until then.
             starts_at = max(now, last.until)
         if own.share < last.share:
             self._larger_until = last.until
@@ -231,7 +241,7 @@
         )
 
     def has_larger_delegation(self) -> bool:
-        """Tell whether a loan is still good that was larger than the part."""
+        """Return whether a delegation of a larger share is still valid."""
         return trio.current_time() < self._larger_until
 
     def accept_delegation(
@@ -241,17 +251,18 @@
         delegation: ShareDelegation,
         reported_at: float,
     ) -> None:
-        """Take another instance's part for a while.
+        """Use another instance's share for a limited time.
 
         Args:
-            instance: Whose part it is.
-            member: The process that lent it.
-            delegation: What it said.
-            reported_at: When the report that the loan names was sent, in
-                trio's time; the loan was made after that.
+            instance: The instance whose share it is.
+            member: Its process that delegated the share.
+            delegation: The delegation.
+            reported_at: When this daemon sent the report that the delegation
+                names in `heard`, in trio's time. The delegation was created
+                later, so counting from this time never extends it.
         """
         if member in self._former_members.get(instance, ()):
-            # Sent before that process ended, and late.
+            # A late message of an ended process; the new one may use the share.
             return
         now = self.advance()
         start = now + delegation.starts_s
@@ -262,8 +273,8 @@
         if known is None:
             held_since = start
         else:
-            # Only who has had it through a whole window may owe on it, so in
-            # a shorter gap nobody else has.
+            # A daemon may overdraw only on a share that it held for a whole
+            # window, so none can have done so in a shorter gap.
             is_short = start - known.span.end < self.window_s
             held_since = known.held_since if is_short else start
             if known.span.share == delegation.part and start <= known.span.end:
@@ -273,9 +284,9 @@
         self._received[instance] = _Received(member, span, held_since)
 
     def end_former_delegations(self, instance: str, member: str) -> None:
-        """End what an earlier process of an instance had lent.
+        """End delegations by an instance's processes other than `member`.
 
-        Its next one may use the part itself, or lend it to somebody else.
+        The new process may use the share or delegate it to another daemon.
         """
         known = self._received.get(instance)
         if known is None or known.member == member:
@@ -287,36 +298,36 @@
         known.member = member
 
     def count_delegators(self) -> int:
-        """Return how many instances lend to this daemon now."""
+        """Return how many instances delegate their share to this daemon."""
         return sum(1 for _ in self._list_usable(trio.current_time()))
 
     def _read_own_share(self) -> RateShare:
         own = self._read_share()
         if own.share > 0:
-            # Before the log has told of other daemons, it is not known
-            # whether any may have borrowed.
+            # Without a share this daemon has not read which others exist, so
+            # `find_sole_since` cannot rule out a delegation to one of them.
             self._usable_from = min(self._usable_from, self._find_sole_since())
         return own
 
     def _find_own_usable_share(self, now: float) -> float:
         own = self._read_own_share()
-        is_here = now >= max(
+        is_usable = now >= max(
             self._delegated.until, self._usable_from, own.since
         )
-        return own.share if is_here else 0.0
+        return own.share if is_usable else 0.0
 
     def _list_usable(self, now: float) -> Iterator[_Received]:
         return (
-            one
-            for one in self._received.values()
-            if one.span.start <= now < one.span.end
+            received
+            for received in self._received.values()
+            if received.span.start <= now < received.span.end
         )
 
     def _find_own_span(self, now: float) -> ShareSpan:
-        """Return for when the own part may be minted since the last time."""
+        """Return when the own share was usable since the last call."""
         own = self._read_own_share()
-        # While the part grew or fell, others may have had the difference.
-        kept = (
+        # While the share changed, other instances may have used the difference.
+        share = (
             min(self._last_share, own.share)
             if self._last_share > 0
             else own.share
@@ -328,7 +339,7 @@
             self._usable_from,
             own.since,
         )
-        return ShareSpan(start, now, kept)
+        return ShareSpan(start, now, share)
 
     def _append_span(self, span: ShareSpan) -> None:
         if self._spans and self._spans[-1].end == span.start:
@@ -343,19 +354,21 @@
 def _sum_spans(
     sources: list[ShareSpan], start: float, end: float
 ) -> Iterator[ShareSpan]:
-    """Return spans one after the other whose parts are sums."""
+    """Return consecutive spans with the sum of the shares in each."""
+    clipped = [
+        ShareSpan(max(start, span.start), min(end, span.end), span.share)
+        for span in sources
+    ]
     clipped = [
-        ShareSpan(max(start, one.start), min(end, one.end), one.share)
-        for one in sources
+        span for span in clipped if span.start < span.end and span.share > 0
     ]
-    clipped = [one for one in clipped if one.start < one.end and one.share > 0]
     edges = sorted(
         {start, end, *(e for s in clipped for e in (s.start, s.end))}
     )
     for left, right in itertools.pairwise(edges):
         share = sum(
-            one.share
-            for one in clipped
-            if one.start <= left and one.end >= right
+            span.share
+            for span in clipped
+            if span.start <= left and span.end >= right
         )
         yield ShareSpan(left, right, share)
--- a/packages/daemon/src/martenquay_daemon/allowances/sharing.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/sharing.py
@@ -1,10 +1,4 @@
-"""Decide which units a daemon hands to others.
-
-Units are worth most where they are asked for. Each daemon knows what the
-others had and were asked for when they last told; what it has beyond its part
-goes to those that have less than theirs. All reckon alike, so that what is
-given adds up to what is missing without anybody asking.
-"""
+"""Compute how much quota a daemon transfers to which others."""
 
 from __future__ import annotations
 
@@ -16,25 +10,26 @@
 
 __all__ = ["QuotaBalance", "find_scarcity_transfers", "find_transfers"]
 
-# Each daemon keeps a part of the units as if it were asked for so much of an
-# even part of the rate besides: the next request may come to any of them.
+# Demand that is added to each daemon's own, as a ratio of an even share of the
+# refill rate. Without it a daemon without demand would hold nothing for its
+# next request.
 _BASE_DEMAND_RATIO = 0.3
-# Less than this part of an even share is not worth a message.
+# Transfers below this ratio of an even share are not sent.
 _MIN_TRANSFER_RATIO = 0.05
-# A daemon that a request waits at is given no more than this part of what
-# another one has.
+# The most that is transferred for requests that wait at other daemons, as a
+# ratio of what may be spent here.
 _MAX_SHORTAGE_RATIO = 0.8
 
 
 @dataclasses.dataclass(frozen=True)
 class QuotaBalance:
-    """What a daemon has of one team's units.
+    """One team's quota at a daemon.
 
     Attributes:
-        level: Units that it may spend; less than 0 if it owes some.
-        asked: Units a second that callers ask it for, lately.
-        needed: Units that it lacks for a request that waits there.
-        overdraft: How far below 0 its level may come.
+        level: Units that may be spent; negative if overdrawn.
+        asked: Units per second that callers request.
+        needed: Units that waiting requests lack.
+        overdraft: How far below 0 the level may go, in units.
     """
 
     level: float
@@ -44,19 +39,22 @@
 
     @property
     def spendable(self) -> float:
-        """What it may spend, or give for a request that waits."""
+        """Units that may be spent or transferred, overdraft included."""
         return max(0.0, self.level + self.overdraft)
 
 
 def find_transfers(
     own: QuotaBalance, others: Mapping[str, QuotaBalance], rate: float
 ) -> dict[str, float]:
-    """Return the units to be given away, by receiver.
+    """Return the units to transfer, by receiver.
+
+    Every daemon computes its part of what the others lack from the same
+    balances, so that together they transfer as much as is missing.
 
     Args:
-        own: What this daemon has.
-        others: What the others have, by name.
-        rate: Units a second that come to all daemons together.
+        own: This daemon's balance.
+        others: The other daemons' balances, by daemon.
+        rate: Units per second that all daemons together refill.
     """
     if not others:
         return {}
@@ -76,26 +74,26 @@
     refilled: float,
     rate: float,
 ) -> dict[str, float]:
-    """Return what is passed on of what was minted while units are scarce.
+    """Return the units to transfer, by receiver, while demand exceeds refills.
 
-    Then nobody has more than it is asked for, and what there is says nothing
-    of who is asked for most: a zone with one daemon and a quarter of the
-    callers would get a sixth of the units.
+    Levels are near 0 at all daemons then and do not show where demand is
+    highest, so daemons of below-average demand pass part of their refills to
+    those above the average.
 
     Args:
-        own: What this daemon has.
-        others: What the others have, by name.
-        refilled: Units that this daemon minted since it last gave.
-        rate: Units a second that come to all daemons together.
+        own: This daemon's balance.
+        others: The other daemons' balances, by daemon.
+        refilled: Units that this daemon refilled since the last transfers.
+        rate: Units per second that all daemons together refill.
     """
-    asked = own.asked + sum(one.asked for one in others.values())
-    mean = asked / (1 + len(others))
-    if asked <= rate or own.asked >= mean:
+    demand = own.asked + sum(balance.asked for balance in others.values())
+    mean = demand / (1 + len(others))
+    if demand <= rate or own.asked >= mean:
         return {}
     above_mean = {
-        name: one.asked - mean
-        for name, one in others.items()
-        if one.asked > mean
+        name: balance.asked - mean
+        for name, balance in others.items()
+        if balance.asked > mean
     }
     forwarded = min(refilled * (1 - own.asked / mean), own.spendable)
     total = sum(above_mean.values())
@@ -109,14 +107,16 @@
 def _find_shortage_transfers(
     own: QuotaBalance, others: Mapping[str, QuotaBalance]
 ) -> dict[str, float]:
-    """Return what goes to waiting requests, each daemon a part of it."""
+    """Return this daemon's part of the units that waiting requests lack."""
     shortages = {
-        name: one.needed for name, one in others.items() if one.needed > 0
+        name: balance.needed
+        for name, balance in others.items()
+        if balance.needed > 0
     }
     if not shortages:
         return {}
     available = own.spendable + sum(
-        one.spendable for one in others.values() if one.needed <= 0
+        balance.spendable for balance in others.values() if balance.needed <= 0
     )
     if own.spendable <= 0 or own.needed > 0:
         return {}
@@ -130,19 +130,20 @@
 def _find_balancing_transfers(
     own: QuotaBalance, others: Mapping[str, QuotaBalance], rate: float
 ) -> dict[str, float]:
-    """Return what evens out holdings by what they are asked for."""
+    """Return the units that make levels proportional to demand."""
     count = 1 + len(others)
     base_demand = _BASE_DEMAND_RATIO * rate / count
     total_weight = sum(
-        one.asked + base_demand for one in (own, *others.values())
+        balance.asked + base_demand for balance in (own, *others.values())
     )
-    total = own.level + sum(one.level for one in others.values())
+    total = own.level + sum(balance.level for balance in others.values())
     if total <= 0 or total_weight <= 0:
         return {}
     surplus = own.level - total * (own.asked + base_demand) / total_weight
     deficits = {
-        name: total * (one.asked + base_demand) / total_weight - one.level
-        for name, one in others.items()
+        name: total * (balance.asked + base_demand) / total_weight
+        - balance.level
+        for name, balance in others.items()
     }
     deficits = {name: units for name, units in deficits.items() if units > 0}
     if surplus <= 0 or not deficits:
--- a/packages/daemon/src/martenquay_daemon/allowances/terms.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/terms.py
@@ -1,4 +1,4 @@
-"""Define what a ledger of allowances is told and what it tells."""
+"""Define requests for quota, their outcomes and the tolerated excess."""
 
 from __future__ import annotations
 
@@ -19,15 +19,13 @@
     "AdmissionRequest",
 ]
 
-# Units reach a runner so much later than they are spent here, at the most but
-# for connections that take several tries; a window may seem longer by that.
+# Spent units reach a runner up to this much later, which can move them into
+# another window.
 _DELIVERY_DELAY_S = 0.25
-# Of the slack, this part may be owed, for requests larger than what is there.
+# Part of the slack that may be overdrawn.
 _OVERDRAFT_RATIO = 0.9
-# How long a minted unit may be spent follows from the steady rate, which is so
-# many times the team's own; what is tolerated beyond that may be spent at once.
-# A longer life is for arrivals in clumps and for the way to another daemon (0.1
-# to 0.3 s), a higher rate for teams that always ask for more than they may.
+# Refill rate over the team's own rate. A higher rate shortens the lifetime of
+# units, and with it the bursts that the quota covers.
 _STEADY_RATE_RATIO = 1.05
 _MAX_UNIT_LIFE_S = 4.0
 _MIN_UNIT_LIFE_S = 0.4
@@ -38,8 +36,8 @@
     """How much more than its allowance a team may get.
 
     Attributes:
-        window_s: The time over which its units are counted.
-        overrun: Tolerated in it, as a share of the allowance.
+        window_s: The time over which a team's units are counted.
+        overrun: Tolerated excess in the window, as a ratio of the allowance.
         slack: Units tolerated beyond that.
     """
 
@@ -56,16 +54,16 @@
         return min(_MAX_UNIT_LIFE_S, max(_MIN_UNIT_LIFE_S, life_s))
 
     def find_refill_rate(self, team: catalog.Team) -> float:
-        """Return the units a second that all daemons together may mint.
+        """Return the units per second that all daemons together refill.
 
-        What is spent in a window was minted in it or one lifetime before it,
-        or is owed.
+        Units spent in a window were refilled in it or one lifetime before it,
+        or are overdraft.
         """
         span_s = self.window_s + self.find_unit_life(team) + _DELIVERY_DELAY_S
         return self._find_refill_limit(team) / span_s
 
     def find_max_overdraft(self) -> float:
-        """Return what all daemons together may spend before it is minted."""
+        """Return the units that all daemons together may overdraw."""
         return _OVERDRAFT_RATIO * self.slack
 
     def _find_refill_limit(self, team: catalog.Team) -> float:
@@ -76,14 +74,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class AdmissionRequest:
-    """What a request asks of its team's allowance.
+    """What one request asks of its team's allowance.
 
     Attributes:
-        units: What it costs.
-        reserve: Steps of urgency to leave room for; 0 for the most urgent.
-        is_late: Its caller has tried before, and its answer cannot be on time
-            any more.
-        max_wait_s: How long it may wait where nothing is known of units yet.
+        units: The quota that it costs.
+        reserve: Its distance from the highest priority; the larger, the more
+            quota it leaves to other requests.
+        is_late: It is a caller's retry and can no longer meet its deadline.
+        max_wait_s: How long it may wait for refill shares to arrive.
     """
 
     units: float
@@ -94,22 +92,22 @@
 
 @dataclasses.dataclass(frozen=True)
 class Admitted:
-    """The units are spent."""
+    """The quota is spent."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Refused:
-    """The units are not there, here or elsewhere."""
+    """Neither this daemon nor the others hold enough quota."""
 
 
 @dataclasses.dataclass(frozen=True)
 class HeldElsewhere:
-    """Other daemons likely have what is missing here.
+    """Other daemons probably hold the missing quota.
 
     Attributes:
         missing: Units that this daemon lacks.
-        holder: The address of one that has all that the request takes; empty
-            if none has.
+        holder: The address of a daemon that can admit the request alone; empty
+            if there is none.
     """
 
     missing: float
@@ -121,13 +119,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class QuotaStatus:
-    """A team's units at this daemon, for the log.
+    """A team's quota at one daemon, for the log.
 
     Attributes:
         there: Units that may be spent.
-        owed: Units that were spent before they were there.
-        part: Of the team's rate that this daemon mints.
-        asked: Units a second that callers ask for.
+        owed: Units that are overdrawn.
+        part: Share of the team's refill rate that the daemon uses.
+        asked: Units per second that callers request.
     """
 
     there: float = 0.0
@@ -138,12 +136,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class AdmissionDecision:
-    """What became of a request's wish.
+    """What became of an admission request.
 
     Attributes:
-        retry_s: 0 if the units are spent; else when its caller should come
-            back.
-        units: What decided it.
+        retry_s: 0 if the quota is spent; else the delay until a retry.
+        units: The quota figures after the decision.
         kept_at: The daemon that decided, if it was another one.
     """
 
@@ -153,5 +150,5 @@
 
     @property
     def is_admitted(self) -> bool:
-        """Whether the request may go on."""
+        """Whether the request is admitted."""
         return self.retry_s <= 0
