--- a/packages/daemon/src/martenquay_daemon/quarantine/__init__.py
+++ b/packages/daemon/src/martenquay_daemon/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Keep requests that crash their runners from being sent again."""
+"""Quarantine request contents that crash the runners that serve them."""
--- a/packages/daemon/src/martenquay_daemon/quarantine/contents.py
+++ b/packages/daemon/src/martenquay_daemon/quarantine/contents.py
@@ -1,4 +1,4 @@
-"""Name the content of a request, the same at every daemon."""
+"""Identify a request's content by a digest that all daemons agree on."""
 
 from __future__ import annotations
 
@@ -10,25 +10,26 @@
 
 __all__ = ["digest_content"]
 
-# Two contents with one digest would be refused for each other's sake; at 16
-# bytes that takes some 10^19 contents.
+# Long enough that no two contents collide: a harmless one would be refused.
 _DIGEST_BYTES = 16
 
 
 def digest_content(call: calls.Call, team: catalog.Team | None) -> str:
-    """Return a digest of who asks for what, in hex.
+    """Return the hex digest of a request's content.
 
-    It covers team, method, host, path with query, and body, byte for byte. Ids,
-    deadlines, keys and other headers change from one try to the next.
+    It covers the team, method, host, path with query, and body. Other headers,
+    such as ids, deadlines and keys, differ between retries.
 
     Args:
         call: The request with its whole body.
-        team: Whose key it carries; None on routes without keys.
+        team: The team that the request's key belongs to; None on routes
+            without keys.
     """
     digest = hashlib.blake2b(digest_size=_DIGEST_BYTES)
     names = (team.name if team else "", call.method, call.host, call.target)
     for part in (*map(str.encode, names), call.body):
-        # With its length, or what moves from one part to the next is not seen.
+        # Without its length, the end of one part could pass for the beginning
+        # of the next.
         digest.update(len(part).to_bytes(8, "big"))
         digest.update(part)
     return digest.hexdigest()
--- a/packages/daemon/src/martenquay_daemon/quarantine/evidence.py
+++ b/packages/daemon/src/martenquay_daemon/quarantine/evidence.py
@@ -1,4 +1,4 @@
-"""Find out whether the process of a runner has ended."""
+"""Check whether the process of a runner has ended."""
 
 from __future__ import annotations
 
@@ -6,20 +6,19 @@
 
 __all__ = ["has_ended"]
 
-# A live machine answers in a few ms. One that says nothing may be cut off,
-# which is no evidence, and callers wait meanwhile.
-_ASK_S = 0.1
+# Callers wait meanwhile.
+_CONNECT_TIMEOUT_S = 0.1
 
 
 async def has_ended(address: str) -> bool:
-    """Tell whether a runner's machine says that nobody listens there.
+    """Return whether a runner's machine refuses connections to it.
 
-    A broken answer alone does not tell a runner that has crashed from one that
-    spoils answers or from a connection that was reset on its way; the runner
-    takes new connections then. Silence tells nothing at all.
+    After a broken response, a runner that still accepts connections has sent
+    an invalid response or lost one connection, but has not crashed. A timeout
+    is no evidence of a crash: the runner may be unreachable.
     """
     try:
-        async with connections.connect_runner(address, _ASK_S):
+        async with connections.connect_runner(address, _CONNECT_TIMEOUT_S):
             return False
     except connections.NotConnectedError as error:
         return error.is_refused
--- a/packages/daemon/src/martenquay_daemon/quarantine/manager.py
+++ b/packages/daemon/src/martenquay_daemon/quarantine/manager.py
@@ -1,8 +1,4 @@
-"""Share with all daemons which contents crash their runners.
-
-Strikes live in the platform's log: a daemon that is cut off from the others,
-that starts anew, or that starts with all others reads the same verdict there.
-"""
+"""Share crash records among daemons through the platform's log."""
 
 from __future__ import annotations
 
@@ -22,25 +18,24 @@
 __all__ = ["QuarantineManager", "create_quarantine_manager"]
 
 _LOG = logs.create_log("quarantine")
-# What runs on a healthy log takes 4 ms; after an outage the first try of each
-# daemon comes within a second.
 _FIRST_RETRY_S = 0.2
-_LONGEST_RETRY_S = 1.0
-# Records in one call; the log takes far more.
-_BATCH = 500
-# A line in this time says that records are foreign; their writer may go on.
-_FOREIGN_LINE_S = 10.0
+_MAX_RETRY_S = 1.0
+# Records in one call.
+_MAX_BATCH = 500
+# Least time between two lines on invalid records, whose writer may not stop.
+_INVALID_LINE_INTERVAL_S = 10.0
 
 
 class QuarantineManager:
-    """Keep the strikes that are known, and write those that are found.
+    """Applies crash records of the log, and writes those found here to it.
 
-    It implements `keyed_follower.RecordSink` for the strikes' topic.
+    Daemons that were partitioned or have restarted read the same records as the
+    others. It implements `keyed_follower.RecordSink`.
 
     Attributes:
-        on_strike: Told each strike that this daemon has found.
-        may_tidy: Tells whether this daemon takes forgotten strikes out of the
-            log, which one of them has to do.
+        on_strike: Called for each crash that this daemon finds.
+        may_tidy: Returns whether this daemon removes dropped records from the
+            log; one daemon at a time has to.
     """
 
     def __init__(
@@ -51,146 +46,149 @@
         self._log = log
         self._topic = topic
         self._table = table
-        table.on_dropped = self._tidy
+        table.on_dropped = self._remove_dropped
         self._unwritten: dict[strikes.CrashRecord, bytes] = {}
-        self._has_news = trio.Event()
-        self._told_foreign_at = -math.inf
+        self._has_unwritten = trio.Event()
+        self._invalid_logged_at = -math.inf
 
     @property
     def is_empty(self) -> bool:
-        """Whether no content has a strike; then none need be named."""
+        """Whether no content has crash records; digests are not needed then."""
         return not self._table
 
     def find_hold(self, content: str) -> float | None:
-        """Return for how long a content is kept out; None if it is not."""
+        """Return the seconds of quarantine left; None if there is none."""
         return self._table.find_hold(content)
 
     def find_latest(self, content: str) -> int:
-        """Return the number of a content's latest strike; 0 for none."""
+        """Return the highest number of a content's records; 0 if none."""
         return self._table.find_latest(content)
 
     def note_crash(
-        self, content: str, seen: int, runner: str, crash: records.Crash
+        self, content: str, latest: int, runner: str, details: records.Crash
     ) -> None:
-        """Note that a runner ended under a content.
+        """Record that a runner ended while it served a content.
 
         Args:
             content: The content's digest.
-            seen: What `find_latest` gave when it was sent.
+            latest: What `find_latest` returned when the request was sent.
             runner: The id of the runner that ended.
-            crash: What else the log tells of it.
+            details: What else the log keeps of the crash.
         """
         self.on_strike()
-        strike = strikes.CrashRecord(content, seen + 1, runner)
-        if not self._table.add(strike):
+        crash = strikes.CrashRecord(content, latest + 1, runner)
+        if not self._table.add(crash):
             return
-        self._tell(strike, "this daemon", crash)
-        self._write(strike, records.encode_crash(self._log, strike, crash))
+        self._log_crash(crash, "this daemon", details)
+        self._write(crash, records.encode_crash(self._log, crash, details))
 
     def note_answer(self, content: str) -> None:
-        """Note that a runner answered a content and lives on."""
-        for strike in self._table.clear(content):
+        """Remove the records of a content that a runner has answered."""
+        for crash in self._table.remove_content(content):
             _LOG.write(
-                f"Content {content} was answered; its strikes are dropped.",
+                f"Removed a crash record of content {content}: a runner"
+                " answered it.",
                 content=content,
-                number=strike.number,
+                number=crash.number,
             )
-            self._write(strike, records.encode_end(self._log, strike))
+            self._write(crash, records.encode_removal(self._log, crash))
 
     def replace_all(self, snapshot: ports.Snapshot) -> None:
-        """Take the strikes in the log, and those on their way there."""
+        """Replace all records by those in the log and those not written yet."""
         found = []
         for record in snapshot.records:
-            strike = self._decode(record)
-            if strike is not None and record.value is not None:
-                found.append(strike)
-        own = [strike for strike in self._unwritten if self._is_known(strike)]
+            crash = self._decode(record)
+            if crash is not None and record.value is not None:
+                found.append(crash)
+        own = [crash for crash in self._unwritten if self._is_known(crash)]
         self._table.replace_all([*found, *own])
         if found:
             _LOG.write(
-                "Strikes are read from the log.",
+                "Read crash records from the log.",
                 strikes=len(found),
                 contents=len(self._table),
             )
 
     def apply_change(self, record: ports.KeyedRecord) -> None:
-        """Take one strike, or the end of one."""
-        strike = self._decode(record)
-        if strike is None:
+        """Add or remove one crash record."""
+        crash = self._decode(record)
+        if crash is None:
             return
         if record.value is None:
-            self._table.take_back(strike)
-        elif self._table.add(strike):
-            self._tell(strike, f"log offset {record.offset}", None)
+            self._table.remove(crash)
+        elif self._table.add(crash):
+            self._log_crash(crash, f"log offset {record.offset}", None)
 
     async def run(self) -> None:
-        """Write what is found until cancelled."""
+        """Write changes to the log until cancelled."""
         retry_s = _FIRST_RETRY_S
         while True:
-            await self._has_news.wait()
+            await self._has_unwritten.wait()
             if await self._write_batch():
                 retry_s = _FIRST_RETRY_S
             else:
                 await trio.sleep(retry_s)
-                retry_s = min(2 * retry_s, _LONGEST_RETRY_S)
+                retry_s = min(2 * retry_s, _MAX_RETRY_S)
 
     async def _write_batch(self) -> bool:
-        batch = dict(list(self._unwritten.items())[:_BATCH])
+        batch = dict(list(self._unwritten.items())[:_MAX_BATCH])
         written = await self._log.append(self._topic, list(batch.values()))
         if written.is_error():
-            # The same records once more change nothing.
+            # The records may have been written; a repeated write changes
+            # nothing.
             _LOG.write(
-                f"Strikes are not written yet: {written.error.message}.",
+                f"Crash records were not written: {written.error.message};"
+                " retrying.",
                 strikes=len(batch),
             )
             return False
-        for strike, payload in batch.items():
-            # It may have been taken back meanwhile, which is yet to be told.
-            if self._unwritten.get(strike) == payload:
-                del self._unwritten[strike]
+        for crash, payload in batch.items():
+            # A removal that was requested meanwhile is still to be written.
+            if self._unwritten.get(crash) == payload:
+                del self._unwritten[crash]
         if not self._unwritten:
-            self._has_news = trio.Event()
+            self._has_unwritten = trio.Event()
         return True
 
-    def _write(self, strike: strikes.CrashRecord, payload: bytes) -> None:
-        self._unwritten[strike] = payload
-        self._has_news.set()
+    def _write(self, crash: strikes.CrashRecord, payload: bytes) -> None:
+        self._unwritten[crash] = payload
+        self._has_unwritten.set()
 
-    def _tidy(self, dropped: list[strikes.CrashRecord]) -> None:
+    def _remove_dropped(self, dropped: list[strikes.CrashRecord]) -> None:
         if not self.may_tidy():
             return
-        for strike in dropped:
-            self._write(strike, records.encode_end(self._log, strike))
+        for crash in dropped:
+            self._write(crash, records.encode_removal(self._log, crash))
 
-    def _is_known(self, strike: strikes.CrashRecord) -> bool:
-        return self._table.has(strike)
+    def _is_known(self, crash: strikes.CrashRecord) -> bool:
+        return self._table.has(crash)
 
     def _decode(self, record: ports.KeyedRecord) -> strikes.CrashRecord | None:
         try:
             return records.decode_crash(record)
         except ValueError as error:
             now = trio.current_time()
-            if now >= self._told_foreign_at + _FOREIGN_LINE_S:
-                self._told_foreign_at = now
-                _LOG.write(f"A record names no strike: {error}.")
+            if now >= self._invalid_logged_at + _INVALID_LINE_INTERVAL_S:
+                self._invalid_logged_at = now
+                _LOG.write(f"Ignored an invalid crash record: {error}.")
             return None
 
-    def _tell(
+    def _log_crash(
         self,
-        strike: strikes.CrashRecord,
+        crash: strikes.CrashRecord,
         found_at: str,
-        crash: records.Crash | None,
+        details: records.Crash | None,
     ) -> None:
-        hold_s = self._table.find_hold(strike.content)
+        quarantine_s = self._table.find_hold(crash.content)
         _LOG.write(
-            f"A runner ended under content {strike.content}.",
-            content=strike.content,
-            strikes=self._table.count(strike.content),
-            number=strike.number,
+            f"A runner ended while it served content {crash.content}.",
+            content=crash.content,
+            strikes=self._table.count(crash.content),
+            number=crash.number,
             found_at=found_at,
-            runner=strike.runner,
-            route=crash and crash.route,
-            kept_out_s=hold_s and round(hold_s),
+            runner=crash.runner,
+            route=details and details.route,
+            kept_out_s=quarantine_s and round(quarantine_s),
         )
 
 
@@ -201,6 +199,6 @@
 def create_quarantine_manager(
     log: ports.LogPort, topic: str
 ) -> QuarantineManager:
-    """Return a desk that knows of no strike."""
+    """Return a manager without crash records."""
     table = strikes.CrashTable(trio.current_time)
     return QuarantineManager(log, topic, table)
--- a/packages/daemon/src/martenquay_daemon/quarantine/records.py
+++ b/packages/daemon/src/martenquay_daemon/quarantine/records.py
@@ -1,4 +1,4 @@
-"""Write strikes into a keyed topic of the platform's log and read them."""
+"""Encode and decode crash records of a keyed log topic."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 if TYPE_CHECKING:
     from martenquay_core.serving import ports
 
-__all__ = ["Crash", "decode_crash", "encode_crash", "encode_end"]
+__all__ = ["Crash", "decode_crash", "encode_crash", "encode_removal"]
 
 _SEPARATOR = "."
 
 
 class Crash(msgspec.Struct, frozen=True):
-    """What a strike's record tells people who look for its cause.
+    """Details of a crash for those who look for its cause.
 
     Attributes:
         service: The service of the runner that ended.
@@ -29,33 +29,33 @@
 
 
 def encode_crash(
-    log: ports.LogPort, strike: strikes.CrashRecord, crash: Crash
+    log: ports.LogPort, crash: strikes.CrashRecord, details: Crash
 ) -> bytes:
-    """Return the payload that puts a strike into force.
+    """Return the payload that adds a crash record.
 
-    Each strike has a key of its own: daemons that write at the same time add
-    to each other's, and the same one twice counts once.
+    Each record has its own key: daemons that write at the same time don't
+    overwrite each other's records, and a repeated write changes nothing.
     """
-    return log.join_keyed(_join_key(strike), msgspec.json.encode(crash))
+    return log.join_keyed(_join_key(crash), msgspec.json.encode(details))
 
 
-def encode_end(log: ports.LogPort, strike: strikes.CrashRecord) -> bytes:
-    """Return the payload that takes a strike back."""
-    return log.join_keyed(_join_key(strike), b"")
+def encode_removal(log: ports.LogPort, crash: strikes.CrashRecord) -> bytes:
+    """Return the payload that removes a crash record."""
+    return log.join_keyed(_join_key(crash), b"")
 
 
 def decode_crash(record: ports.KeyedRecord) -> strikes.CrashRecord:
-    """Return the strike that a record is about.
+    """Return the crash record that a log record adds or removes.
 
     Raises:
-        ValueError: The key names none.
+        ValueError: The key has not the form CONTENT.NUMBER.RUNNER.
     """
     content, number, runner = [*record.key.split(_SEPARATOR, 2), "", ""][:3]
     if not content or not number.isdecimal() or not runner:
-        raise ValueError(f"{record.key!r} names no strike")
+        raise ValueError(f"key {record.key!r} is not CONTENT.NUMBER.RUNNER")
     return strikes.CrashRecord(content, int(number), runner)
 
 
-def _join_key(strike: strikes.CrashRecord) -> str:
-    words = [strike.content, str(strike.number), strike.runner]
-    return _SEPARATOR.join(words)
+def _join_key(crash: strikes.CrashRecord) -> str:
+    fields = [crash.content, str(crash.number), crash.runner]
+    return _SEPARATOR.join(fields)
--- a/packages/daemon/src/martenquay_daemon/quarantine/strikes.py
+++ b/packages/daemon/src/martenquay_daemon/quarantine/strikes.py
@@ -1,11 +1,4 @@
-"""Decide which contents are sent to no runner any more.
-
-A crash ends all that runs at a runner, and one content of it may be at fault.
-The one at fault crashes the next runner as well; what merely ran beside it is
-answered there. So a content collects strikes until it is answered once, and is
-quarantined after three that came one after the other, or after four of which
-some came at the same time.
-"""
+"""Count crashes by request content and decide which to quarantine."""
 
 from __future__ import annotations
 
@@ -18,36 +11,34 @@
 
 __all__ = ["MOST_ROUNDS", "CrashRecord", "CrashTable"]
 
-# Streams that did no harm were seen to end with two runners in 0.7 s, for they
-# were sent on to the one that crashed next. Of 278 that ran on runners which
-# crashed in series, one ended with three.
+# A content is quarantined after this many crashes one after the other. Harmless
+# requests can see two, when they are retried on a runner that crashes next.
 MOST_ROUNDS = 3
-# A request that comes to several daemons at once crashes as many runners a
-# round; three such rounds would be too many. Runners that end at the same
-# moment for a reason of their own are one round, which is no verdict.
-_MOST_RUNNERS = 4
-_LEAST_ROUNDS = 2
-# How long a content is kept out, doubled with each crash after that: a trial
-# costs callers a runner for its boot and all that runs there.
-_HOLD_S = 3600.0
-_LONGEST_HOLD_S = 86_400.0
-# Without a crash for so long a content is forgotten.
-_FORGET_S = 2 * _LONGEST_HOLD_S
-# Each takes 620 bytes of memory, so all 2.5 MB. A runner that ends leaves as
-# many as it has slots: this holds the ends of the last 30 runners of 128 slots.
-_MOST_CONTENTS = 4096
+# A content that reaches several daemons at once crashes several runners in one
+# round. Waiting for a third round would cost too many runners, but one round
+# alone may be an outage of a host or zone.
+_QUARANTINE_CRASHES = 4
+_MIN_ROUNDS = 2
+# Doubled with each further crash, because each trial costs a runner and all
+# requests on it.
+_QUARANTINE_S = 3600.0
+_MAX_QUARANTINE_S = 86_400.0
+# Contents without a crash for this long are dropped.
+_EXPIRY_S = 2 * _MAX_QUARANTINE_S
+# Room for the contents of the last 30 crashes of runners with 128 slots.
+_MAX_CONTENTS = 4096
 
 
 @dataclasses.dataclass(frozen=True)
 class CrashRecord:
-    """A runner that ended under a content.
+    """A runner that ended while it served a content.
 
     Attributes:
         content: The content's digest.
-        number: One more than the latest known when the request was sent, so
-            that runners which end at the same moment, as with a zone or a
-            host, are told from those that end one after the other.
-        runner: The runner that ended.
+        number: One more than the highest number known when the request was
+            sent. Runners that end together, as with their host, have the same
+            number; those that end one after the other have different ones.
+        runner: The runner's id.
     """
 
     content: str
@@ -56,135 +47,149 @@
 
 
 @dataclasses.dataclass
-class _Record:
-    strikes: set[CrashRecord]
-    struck_at: float
+class _ContentCrashes:
+    """The crashes of one content.
+
+    Attributes:
+        crashes: Its crash records.
+        last_crash_at: When this daemon learned of the last one.
+    """
+
+    crashes: set[CrashRecord]
+    last_crash_at: float
 
     def count_rounds(self) -> int:
-        """Return how many came one after the other."""
-        return len({strike.number for strike in self.strikes})
+        """Return how many crashes came one after the other."""
+        return len({crash.number for crash in self.crashes})
 
-    def is_verdict(self) -> bool:
-        """Tell whether the content itself is at fault."""
+    def is_at_fault(self) -> bool:
+        """Return whether the content is the cause of the crashes."""
         rounds = self.count_rounds()
-        is_wide = len(self.strikes) >= _MOST_RUNNERS
-        return rounds >= MOST_ROUNDS or (rounds >= _LEAST_ROUNDS and is_wide)
+        is_wide = len(self.crashes) >= _QUARANTINE_CRASHES
+        return rounds >= MOST_ROUNDS or (rounds >= _MIN_ROUNDS and is_wide)
 
 
 class CrashTable:
-    """Count strikes by content.
+    """The known crash records by content.
+
+    A crash ends all requests at a runner, of which one may be the cause. That
+    one crashes the next runner as well, while the others are answered there.
+    Records are therefore kept until the content is answered once.
 
     Attributes:
-        on_dropped: Told the strikes that are forgotten for their age or for
-            want of room.
+        on_dropped: Called with records that are dropped for their age or
+            because the table is full.
     """
 
     def __init__(
         self,
         read_clock: Callable[[], float],
-        most_contents: int = _MOST_CONTENTS,
+        max_contents: int = _MAX_CONTENTS,
     ) -> None:
         self.on_dropped: Callable[[list[CrashRecord]], None] = _ignore
         self._read_clock = read_clock
-        self._most_contents = most_contents
-        # The one struck last stands last.
-        self._records: collections.OrderedDict[str, _Record] = (
+        self._max_contents = max_contents
+        # Ordered by the last crash, the oldest first.
+        self._contents: collections.OrderedDict[str, _ContentCrashes] = (
             collections.OrderedDict()
         )
 
     def __len__(self) -> int:
-        """Return how many contents have strikes."""
-        return len(self._records)
+        """Return how many contents have crash records."""
+        return len(self._contents)
 
-    def has(self, strike: CrashRecord) -> bool:
-        """Tell whether a strike is known."""
-        record = self._records.get(strike.content)
-        return record is not None and strike in record.strikes
+    def has(self, crash: CrashRecord) -> bool:
+        """Return whether a crash record is known."""
+        known = self._contents.get(crash.content)
+        return known is not None and crash in known.crashes
 
     def count(self, content: str) -> int:
-        """Return the strikes of a content."""
-        record = self._records.get(content)
-        return len(record.strikes) if record else 0
+        """Return the number of a content's crash records."""
+        known = self._contents.get(content)
+        return len(known.crashes) if known else 0
 
     def find_latest(self, content: str) -> int:
-        """Return the highest number of a content's strikes; 0 for none."""
-        record = self._records.get(content)
-        if record is None:
+        """Return the highest number of a content's records; 0 if none."""
+        known = self._contents.get(content)
+        if known is None:
             return 0
-        return max(strike.number for strike in record.strikes)
+        return max(crash.number for crash in known.crashes)
 
     def find_hold(self, content: str) -> float | None:
-        """Return for how long a content is kept out; None if it is not."""
-        record = self._records.get(content)
-        if record is None or not record.is_verdict():
+        """Return the seconds of quarantine left; None if there is none."""
+        known = self._contents.get(content)
+        if known is None or not known.is_at_fault():
             return None
-        doublings = max(0, record.count_rounds() - MOST_ROUNDS)
-        hold_s = min(_HOLD_S * 2**doublings, _LONGEST_HOLD_S)
-        left_s = record.struck_at + hold_s - self._read_clock()
+        doublings = max(0, known.count_rounds() - MOST_ROUNDS)
+        quarantine_s = min(_QUARANTINE_S * 2**doublings, _MAX_QUARANTINE_S)
+        left_s = known.last_crash_at + quarantine_s - self._read_clock()
         return left_s if left_s > 0 else None
 
-    def add(self, strike: CrashRecord) -> bool:
-        """Take a strike; tell whether it is news."""
-        record = self._records.get(strike.content)
-        if record is None:
-            record = _Record(set(), 0.0)
-            self._records[strike.content] = record
-        if strike in record.strikes:
+    def add(self, crash: CrashRecord) -> bool:
+        """Add a crash record; return whether it is new."""
+        known = self._contents.get(crash.content)
+        if known is None:
+            known = _ContentCrashes(set(), 0.0)
+            self._contents[crash.content] = known
+        if crash in known.crashes:
             return False
-        record.strikes.add(strike)
-        record.struck_at = self._read_clock()
-        self._records.move_to_end(strike.content)
-        self._forget_old()
+        known.crashes.add(crash)
+        known.last_crash_at = self._read_clock()
+        self._contents.move_to_end(crash.content)
+        self._drop_old()
         return True
 
-    def take_back(self, strike: CrashRecord) -> None:
-        """Drop one strike."""
-        record = self._records.get(strike.content)
-        if record is None:
+    def remove(self, crash: CrashRecord) -> None:
+        """Remove one crash record."""
+        known = self._contents.get(crash.content)
+        if known is None:
             return
-        record.strikes.discard(strike)
-        if not record.strikes:
-            del self._records[strike.content]
-
-    def clear(self, content: str) -> list[CrashRecord]:
-        """Drop a content, which was answered; return its strikes."""
-        record = self._records.pop(content, None)
-        found = record.strikes if record else ()
-        return sorted(found, key=lambda one: (one.number, one.runner))
-
-    def replace_all(self, strikes: Iterable[CrashRecord]) -> None:
-        """Take the strikes that there are; others are gone."""
-        wanted = set(strikes)
-        known = {
-            strike
-            for record in self._records.values()
-            for strike in record.strikes
+        known.crashes.discard(crash)
+        if not known.crashes:
+            del self._contents[crash.content]
+
+    def remove_content(self, content: str) -> list[CrashRecord]:
+        """Remove all records of a content; return them."""
+        known = self._contents.pop(content, None)
+        crashes = known.crashes if known else ()
+        return sorted(crashes, key=lambda crash: (crash.number, crash.runner))
+
+    def replace_all(self, crashes: Iterable[CrashRecord]) -> None:
+        """Make these records the only ones."""
+        wanted = set(crashes)
+        present = {
+            crash
+            for known in self._contents.values()
+            for crash in known.crashes
         }
-        for strike in known - wanted:
-            self.take_back(strike)
-        for strike in sorted(wanted - known, key=lambda one: one.number):
-            self.add(strike)
+        for crash in present - wanted:
+            self.remove(crash)
+        for crash in sorted(wanted - present, key=lambda crash: crash.number):
+            self.add(crash)
 
-    def _forget_old(self) -> None:
-        oldest = self._read_clock() - _FORGET_S
+    def _drop_old(self) -> None:
+        oldest = self._read_clock() - _EXPIRY_S
         dropped: list[CrashRecord] = []
-        while self._records:
-            content, record = next(iter(self._records.items()))
-            if record.struck_at >= oldest:
+        while self._contents:
+            content, known = next(iter(self._contents.items()))
+            if known.last_crash_at >= oldest:
                 break
-            dropped += self.clear(content)
-        while len(self._records) > self._most_contents:
-            dropped += self.clear(self._choose_least())
+            dropped += self.remove_content(content)
+        while len(self._contents) > self._max_contents:
+            dropped += self.remove_content(self._choose_dropped())
         if dropped:
             self.on_dropped(dropped)
 
-    def _choose_least(self) -> str:
-        """Return the content whose loss costs the fewest runners."""
-        for content, record in self._records.items():
-            if not record.is_verdict():
+    def _choose_dropped(self) -> str:
+        """Return the oldest content that is not found at fault, if any.
+
+        A content at fault that is dropped crashes several runners again.
+        """
+        for content, known in self._contents.items():
+            if not known.is_at_fault():
                 return content
-        return next(iter(self._records))
+        return next(iter(self._contents))
 
 
-def _ignore(strikes: list[CrashRecord]) -> None:
-    del strikes
+def _ignore(crashes: list[CrashRecord]) -> None:
+    del crashes
--- a/tests/test_quarantine/test_strikes.py
+++ b/tests/test_quarantine/test_strikes.py
@@ -46,7 +46,7 @@
     def test_an_answer_takes_all_strikes_back(self) -> None:
         table, _ = _build_table()
         written = [_strike(table, "a") for _ in range(3)]
-        self.assertEqual(written, table.clear("a"))
+        self.assertEqual(written, table.remove_content("a"))
         self.assertIsNone(table.find_hold("a"))
         self.assertEqual(0, len(table))
 
@@ -84,7 +84,7 @@
         table, _ = _build_table()
         first = _strike(table, "a")
         _strike(table, "a")
-        table.take_back(first)
+        table.remove(first)
         for _ in range(2):
             _strike(table, "a")
         self.assertIsNotNone(table.find_hold("a"))
