--- a/tests/test_allowances/test_large_bound.py
+++ b/tests/test_allowances/test_large_bound.py
@@ -1,10 +1,7 @@
-"""In fleets of any size no team gets more than is tolerated.
+"""No team of a large fleet gets more than is tolerated, whatever fails.
 
-A team that asked for 15 times its usual got 3.1 and 3.3% more than the
-operators tolerate on two of seven days with 25 daemons. Above 13 daemons each
-went by sums of what all had spent, told over two hubs and up to a second old,
-and took a part of the room that it believed was left; small fleets had kept
-units that exist once, for there a daemon's part is enough for a request.
+Guards against quota that is spent twice when daemons delegate it to hubs and
+learn of each other late.
 """
 
 from __future__ import annotations
@@ -15,32 +12,34 @@
 
 from tests import allowance_days, allowance_fleet, zone_days
 
-# Seeds by the number of daemons; a day of the largest takes 10 s to play.
+# Seeds by the number of daemons.
 _SEEDS = {25: range(24), 77: range(3), 195: range(1)}
-# So that test runners can spread them over several workers.
+# Separate test classes run on separate workers.
 _PARTS = 4
 
 
-def _find_excess(size: int, seed: int) -> float:
-    """Return the most that was spent on a day, as a part of the bound."""
+def _find_spent_ratio(size: int, seed: int) -> float:
+    """Return the most units spent in a window, as a ratio of the bound."""
     played = zone_days.play_zone_day(zone_days.draw_zone_day(seed, size))
     window_s = allowance_fleet.BOUNDS.window_s
-    most = allowance_days.find_most_spent(played.spent, window_s)
-    return most / allowance_fleet.find_bound()
+    max_spent = allowance_days.find_most_spent(played.spent, window_s)
+    return max_spent / allowance_fleet.find_bound()
 
 
 class _DrawnDays:
-    """A part of the days."""
+    """A part of the simulated days."""
 
     part = 0
 
-    def test_no_order_of_cuts_kills_freezes_joins_and_late_news_exceeds_it(
+    def test_no_sequence_of_faults_exceeds_the_bound(
         self,
     ) -> None:
         days = [(size, seed) for size in _SEEDS for seed in _SEEDS[size]]
-        found = {day: _find_excess(*day) for day in days[self.part :: _PARTS]}
-        broken = {day: part for day, part in found.items() if part > 1}
-        self.assertEqual({}, broken)
+        ratios = {
+            day: _find_spent_ratio(*day) for day in days[self.part :: _PARTS]
+        }
+        exceeded = {day: ratio for day, ratio in ratios.items() if ratio > 1}
+        self.assertEqual({}, exceeded)
 
 
 class LargeBoundTest(_DrawnDays, testtools.TestCase):
@@ -60,7 +59,7 @@
 
 
 class UsedRoomTest(testtools.TestCase):
-    """The bound is not kept by refusing what the team is owed."""
+    """Teams within their allowance are not refused to keep the bound."""
 
     def _play(self, seed: int, demand: float) -> allowance_days.Played:
         day = zone_days.draw_zone_day(seed, 25)
@@ -68,11 +67,11 @@
             dataclasses.replace(day, troubles=(), demand=demand)
         )
 
-    def test_a_greedy_team_gets_its_rate_in_a_fleet_without_trouble(
+    def test_an_overloading_team_gets_its_rate_in_a_healthy_fleet(
         self,
     ) -> None:
         spent = self._play(0, 6.0).spent
-        units = sum(one for at_s, one in spent if at_s >= 14.0)
+        units = sum(amount for at_s, amount in spent if at_s >= 14.0)
         self.assertGreater(units / 10.0, 0.85 * allowance_fleet.TEAM.rate)
 
     def test_a_team_at_half_its_rate_is_refused_long_prompts_only(self) -> None:
--- a/tests/test_allowances/test_quota_ledger.py
+++ b/tests/test_allowances/test_quota_ledger.py
@@ -1,4 +1,4 @@
-"""A daemon spends what is there, and says what others may have."""
+"""The quota ledger spends, transfers and redirects; the gate decides."""
 
 from __future__ import annotations
 
@@ -22,73 +22,77 @@
 _LIFE_S = _BOUNDS.find_unit_life(_TEAM)
 
 
-async def _fill(units: quota_ledger.QuotaLedger) -> None:
-    """Let a lifetime pass, in which the units come that there may be."""
-    units.refill([_TEAM])
+async def _fill(ledger: quota_ledger.QuotaLedger) -> None:
+    """Refill the ledger to its capacity."""
+    ledger.refill([_TEAM])
     await trio.sleep(_LIFE_S)
-    units.refill([_TEAM])
+    ledger.refill([_TEAM])
 
 
 def _count_admitted(
-    units: quota_ledger.QuotaLedger, wish: terms.AdmissionRequest
+    ledger: quota_ledger.QuotaLedger, request: terms.AdmissionRequest
 ) -> int:
-    """Ask until it is refused; return how often it was not."""
+    """Spend until refused; return how many requests were admitted."""
     count = 0
-    while isinstance(units.try_spend(_TEAM, wish), terms.Admitted):
+    while isinstance(ledger.try_spend(_TEAM, request), terms.Admitted):
         count += 1
     return count
 
 
-class EscrowLedgerTest(clocked.ClockedTestCase):
-    def test_no_more_is_spent_than_a_lifetime_has_minted(self) -> None:
+class QuotaLedgerTest(clocked.ClockedTestCase):
+    def test_no_more_is_spent_than_a_lifetime_refills(self) -> None:
         async def scenario() -> None:
-            units = allowance_fleet.build_escrow()
-            await _fill(units)
-            count = _count_admitted(units, terms.AdmissionRequest(100.0))
+            ledger = allowance_fleet.build_escrow()
+            await _fill(ledger)
+            count = _count_admitted(ledger, terms.AdmissionRequest(100.0))
             self.assertLessEqual(100.0 * count, _RATE * _LIFE_S)
             self.assertGreater(100.0 * count, 0.8 * _RATE * _LIFE_S)
 
         self.run_clocked(scenario)
 
-    def test_a_steady_rate_is_never_less_than_the_teams(self) -> None:
+    def test_the_refill_rate_reaches_the_teams_rate_within_the_bounds(
+        self,
+    ) -> None:
         for rate, burst in ((46_000.0, 46_000.0), (100.0, 10.0), (5.0, 500.0)):
             team = builders.build_team(rate=rate, burst=burst)
             for overrun, slack in ((0.1, 72_000.0), (0.1, 0.0)):
                 bounds = terms.ToleranceBounds(8.0, overrun, slack)
-                minted = bounds.find_refill_rate(team)
-                self.assertGreater(minted, 0.95 * rate)
+                refill_rate = bounds.find_refill_rate(team)
+                self.assertGreater(refill_rate, 0.95 * rate)
                 span_s = 8.0 + bounds.find_unit_life(team)
-                most = minted * span_s + bounds.find_max_overdraft()
+                max_spent = refill_rate * span_s + bounds.find_max_overdraft()
                 allowance = rate * 8.0 + burst
-                self.assertLess(most, allowance * (1 + overrun) + slack)
+                self.assertLess(max_spent, allowance * (1 + overrun) + slack)
 
-    def test_a_process_that_starts_anew_owes_nothing_for_a_window(self) -> None:
+    def test_a_restarted_process_overdraws_nothing_for_a_window(self) -> None:
         async def scenario() -> None:
-            units = allowance_fleet.build_escrow()
-            await _fill(units)
-            _count_admitted(units, terms.AdmissionRequest(100.0))
+            ledger = allowance_fleet.build_escrow()
+            await _fill(ledger)
+            _count_admitted(ledger, terms.AdmissionRequest(100.0))
             self.assertIsInstance(
-                units.try_spend(_TEAM, terms.AdmissionRequest(8_000.0)),
+                ledger.try_spend(_TEAM, terms.AdmissionRequest(8_000.0)),
                 terms.Refused,
             )
             await trio.sleep(_BOUNDS.window_s)
-            units.refill([_TEAM])
+            ledger.refill([_TEAM])
             large = terms.AdmissionRequest(_RATE * _LIFE_S + 20_000.0)
-            self.assertIsInstance(units.try_spend(_TEAM, large), terms.Admitted)
-            self.assertGreater(units.describe(_TEAM.name).owed, 10_000.0)
+            self.assertIsInstance(
+                ledger.try_spend(_TEAM, large), terms.Admitted
+            )
+            self.assertGreater(ledger.describe(_TEAM.name).owed, 10_000.0)
 
         self.run_clocked(scenario)
 
-    def test_a_request_that_is_late_leaves_units_to_those_on_time(self) -> None:
+    def test_late_requests_leave_quota_to_requests_on_time(self) -> None:
         async def scenario() -> None:
-            units = allowance_fleet.build_escrow()
-            await _fill(units)
-            # More is asked for than comes.
-            units.try_spend(_TEAM, terms.AdmissionRequest(2 * _RATE))
+            ledger = allowance_fleet.build_escrow()
+            await _fill(ledger)
+            # Demand above the refill rate.
+            ledger.try_spend(_TEAM, terms.AdmissionRequest(2 * _RATE))
             late = _count_admitted(
-                units, terms.AdmissionRequest(500.0, is_late=True)
+                ledger, terms.AdmissionRequest(500.0, is_late=True)
             )
-            on_time = _count_admitted(units, terms.AdmissionRequest(500.0))
+            on_time = _count_admitted(ledger, terms.AdmissionRequest(500.0))
             self.assertGreater(late, 10)
             self.assertGreater(on_time, 0.8 * late)
 
@@ -98,262 +102,284 @@
         self,
     ) -> None:
         async def scenario() -> None:
-            units = allowance_fleet.build_escrow()
-            await _fill(units)
-            units.try_spend(
+            ledger = allowance_fleet.build_escrow()
+            await _fill(ledger)
+            ledger.try_spend(
                 _TEAM, terms.AdmissionRequest(0.6 * _RATE * _LIFE_S)
             )
             await trio.sleep(0.8)
-            wish = terms.AdmissionRequest(200.0, is_late=True)
-            self.assertIsInstance(units.try_spend(_TEAM, wish), terms.Admitted)
+            request = terms.AdmissionRequest(200.0, is_late=True)
+            self.assertIsInstance(
+                ledger.try_spend(_TEAM, request), terms.Admitted
+            )
 
         self.run_clocked(scenario)
 
-    def test_what_is_given_is_gone_here_and_ends_there_in_time(self) -> None:
+    def test_transferred_quota_leaves_the_sender_and_still_expires(
+        self,
+    ) -> None:
         async def scenario() -> None:
-            giver = allowance_fleet.build_escrow(0.5)
+            sender = allowance_fleet.build_escrow(0.5)
             receiver = allowance_fleet.build_escrow(0.0)
             receiver.refill([_TEAM])
-            await _fill(giver)
-            told_at = trio.current_time()
-            there = giver.describe(_TEAM.name).there
-            holding = sharing.QuotaBalance(0.0, 20_000.0)
-            giver.apply_balances("b", 7, {_TEAM.name: holding})
-            gift = giver.create_transfers([_TEAM])["b"]
-            given = sum(units for units, _ in gift.parcels[_TEAM.name])
-            self.assertEqual(7, gift.heard)
+            await _fill(sender)
+            sent_at = trio.current_time()
+            available = sender.describe(_TEAM.name).there
+            balance = sharing.QuotaBalance(0.0, 20_000.0)
+            sender.apply_balances("b", 7, {_TEAM.name: balance})
+            transfer = sender.create_transfers([_TEAM])["b"]
+            transferred = sum(
+                units for units, _ in transfer.parcels[_TEAM.name]
+            )
+            self.assertEqual(7, transfer.heard)
+            self.assertAlmostEqual(
+                available - transferred, sender.describe(_TEAM.name).there
+            )
+            receiver.accept_transfer(transfer, sent_at)
             self.assertAlmostEqual(
-                there - given, giver.describe(_TEAM.name).there
+                transferred, receiver.describe(_TEAM.name).there
             )
-            receiver.accept_transfer(gift, told_at)
-            self.assertAlmostEqual(given, receiver.describe(_TEAM.name).there)
             await trio.sleep(_LIFE_S)
             receiver.refill([_TEAM])
             self.assertEqual(0.0, receiver.describe(_TEAM.name).there)
 
         self.run_clocked(scenario)
 
-    def test_a_gift_that_was_long_on_its_way_is_of_no_use(self) -> None:
+    def test_a_transfer_that_arrives_after_its_expiry_adds_nothing(
+        self,
+    ) -> None:
         async def scenario() -> None:
             receiver = allowance_fleet.build_escrow(0.0)
             receiver.refill([_TEAM])
-            told_at = trio.current_time()
+            sent_at = trio.current_time()
             await trio.sleep(2.0)
             receiver.accept_transfer(
                 quota_ledger.QuotaTransfer(1, {_TEAM.name: [(900.0, 0.9)]}),
-                told_at,
+                sent_at,
             )
             self.assertEqual(0.0, receiver.describe(_TEAM.name).there)
 
         self.run_clocked(scenario)
 
-    def test_daemons_that_are_not_heard_are_given_nothing(self) -> None:
+    def test_no_quota_is_transferred_to_silent_daemons(self) -> None:
         async def scenario() -> None:
-            giver = allowance_fleet.build_escrow(0.5)
-            await _fill(giver)
-            giver.apply_balances(
+            sender = allowance_fleet.build_escrow(0.5)
+            await _fill(sender)
+            sender.apply_balances(
                 "b", 1, {_TEAM.name: sharing.QuotaBalance(0.0, 20_000.0)}
             )
             await trio.sleep(1.5)
-            self.assertEqual({}, giver.create_transfers([_TEAM]))
+            self.assertEqual({}, sender.create_transfers([_TEAM]))
 
         self.run_clocked(scenario)
 
-    def test_callers_refused_together_are_called_back_one_by_one(self) -> None:
+    def test_callers_refused_together_get_increasing_retry_delays(self) -> None:
         async def scenario() -> None:
-            units = allowance_fleet.build_escrow()
-            units.refill([_TEAM])
-            waits = [units.schedule_retry(_TEAM, 10_000.0) for _ in range(8)]
-            self.assertEqual(sorted(waits), waits)
-            self.assertGreater(waits[7], waits[0] + 1.0)
-            self.assertLessEqual(waits[7], 4.0)
+            ledger = allowance_fleet.build_escrow()
+            ledger.refill([_TEAM])
+            delays = [ledger.schedule_retry(_TEAM, 10_000.0) for _ in range(8)]
+            self.assertEqual(sorted(delays), delays)
+            self.assertGreater(delays[7], delays[0] + 1.0)
+            self.assertLessEqual(delays[7], 4.0)
 
         self.run_clocked(scenario)
 
-    def test_a_smaller_part_counts_for_the_time_since_it_was_larger(
+    def test_a_reduced_share_applies_since_the_last_refill(
         self,
     ) -> None:
         async def scenario() -> None:
-            parts = [0.5]
-            mint_rights = refill_shares.RefillShares(
-                lambda: refill_shares.RateShare(parts[0], -math.inf),
+            shares = [0.5]
+            share_tracker = refill_shares.RefillShares(
+                lambda: refill_shares.RateShare(shares[0], -math.inf),
                 _BOUNDS.window_s,
             )
-            units = quota_ledger.create_quota_ledger(
-                _BOUNDS, mint_rights, lambda: None
+            ledger = quota_ledger.create_quota_ledger(
+                _BOUNDS, share_tracker, lambda: None
             )
-            units.refill([_TEAM])
+            ledger.refill([_TEAM])
             await trio.sleep(0.4)
-            parts[0] = 0.25
-            units.refill([_TEAM])
+            shares[0] = 0.25
+            ledger.refill([_TEAM])
             self.assertAlmostEqual(
-                0.4 * 0.25 * _RATE, units.describe(_TEAM.name).there, delta=1.0
+                0.4 * 0.25 * _RATE, ledger.describe(_TEAM.name).there, delta=1.0
             )
 
         self.run_clocked(scenario)
 
 
-class _FarKeeper:
-    """Implement `gate.QuotaHolders` with one answer."""
+class _RemoteHub:
+    """Implements `gate.QuotaHolders` with one decision."""
 
-    def __init__(self, answer: terms.AdmissionDecision | None) -> None:
+    def __init__(self, decision: terms.AdmissionDecision | None) -> None:
         self.asked: list[tuple[str, terms.AdmissionRequest]] = []
-        self._answer = answer
+        self._decision = decision
 
     def holds_quota_here(self) -> bool:
-        """Tell that this daemon does not."""
+        """Return False: a hub holds the quota."""
         return False
 
     async def ask(
-        self, team: str, wish: terms.AdmissionRequest
+        self, team: str, request: terms.AdmissionRequest
     ) -> terms.AdmissionDecision | None:
-        """Return the answer."""
-        self.asked.append((team, wish))
-        return self._answer
+        """Return the decision."""
+        self.asked.append((team, request))
+        return self._decision
 
     async def ask_address(
-        self, address: str, team: str, wish: terms.AdmissionRequest
+        self, address: str, team: str, request: terms.AdmissionRequest
     ) -> terms.AdmissionDecision | None:
-        """Return the answer."""
-        self.asked.append((address, wish))
-        return self._answer
+        """Return the decision."""
+        self.asked.append((address, request))
+        return self._decision
 
 
 class AllowanceGateTest(clocked.ClockedTestCase):
     def _build(
         self,
-        units: quota_ledger.QuotaLedger,
-        keepers: gate.QuotaHolders | None = None,
+        ledger: quota_ledger.QuotaLedger,
+        holders: gate.QuotaHolders | None = None,
     ) -> gate.AllowanceGate:
-        keepers = keepers or allowance_fleet.OwnKeeper()
-        return gate.create_gate(units, keepers)
+        holders = holders or allowance_fleet.OwnKeeper()
+        return gate.create_gate(ledger, holders)
 
-    def test_a_request_waits_a_moment_for_units_of_others(self) -> None:
+    def test_a_request_waits_for_a_transfer(self) -> None:
         async def scenario() -> None:
-            units = allowance_fleet.build_escrow(0.0)
-            units.refill([_TEAM])
-            one = self._build(units)
-            units.apply_balances(
+            ledger = allowance_fleet.build_escrow(0.0)
+            ledger.refill([_TEAM])
+            quota_gate = self._build(ledger)
+            ledger.apply_balances(
                 "b", 1, {_TEAM.name: sharing.QuotaBalance(9_000.0, 0.0)}
             )
-            told_at = trio.current_time()
-            answers: list[bool] = []
+            sent_at = trio.current_time()
+            decisions: list[bool] = []
 
             async def ask() -> None:
-                answer = await one.acquire(_TEAM, terms.AdmissionRequest(500.0))
-                answers.append(answer.is_admitted)
+                decision = await quota_gate.acquire(
+                    _TEAM, terms.AdmissionRequest(500.0)
+                )
+                decisions.append(decision.is_admitted)
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(ask)
                 await trio.sleep(0.08)
-                needed = units.list_holdings()[_TEAM.name].needed
+                needed = ledger.list_holdings()[_TEAM.name].needed
                 self.assertAlmostEqual(500.0, needed)
-                gift = quota_ledger.QuotaTransfer(
+                transfer = quota_ledger.QuotaTransfer(
                     1, {_TEAM.name: [(600.0, 0.9)]}
                 )
-                units.accept_transfer(gift, told_at)
-            self.assertEqual([True], answers)
-            self.assertEqual(0.0, units.list_holdings()[_TEAM.name].needed)
+                ledger.accept_transfer(transfer, sent_at)
+            self.assertEqual([True], decisions)
+            self.assertEqual(0.0, ledger.list_holdings()[_TEAM.name].needed)
 
         self.run_clocked(scenario)
 
-    def test_a_request_is_refused_when_no_units_come(self) -> None:
+    def test_a_request_is_refused_when_no_transfer_arrives(self) -> None:
         async def scenario() -> None:
-            units = allowance_fleet.build_escrow(0.0)
-            units.refill([_TEAM])
-            one = self._build(units)
-            units.apply_balances(
+            ledger = allowance_fleet.build_escrow(0.0)
+            ledger.refill([_TEAM])
+            quota_gate = self._build(ledger)
+            ledger.apply_balances(
                 "b", 1, {_TEAM.name: sharing.QuotaBalance(9_000.0, 0.0)}
             )
             started = trio.current_time()
-            answer = await one.acquire(_TEAM, terms.AdmissionRequest(500.0))
-            self.assertGreater(answer.retry_s, 0.0)
+            decision = await quota_gate.acquire(
+                _TEAM, terms.AdmissionRequest(500.0)
+            )
+            self.assertGreater(decision.retry_s, 0.0)
             self.assertLessEqual(trio.current_time() - started, 0.21)
 
         self.run_clocked(scenario)
 
-    def test_a_request_is_refused_at_once_when_nobody_has_units(self) -> None:
+    def test_a_request_is_refused_at_once_when_no_daemon_holds_quota(
+        self,
+    ) -> None:
         async def scenario() -> None:
-            units = allowance_fleet.build_escrow(0.0)
-            units.refill([_TEAM])
-            one = self._build(units)
-            units.apply_balances(
+            ledger = allowance_fleet.build_escrow(0.0)
+            ledger.refill([_TEAM])
+            quota_gate = self._build(ledger)
+            ledger.apply_balances(
                 "b", 1, {_TEAM.name: sharing.QuotaBalance(10.0, 0.0)}
             )
             started = trio.current_time()
-            answer = await one.acquire(_TEAM, terms.AdmissionRequest(500.0))
-            self.assertGreater(answer.retry_s, 0.0)
+            decision = await quota_gate.acquire(
+                _TEAM, terms.AdmissionRequest(500.0)
+            )
+            self.assertGreater(decision.retry_s, 0.0)
             self.assertEqual(started, trio.current_time())
 
         self.run_clocked(scenario)
 
-    def test_a_daemon_that_keeps_none_has_its_keeper_decide(self) -> None:
+    def test_a_daemon_without_quota_has_a_hub_decide(self) -> None:
         async def scenario() -> None:
-            units = allowance_fleet.build_escrow()
-            await _fill(units)
-            keeper = _FarKeeper(terms.AdmissionDecision(0.7, kept_at="hub"))
-            one = self._build(units, keeper)
-            answer = await one.acquire(_TEAM, terms.AdmissionRequest(500.0))
-            self.assertEqual(0.7, answer.retry_s)
+            ledger = allowance_fleet.build_escrow()
+            await _fill(ledger)
+            hub = _RemoteHub(terms.AdmissionDecision(0.7, kept_at="hub"))
+            quota_gate = self._build(ledger, hub)
+            decision = await quota_gate.acquire(
+                _TEAM, terms.AdmissionRequest(500.0)
+            )
+            self.assertEqual(0.7, decision.retry_s)
             self.assertEqual(
-                [(_TEAM.name, terms.AdmissionRequest(500.0))], keeper.asked
+                [(_TEAM.name, terms.AdmissionRequest(500.0))], hub.asked
             )
 
         self.run_clocked(scenario)
 
-    def test_a_keeper_waits_for_parts_that_are_yet_to_be_lent(self) -> None:
+    def test_a_hub_waits_for_shares_that_are_yet_to_be_delegated(self) -> None:
         async def scenario() -> None:
-            parts = [0.0]
-            mint_rights = refill_shares.RefillShares(
-                lambda: refill_shares.RateShare(parts[0], -math.inf),
+            shares = [0.0]
+            share_tracker = refill_shares.RefillShares(
+                lambda: refill_shares.RateShare(shares[0], -math.inf),
                 _BOUNDS.window_s,
             )
-            units = quota_ledger.create_quota_ledger(
-                _BOUNDS, mint_rights, lambda: None
+            ledger = quota_ledger.create_quota_ledger(
+                _BOUNDS, share_tracker, lambda: None
             )
-            units.refill([_TEAM])
-            one = self._build(units)
-            one.lacks_shares = lambda: parts[0] == 0.0
-            answers: list[terms.AdmissionDecision] = []
+            ledger.refill([_TEAM])
+            quota_gate = self._build(ledger)
+            quota_gate.lacks_shares = lambda: shares[0] == 0.0
+            decisions: list[terms.AdmissionDecision] = []
 
             async def ask() -> None:
-                wish = terms.AdmissionRequest(500.0, max_wait_s=1.0)
-                answers.append(await one.acquire(_TEAM, wish))
+                request = terms.AdmissionRequest(500.0, max_wait_s=1.0)
+                decisions.append(await quota_gate.acquire(_TEAM, request))
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(ask)
                 await trio.sleep(0.4)
-                self.assertEqual([], answers)
-                parts[0] = 1.0
+                self.assertEqual([], decisions)
+                shares[0] = 1.0
                 await trio.sleep(0.2)
-            self.assertTrue(answers[0].is_admitted)
-            # It is not held for longer than it may wait.
-            parts[0] = 0.0
-            units.try_spend(_TEAM, terms.AdmissionRequest(10 * _RATE))
+            self.assertTrue(decisions[0].is_admitted)
+            # A request waits no longer than its `max_wait_s`.
+            shares[0] = 0.0
+            ledger.try_spend(_TEAM, terms.AdmissionRequest(10 * _RATE))
             started = trio.current_time()
-            wish = terms.AdmissionRequest(9 * _RATE, max_wait_s=0.3)
-            answer = await one.acquire(_TEAM, wish)
-            self.assertFalse(answer.is_admitted)
+            request = terms.AdmissionRequest(9 * _RATE, max_wait_s=0.3)
+            decision = await quota_gate.acquire(_TEAM, request)
+            self.assertFalse(decision.is_admitted)
             self.assertLess(trio.current_time() - started, 0.4)
 
         self.run_clocked(scenario)
 
-    def test_what_is_here_decides_when_no_keeper_answers(self) -> None:
+    def test_local_quota_decides_when_no_hub_answers(self) -> None:
         async def scenario() -> None:
-            units = allowance_fleet.build_escrow()
-            await _fill(units)
-            one = self._build(units, _FarKeeper(None))
-            answer = await one.acquire(_TEAM, terms.AdmissionRequest(500.0))
-            self.assertTrue(answer.is_admitted)
+            ledger = allowance_fleet.build_escrow()
+            await _fill(ledger)
+            quota_gate = self._build(ledger, _RemoteHub(None))
+            decision = await quota_gate.acquire(
+                _TEAM, terms.AdmissionRequest(500.0)
+            )
+            self.assertTrue(decision.is_admitted)
 
         self.run_clocked(scenario)
 
     def test_a_team_without_a_rate_is_never_refused(self) -> None:
         async def scenario() -> None:
-            units = allowance_fleet.build_escrow(0.0)
-            one = self._build(units)
-            wish = terms.AdmissionRequest(1e9)
-            answer = await one.acquire(builders.build_team(), wish)
-            self.assertTrue(answer.is_admitted)
+            ledger = allowance_fleet.build_escrow(0.0)
+            quota_gate = self._build(ledger)
+            request = terms.AdmissionRequest(1e9)
+            decision = await quota_gate.acquire(builders.build_team(), request)
+            self.assertTrue(decision.is_admitted)
 
         self.run_clocked(scenario)
