--- a/tests/crash_fleet.py
+++ b/tests/crash_fleet.py
@@ -1,4 +1,4 @@
-"""Run several daemons with one log before runners that a request crashes."""
+"""Run daemons that share a log and runners that one request crashes."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def build_request(path: bytes, number: int = 0) -> bytes:
-    """Return a request; the number tells one try of it from the next."""
+    """Return a request; retries differ in their number."""
     return (
         b"POST %s HTTP/1.1\r\nhost: desk.example\r\nattempt-id: call-%d\r\n"
         b"deadline-ms: 5000\r\ncontent-length: 5\r\n\r\nhello" % (path, number)
@@ -39,12 +39,12 @@
 
 
 class CrashFleet:
-    """Daemons that share a log and runners, and nothing else.
+    """Daemons that share nothing but a log and runners.
 
     Attributes:
         log: The platform's log.
-        runners: All runners; they do not come back.
-        daemons: Those that were started.
+        runners: All runners; those that end are not restarted.
+        daemons: The started daemons.
     """
 
     def __init__(self, nursery: trio.Nursery) -> None:
@@ -58,13 +58,13 @@
         return sum(runner.has_ended for runner in self.runners)
 
     async def add_runner(self) -> None:
-        """Start a runner; daemons that are started later know it."""
+        """Start a runner that daemons started later use."""
         runner = scripted.ScriptedRunner([_STREAM], LETHAL)
         await self._nursery.start(runner.run)
         self.runners.append(runner)
 
     async def start_daemon(self) -> serving_scene.Scene:
-        """Start a daemon that knows nothing but what the log says."""
+        """Start a daemon that reads crash records from the log."""
         route = builders.build_route(
             kind=catalog.CallKind.STREAM, is_resumable=True, max_attempts=2
         )
@@ -80,7 +80,7 @@
 
 @contextlib.asynccontextmanager
 async def open_fleet(daemons: int, runners: int) -> AsyncIterator[CrashFleet]:
-    """Run so many daemons before so many runners."""
+    """Run a fleet of so many daemons and runners."""
     async with trio.open_nursery() as nursery:
         fleet = CrashFleet(nursery)
         for _ in range(runners):
--- a/tests/test_quarantine/test_contents.py
+++ b/tests/test_quarantine/test_contents.py
@@ -1,4 +1,4 @@
-"""A content has one name, and another content another."""
+"""Retries of a content have one digest, other contents have others."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 
 class ContentTest(testtools.TestCase):
-    def test_what_changes_between_tries_does_not_count(self) -> None:
+    def test_ids_deadlines_and_headers_do_not_change_the_digest(self) -> None:
         first = _digest(id="call-1", key="key-1", budget_s=4.0)
-        again = _digest(
+        retry = _digest(
             id="call-2",
             key="key-2",
             budget_s=1.0,
             resume_after=7,
             headers=[(b"host", b"desk.example"), (b"x", b"y")],
         )
-        self.assertEqual(first, again)
+        self.assertEqual(first, retry)
 
-    def test_path_query_method_host_and_body_count(self) -> None:
+    def test_path_query_method_host_and_body_change_the_digest(self) -> None:
         digests = {
             _digest(),
             _digest(target="/lookup/8"),
@@ -38,16 +38,18 @@
         }
         self.assertEqual(7, len(digests))
 
-    def test_the_same_of_another_team_is_another_content(self) -> None:
+    def test_the_same_request_of_another_team_has_another_digest(self) -> None:
         call = builders.build_call()
-        others = {
+        digests = {
             contents.digest_content(call, _TEAM),
             contents.digest_content(call, builders.build_team(name="drivers")),
             contents.digest_content(call, None),
         }
-        self.assertEqual(3, len(others))
+        self.assertEqual(3, len(digests))
 
-    def test_what_moves_from_one_part_to_the_next_is_seen(self) -> None:
+    def test_text_moved_from_one_part_to_the_next_changes_the_digest(
+        self,
+    ) -> None:
         one = _digest(host="desk.examplea", target="/lookup/7")
         other = _digest(host="desk.example", target="a/lookup/7")
         self.assertNotEqual(one, other)
--- a/tests/test_quarantine/test_evidence.py
+++ b/tests/test_quarantine/test_evidence.py
@@ -1,4 +1,4 @@
-"""Only a machine's own word says that a runner has ended."""
+"""Only a refused connection shows that a runner has ended."""
 
 from __future__ import annotations
 
@@ -14,27 +14,29 @@
 
 class EvidenceTest(testtools.TestCase):
     def test_a_runner_that_listens_has_not_ended(self) -> None:
-        self.assertFalse(trio.run(self._ask, True))
+        self.assertFalse(trio.run(self._check, True))
 
     def test_a_runner_that_refuses_connections_has_ended(self) -> None:
-        self.assertTrue(trio.run(self._ask, False))
+        self.assertTrue(trio.run(self._check, False))
 
-    def test_silence_is_no_evidence(self) -> None:
-        async def ask() -> bool:
+    def test_a_timeout_is_no_evidence(self) -> None:
+        async def check() -> bool:
             with trio.fail_after(_HANG_S):
-                # No machine has this address, so none says a word.
+                # A reserved address, so connections time out.
                 return await evidence.has_ended("240.0.0.1:9")
 
-        self.assertFalse(trio.run(ask))
+        self.assertFalse(trio.run(check))
 
-    async def _ask(self, listens: bool) -> bool:
+    async def _check(self, listens: bool) -> bool:
         with trio.fail_after(_HANG_S):
             async with trio.open_nursery() as nursery:
-                found = runner.ScriptedRunner([runner.Script(is_held=True)])
-                await nursery.start(found.run)
+                scripted_runner = runner.ScriptedRunner(
+                    [runner.Script(is_held=True)]
+                )
+                await nursery.start(scripted_runner.run)
                 if not listens:
-                    found.stop_listening()
+                    scripted_runner.stop_listening()
                     await trio.testing.wait_all_tasks_blocked()
-                result = await evidence.has_ended(found.address)
+                result = await evidence.has_ended(scripted_runner.address)
                 nursery.cancel_scope.cancel()
         return result
--- a/tests/test_quarantine/test_manager.py
+++ b/tests/test_quarantine/test_manager.py
@@ -1,4 +1,4 @@
-"""Every daemon knows of a crash within the contact time, or reads it later."""
+"""All daemons learn of a crash in time, also after log outages."""
 
 from __future__ import annotations
 
@@ -14,24 +14,26 @@
 
 _TOPIC = builders.TOPICS.strikes
 _CRASH = records.Crash("desk", "lookup")
-# The shortest that any deployment gives.
+# The shortest contact time of any deployment.
 _CONTACT_S = 3.0
-# As a large fleet reads.
-_PACE = keyed_follower.ReadSchedule(wait_s=30.0, rest_s=0.3)
+# The schedule of a large fleet.
+_SCHEDULE = keyed_follower.ReadSchedule(wait_s=30.0, rest_s=0.3)
 
 
-class DeskTest(clocked.ClockedTestCase):
+class QuarantineManagerTest(clocked.ClockedTestCase):
     def setUp(self) -> None:
         super().setUp()
         self.log = log.MemoryLog()
 
-    def test_a_fleet_of_any_size_knows_within_the_contact_time(self) -> None:
+    def test_a_fleet_of_any_size_learns_of_crashes_within_the_contact_time(
+        self,
+    ) -> None:
         for size in (2, 25, 195):
             with self.subTest(size=size):
                 self.log = log.MemoryLog()
-                self.run_clocked(lambda size=size: self._tell_fleet(size))
+                self.run_clocked(lambda size=size: self._check_fleet(size))
 
-    async def _tell_fleet(self, size: int) -> None:
+    async def _check_fleet(self, size: int) -> None:
         async with trio.open_nursery() as nursery:
             fleet = [self._start(nursery) for _ in range(size)]
             await trio.sleep(1.0)
@@ -46,29 +48,29 @@
             )
             nursery.cancel_scope.cancel()
 
-    def test_all_that_start_anew_at_once_know_it(self) -> None:
+    def test_daemons_that_restart_together_read_the_records(self) -> None:
         async def scenario() -> None:
             async with trio.open_nursery() as nursery:
-                before = self._start(nursery)
-                self._strike_out(before, "a")
+                former = self._start(nursery)
+                self._quarantine(former, "a")
                 await trio.sleep(_CONTACT_S)
                 nursery.cancel_scope.cancel()
             async with trio.open_nursery() as nursery:
-                after = [self._start(nursery) for _ in range(6)]
+                restarted = [self._start(nursery) for _ in range(6)]
                 await trio.sleep(0.1)
-                for one in after:
+                for one in restarted:
                     self.assertIsNotNone(one.find_hold("a"))
                 nursery.cancel_scope.cancel()
 
         self.run_clocked(scenario)
 
-    def test_a_log_that_was_away_gets_what_was_found_meanwhile(self) -> None:
+    def test_records_are_written_after_a_log_outage(self) -> None:
         async def scenario() -> None:
             async with trio.open_nursery() as nursery:
                 finder, other = self._start(nursery), self._start(nursery)
                 await trio.sleep(1.0)
                 self.log.faults.is_down = True
-                self._strike_out(finder, "a")
+                self._quarantine(finder, "a")
                 self.assertIsNotNone(finder.find_hold("a"))
                 await trio.sleep(20.0)
                 self.assertIsNone(other.find_hold("a"))
@@ -79,7 +81,7 @@
 
         self.run_clocked(scenario)
 
-    def test_a_lost_answer_of_the_log_changes_nothing(self) -> None:
+    def test_a_lost_response_of_the_log_adds_no_second_crash(self) -> None:
         async def scenario() -> None:
             async with trio.open_nursery() as nursery:
                 finder, other = self._start(nursery), self._start(nursery)
@@ -93,12 +95,12 @@
 
         self.run_clocked(scenario)
 
-    def test_a_log_that_forgets_its_records_keeps_the_strikes(self) -> None:
+    def test_records_survive_a_log_that_drops_its_history(self) -> None:
         async def scenario() -> None:
             async with trio.open_nursery() as nursery:
                 finder = self._start(nursery)
                 await trio.sleep(1.0)
-                self._strike_out(finder, "a")
+                self._quarantine(finder, "a")
                 await trio.sleep(1.0)
                 self.log.forget(_TOPIC)
                 late = self._start(nursery)
@@ -108,7 +110,7 @@
 
         self.run_clocked(scenario)
 
-    def test_an_answer_anywhere_frees_the_content_everywhere(self) -> None:
+    def test_an_answer_at_one_daemon_ends_the_quarantine_at_all(self) -> None:
         async def scenario() -> None:
             async with trio.open_nursery() as nursery:
                 finder, other = self._start(nursery), self._start(nursery)
@@ -126,7 +128,7 @@
 
         self.run_clocked(scenario)
 
-    def test_an_answer_that_overtakes_its_strike_ends_it_in_the_log(
+    def test_an_answer_during_the_write_removes_the_record_from_the_log(
         self,
     ) -> None:
         async def scenario() -> None:
@@ -145,7 +147,7 @@
 
         self.run_clocked(scenario)
 
-    def test_foreign_records_name_no_strike_and_the_others_hold(self) -> None:
+    def test_invalid_records_are_ignored_and_valid_ones_apply(self) -> None:
         async def scenario() -> None:
             self.log.put(_TOPIC, "a.x.r", b"1")
             self.log.put(_TOPIC, "b", b"\xff")
@@ -161,7 +163,7 @@
 
         self.run_clocked(scenario)
 
-    def test_a_strike_is_told_with_all_that_it_rests_on(self) -> None:
+    def test_each_daemon_logs_a_crash_with_its_origin(self) -> None:
         async def scenario() -> None:
             async with trio.open_nursery() as nursery:
                 finder, other = self._start(nursery), self._start(nursery)
@@ -169,32 +171,32 @@
                 with mock.patch.object(manager, "_LOG") as lines:
                     finder.note_crash("a", 0, "runner-1", _CRASH)
                     await trio.sleep(1.0)
-                told = [call.kwargs for call in lines.write.call_args_list]
+                fields = [call.kwargs for call in lines.write.call_args_list]
                 self.assertEqual(
                     ["this daemon", "log offset 0"],
-                    [line["found_at"] for line in told],
+                    [line["found_at"] for line in fields],
                 )
-                for line in told:
-                    # It names the daemon in each line.
+                for line in fields:
+                    # The log adds the daemon's name to each line.
                     self.assertNotIn("source", line)
                     self.assertEqual("a", line["content"])
-                self.assertEqual("runner-1", told[0]["runner"])
+                self.assertEqual("runner-1", fields[0]["runner"])
                 self.assertFalse(other.is_empty)
                 nursery.cancel_scope.cancel()
 
         self.run_clocked(scenario)
 
-    def _strike_out(
-        self, found: manager.QuarantineManager, content: str
+    def _quarantine(
+        self, quarantine: manager.QuarantineManager, content: str
     ) -> None:
         for number in range(3):
-            found.note_crash(content, number, "runner-1", _CRASH)
+            quarantine.note_crash(content, number, "runner-1", _CRASH)
 
     def _start(self, nursery: trio.Nursery) -> manager.QuarantineManager:
-        found = manager.create_quarantine_manager(self.log, _TOPIC)
+        quarantine = manager.create_quarantine_manager(self.log, _TOPIC)
         follower = keyed_follower.KeyedFollower(
-            self.log, contact.LogContact(), _TOPIC, found, _PACE
+            self.log, contact.LogContact(), _TOPIC, quarantine, _SCHEDULE
         )
         nursery.start_soon(follower.run)
-        nursery.start_soon(found.run)
-        return found
+        nursery.start_soon(quarantine.run)
+        return quarantine
