--- a/packages/daemon/src/martenquay_daemon/allowances/quota_ledger.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/quota_ledger.py
@@ -224,7 +224,7 @@
             account.find_demand(trio.current_time()),
         )
 
-    def list_holdings(self) -> dict[str, sharing.QuotaBalance]:
+    def list_balances(self) -> dict[str, sharing.QuotaBalance]:
         """Return this daemon's balances by team."""
         now = trio.current_time()
         return {
--- a/packages/daemon/src/martenquay_daemon/fleet/quota_exchange.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/quota_exchange.py
@@ -244,7 +244,7 @@
                 round(one.needed),
                 math.floor(one.overdraft),
             )
-            for team, one in self._units.list_holdings().items()
+            for team, one in self._units.list_balances().items()
         }
 
 
--- a/tests/allowance_fleet.py
+++ b/tests/allowance_fleet.py
@@ -217,7 +217,7 @@
             self.member,
             self._number,
             self._end,
-            self._ledger.list_holdings(),
+            self._ledger.list_balances(),
             transfers,
         )
 
--- a/tests/test_allowances/test_quota_ledger.py
+++ b/tests/test_allowances/test_quota_ledger.py
@@ -262,14 +262,14 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(ask)
                 await trio.sleep(0.08)
-                needed = ledger.list_holdings()[_TEAM.name].needed
+                needed = ledger.list_balances()[_TEAM.name].needed
                 self.assertAlmostEqual(500.0, needed)
                 transfer = quota_ledger.QuotaTransfer(
                     1, {_TEAM.name: [(600.0, 0.9)]}
                 )
                 ledger.accept_transfer(transfer, sent_at)
             self.assertEqual([True], decisions)
-            self.assertEqual(0.0, ledger.list_holdings()[_TEAM.name].needed)
+            self.assertEqual(0.0, ledger.list_balances()[_TEAM.name].needed)
 
         self.run_clocked(scenario)
 
