--- a/packages/daemon/src/martenquay_daemon/allowances/quota_ledger.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/quota_ledger.py
@@ -159,7 +159,7 @@
             notify_soon: Sends this daemon's balances early.
         """
         self.bounds = bounds
-        self.rights = shares
+        self.shares = shares
         self.quota_received = trio.Event()
         self._notify_soon = notify_soon
         self._started_at = trio.current_time()
@@ -193,7 +193,7 @@
         """
         account = self._refill(team)
         account.promised += units
-        rate = account.policy.rate * self.rights.find_usable_share()
+        rate = account.policy.rate * self.shares.find_usable_share()
         if rate <= 0:
             return _DEFAULT_RETRY_S
         wait_s = (account.promised - account.bucket.level) / rate
@@ -220,7 +220,7 @@
         return terms.QuotaStatus(
             account.bucket.total,
             account.bucket.debt,
-            self.rights.find_usable_share(),
+            self.shares.find_usable_share(),
             account.find_demand(trio.current_time()),
         )
 
@@ -336,7 +336,7 @@
     def _is_kept_for_on_time(self, account: _Account, units: float) -> bool:
         """Return whether a late request would use quota kept for others."""
         now = trio.current_time()
-        refill_rate = account.policy.rate * self.rights.find_usable_share()
+        refill_rate = account.policy.rate * self.shares.find_usable_share()
         if account.find_demand(now) <= refill_rate:
             return False
         capacity = self._find_capacity(account)
@@ -370,7 +370,7 @@
         expired unspent, which make up for it.
         """
         max_overdraft = self.bounds.find_max_overdraft()
-        held, fresh = self.rights.find_overdraft_shares()
+        held, fresh = self.shares.find_overdraft_shares()
         return max_overdraft * held + min(
             max_overdraft * fresh, account.bucket.expired_units
         )
@@ -392,7 +392,7 @@
     def _find_capacity(self, account: _Account) -> float:
         """Return the most units that this daemon's share can refill."""
         capacity = account.policy.rate * account.policy.life_s
-        return capacity * self.rights.find_usable_share()
+        return capacity * self.shares.find_usable_share()
 
     def _can_transfer(self, team: str) -> bool:
         """Return whether another daemon lacks quota that is held here."""
@@ -443,7 +443,7 @@
         return found
 
     def _refill(self, team: catalog.Team) -> _Account:
-        now = self.rights.advance()
+        now = self.shares.advance()
         account = self._accounts.get(team.name)
         if account is None:
             policy = self._create_policy(team)
@@ -467,7 +467,7 @@
     def _add_refill(self, account: _Account, now: float) -> float:
         """Refill an account up to now; return the units added."""
         refilled = 0.0
-        for span in self.rights.list_spans(account.refilled_at):
+        for span in self.shares.list_spans(account.refilled_at):
             rate = account.policy.rate * span.share
             account.bucket.add_refill(now, span.start, span.end, rate)
             refilled += rate * (span.end - span.start)
--- a/packages/daemon/src/martenquay_daemon/fleet/quota_exchange.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/quota_exchange.py
@@ -96,7 +96,7 @@
         """Tell whether there is a part that no hub has yet."""
         return (
             self._links.find_quota_hub() is not None
-            and self._units.rights.find_usable_share() > 0
+            and self._units.shares.find_usable_share() > 0
         )
 
     def create_delegation(self) -> messages.DelegationEntry | None:
@@ -104,7 +104,7 @@
         keeper = self._links.find_quota_hub()
         if keeper is None:
             return None
-        loan = self._units.rights.delegate(keeper.member, keeper.number)
+        loan = self._units.shares.delegate(keeper.member, keeper.number)
         if loan is None:
             return None
         return messages.DelegationEntry(
@@ -127,7 +127,7 @@
                 trio's time; None if it names none of the last ones.
         """
         self._roster.note_read_end(digest.instance, digest.members_end)
-        mint_rights = self._units.rights
+        mint_rights = self._units.shares
         mint_rights.end_former_delegations(digest.instance, digest.member)
         line = digest.loan
         if line is None or reported_at is None or line.receiver != self._member:
@@ -151,7 +151,7 @@
         """
         expected = self._roster.find_zone_share(self._zone)
         has_most = (
-            self._units.rights.find_usable_share() >= _MOST_PARTS * expected
+            self._units.shares.find_usable_share() >= _MOST_PARTS * expected
         )
         now = trio.current_time()
         if self._links.is_mesh() or has_most:
@@ -167,7 +167,7 @@
         What it lent while fewer were listed was more than its part is now; a
         new daemon has to wait until that is over.
         """
-        if not self._units.rights.has_larger_delegation():
+        if not self._units.shares.has_larger_delegation():
             self._told_end = max(0, self._members.end)
         return self._told_end
 
@@ -187,7 +187,7 @@
         teams = self._store.table.catalog.teams
         team = next((one for one in teams if one.name == want.team), None)
         passed = messages.QuotaReply(want.number, _Verdict.PASSED)
-        if team is None or self._units.rights.find_usable_share() <= 0:
+        if team is None or self._units.shares.find_usable_share() <= 0:
             reply(passed)
             return
         wish = terms.AdmissionRequest(want.units, want.reserve, want.is_late)
--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -118,7 +118,7 @@
         bounds = settings.bounds
         self._retries.bounds = _find_retry_bounds(bounds)
         self._units.bounds = _find_tolerance(bounds)
-        self._units.rights.window_s = bounds.allowance_window_s
+        self._units.shares.window_s = bounds.allowance_window_s
         if settings.platform.log:
             self._ports.log.move_to(settings.platform.log)
         if self._ports.cloud is not None and settings.platform.cloud:
--- a/tests/test_fleet/test_quota_exchange.py
+++ b/tests/test_fleet/test_quota_exchange.py
@@ -50,11 +50,11 @@
         store = catalog_store.create_store(records)
         store.offer(b"catalog", "the test")
         self.part = part
-        self.rights = refill_shares.RefillShares(
+        self.shares = refill_shares.RefillShares(
             lambda: refill_shares.RateShare(self.part, 0.0), 8.0
         )
         self.units = quota_ledger.create_quota_ledger(
-            allowance_fleet.BOUNDS, self.rights, lambda: None
+            allowance_fleet.BOUNDS, self.shares, lambda: None
         )
         self.units.refill([_TEAM])
         self.roster = roster.Roster("entry-1")
@@ -154,6 +154,6 @@
             hub = self._build(0.0)
             # It is meant for another process.
             hub.apply_subscriber_digest(digest, trio.current_time())
-            self.assertEqual(0.0, self.rights.find_usable_share())
+            self.assertEqual(0.0, self.shares.find_usable_share())
 
         self.run_clocked(scenario)
