--- a/packages/daemon/src/martenquay_daemon/allowances/quota_ledger.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/quota_ledger.py
@@ -49,7 +49,7 @@
     """
 
     heard: int
-    parcels: dict[str, list[tuple[float, float]]]
+    lots: dict[str, list[tuple[float, float]]]
 
 
 @dataclasses.dataclass
@@ -251,7 +251,7 @@
                 transfer = transfers.setdefault(
                     member, QuotaTransfer(peer.last_number, {})
                 )
-                transfer.parcels[team.name] = [
+                transfer.lots[team.name] = [
                     (lot.units, lot.expires_at - now) for lot in lots
                 ]
         return transfers
@@ -283,7 +283,7 @@
                 counting from this time never extends a unit's lifetime.
         """
         now = trio.current_time()
-        for team, lots in transfer.parcels.items():
+        for team, lots in transfer.lots.items():
             account = self._accounts.get(team)
             if account is None:
                 continue
--- a/packages/daemon/src/martenquay_daemon/fleet/messages.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/messages.py
@@ -202,7 +202,7 @@
     """
 
     heard: int
-    parcels: dict[str, list[LotEntry]]
+    lots: dict[str, list[LotEntry]]
 
 
 class DelegationEntry(msgspec.Struct, frozen=True, array_like=True):
--- a/packages/daemon/src/martenquay_daemon/fleet/quota_exchange.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/quota_exchange.py
@@ -249,20 +249,20 @@
 
 
 def _tell_gift(gift: quota_ledger.QuotaTransfer) -> messages.TransferEntry:
-    parcels = {
+    lots = {
         team: [
             # Rounded down: no unit may live longer by its way.
             messages.LotEntry(units, math.floor(life_s * _MS))
             for units, life_s in found
         ]
-        for team, found in gift.parcels.items()
+        for team, found in gift.lots.items()
     }
-    return messages.TransferEntry(gift.heard, parcels)
+    return messages.TransferEntry(gift.heard, lots)
 
 
 def _read_gift(line: messages.TransferEntry) -> quota_ledger.QuotaTransfer:
-    parcels = {
+    lots = {
         team: [(one.units, one.life_ms / _MS) for one in found]
-        for team, found in line.parcels.items()
+        for team, found in line.lots.items()
     }
-    return quota_ledger.QuotaTransfer(line.heard, parcels)
+    return quota_ledger.QuotaTransfer(line.heard, lots)
--- a/tests/test_allowances/test_quota_ledger.py
+++ b/tests/test_allowances/test_quota_ledger.py
@@ -128,9 +128,7 @@
             balance = sharing.QuotaBalance(0.0, 20_000.0)
             sender.apply_balances("b", 7, {_TEAM.name: balance})
             transfer = sender.create_transfers([_TEAM])["b"]
-            transferred = sum(
-                units for units, _ in transfer.parcels[_TEAM.name]
-            )
+            transferred = sum(units for units, _ in transfer.lots[_TEAM.name])
             self.assertEqual(7, transfer.heard)
             self.assertAlmostEqual(
                 available - transferred, sender.describe(_TEAM.name).there
