--- a/packages/daemon/src/martenquay_daemon/forwarding/content_guard.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/content_guard.py
@@ -30,13 +30,13 @@
         self._directory = directory
         self._has_ended = has_ended
 
-    def find_hold(self, current: exchange.Exchange) -> float | None:
+    def find_quarantine_s(self, current: exchange.Exchange) -> float | None:
         """Return for how long the request is kept out; None if it is not."""
         if self._quarantine.is_empty:
             return None
         content = _name_content(current)
         current.strikes_seen = self._quarantine.find_latest(content)
-        return self._quarantine.find_hold(content)
+        return self._quarantine.find_quarantine_s(content)
 
     async def note_result(
         self,
--- a/packages/daemon/src/martenquay_daemon/forwarding/forwarder.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/forwarder.py
@@ -157,7 +157,7 @@
             tried_s=self._first_tries.find_elapsed(route.name, call.budget_s),
         )
         # What is sent to nobody must not cost its team units.
-        left_s = self._parts.guard.find_hold(current)
+        left_s = self._parts.guard.find_quarantine_s(current)
         if left_s is not None:
             return own_answers.describe_quarantine(left_s)
         return (
@@ -317,7 +317,7 @@
         # Else a runner that has said that it leaves may get work for as
         # long as the news of it are under way: 3.1 s with 2 to 3 allowed.
         await parts.entries.refresh()
-        left_s = parts.guard.find_hold(current)
+        left_s = parts.guard.find_quarantine_s(current)
         if left_s is not None and not current.attempts:
             return own_answers.describe_quarantine(left_s)
         # Units and entries were waited for; a stop may have begun meanwhile.
--- a/packages/daemon/src/martenquay_daemon/quarantine/manager.py
+++ b/packages/daemon/src/martenquay_daemon/quarantine/manager.py
@@ -56,9 +56,9 @@
         """Whether no content has crash records; digests are not needed then."""
         return not self._table
 
-    def find_hold(self, content: str) -> float | None:
+    def find_quarantine_s(self, content: str) -> float | None:
         """Return the seconds of quarantine left; None if there is none."""
-        return self._table.find_hold(content)
+        return self._table.find_quarantine_s(content)
 
     def find_latest(self, content: str) -> int:
         """Return the highest number of a content's records; 0 if none."""
@@ -179,7 +179,7 @@
         found_at: str,
         details: records.Crash | None,
     ) -> None:
-        quarantine_s = self._table.find_hold(crash.content)
+        quarantine_s = self._table.find_quarantine_s(crash.content)
         _LOG.write(
             f"A runner ended while it served content {crash.content}.",
             content=crash.content,
--- a/packages/daemon/src/martenquay_daemon/quarantine/strikes.py
+++ b/packages/daemon/src/martenquay_daemon/quarantine/strikes.py
@@ -115,7 +115,7 @@
             return 0
         return max(crash.number for crash in known.crashes)
 
-    def find_hold(self, content: str) -> float | None:
+    def find_quarantine_s(self, content: str) -> float | None:
         """Return the seconds of quarantine left; None if there is none."""
         known = self._contents.get(content)
         if known is None or not known.is_at_fault():
--- a/tests/test_promises/test_suspension.py
+++ b/tests/test_promises/test_suspension.py
@@ -102,9 +102,9 @@
             table = strikes.CrashTable(trio.current_time)
             for number in range(strikes.MOST_ROUNDS):
                 table.add(strikes.CrashRecord("a", number, "runner-1"))
-            told_s = table.find_hold("a")
+            told_s = table.find_quarantine_s("a")
             self.clock.jump(_SLEEP_S)
-            self.assertEqual(told_s - _SLEEP_S, table.find_hold("a"))
+            self.assertEqual(told_s - _SLEEP_S, table.find_quarantine_s("a"))
 
         self._run(scenario)
 
--- a/tests/test_quarantine/test_manager.py
+++ b/tests/test_quarantine/test_manager.py
@@ -44,7 +44,7 @@
                 )
                 await trio.sleep(_CONTACT_S)
             self.assertEqual(
-                0, sum(one.find_hold("a") is None for one in fleet)
+                0, sum(one.find_quarantine_s("a") is None for one in fleet)
             )
             nursery.cancel_scope.cancel()
 
@@ -59,7 +59,7 @@
                 restarted = [self._start(nursery) for _ in range(6)]
                 await trio.sleep(0.1)
                 for one in restarted:
-                    self.assertIsNotNone(one.find_hold("a"))
+                    self.assertIsNotNone(one.find_quarantine_s("a"))
                 nursery.cancel_scope.cancel()
 
         self.run_clocked(scenario)
@@ -71,12 +71,12 @@
                 await trio.sleep(1.0)
                 self.log.faults.is_down = True
                 self._quarantine(finder, "a")
-                self.assertIsNotNone(finder.find_hold("a"))
+                self.assertIsNotNone(finder.find_quarantine_s("a"))
                 await trio.sleep(20.0)
-                self.assertIsNone(other.find_hold("a"))
+                self.assertIsNone(other.find_quarantine_s("a"))
                 self.log.faults.is_down = False
                 await trio.sleep(_CONTACT_S)
-                self.assertIsNotNone(other.find_hold("a"))
+                self.assertIsNotNone(other.find_quarantine_s("a"))
                 nursery.cancel_scope.cancel()
 
         self.run_clocked(scenario)
@@ -90,7 +90,7 @@
                 finder.note_crash("a", 0, "runner-1", _CRASH)
                 await trio.sleep(_CONTACT_S)
                 self.assertEqual(1, other.find_latest("a"))
-                self.assertIsNone(other.find_hold("a"))
+                self.assertIsNone(other.find_quarantine_s("a"))
                 nursery.cancel_scope.cancel()
 
         self.run_clocked(scenario)
@@ -105,7 +105,7 @@
                 self.log.forget(_TOPIC)
                 late = self._start(nursery)
                 await trio.sleep(1.0)
-                self.assertIsNotNone(late.find_hold("a"))
+                self.assertIsNotNone(late.find_quarantine_s("a"))
                 nursery.cancel_scope.cancel()
 
         self.run_clocked(scenario)
--- a/tests/test_quarantine/test_strikes.py
+++ b/tests/test_quarantine/test_strikes.py
@@ -37,24 +37,24 @@
         table, _ = _build_table()
         quarantines = []
         for _ in range(3):
-            quarantines.append(table.find_hold("a"))
+            quarantines.append(table.find_quarantine_s("a"))
             _add_crash(table, "a")
         self.assertEqual([None] * 3, quarantines)
-        self.assertEqual(_HOUR_S, table.find_hold("a"))
-        self.assertIsNone(table.find_hold("b"))
+        self.assertEqual(_HOUR_S, table.find_quarantine_s("a"))
+        self.assertIsNone(table.find_quarantine_s("b"))
 
     def test_an_answer_removes_all_crash_records(self) -> None:
         table, _ = _build_table()
         added = [_add_crash(table, "a") for _ in range(3)]
         self.assertEqual(added, table.remove_content("a"))
-        self.assertIsNone(table.find_hold("a"))
+        self.assertIsNone(table.find_quarantine_s("a"))
         self.assertEqual(0, len(table))
 
     def test_runners_that_end_together_start_no_quarantine(self) -> None:
         table, _ = _build_table()
         self._end_together(table, 12)
         self.assertEqual(12, table.count("a"))
-        self.assertIsNone(table.find_hold("a"))
+        self.assertIsNone(table.find_quarantine_s("a"))
 
     def test_a_content_at_three_daemons_at_once_needs_two_rounds(
         self,
@@ -62,16 +62,16 @@
         table, _ = _build_table()
         self._end_together(table, 3)
         _add_crash(table, "a")
-        self.assertIsNotNone(table.find_hold("a"))
+        self.assertIsNotNone(table.find_quarantine_s("a"))
 
     def test_a_content_at_two_daemons_at_once_needs_two_rounds(
         self,
     ) -> None:
         table, _ = _build_table()
         self._end_together(table, 2)
-        self.assertIsNone(table.find_hold("a"))
+        self.assertIsNone(table.find_quarantine_s("a"))
         self._end_together(table, 2)
-        self.assertIsNotNone(table.find_hold("a"))
+        self.assertIsNotNone(table.find_quarantine_s("a"))
 
     def _end_together(self, table: strikes.CrashTable, count: int) -> None:
         number = table.find_latest("a") + 1
@@ -87,22 +87,22 @@
         table.remove(first)
         for _ in range(2):
             _add_crash(table, "a")
-        self.assertIsNotNone(table.find_hold("a"))
+        self.assertIsNotNone(table.find_quarantine_s("a"))
 
     def test_after_a_quarantine_one_crash_starts_the_next(self) -> None:
         table, clock = _build_table()
         for _ in range(3):
             _add_crash(table, "a")
         clock.now = _HOUR_S + 1.0
-        self.assertIsNone(table.find_hold("a"))
+        self.assertIsNone(table.find_quarantine_s("a"))
         _add_crash(table, "a")
-        self.assertEqual(2 * _HOUR_S, table.find_hold("a"))
+        self.assertEqual(2 * _HOUR_S, table.find_quarantine_s("a"))
 
     def test_a_quarantine_lasts_a_day_at_most(self) -> None:
         table, _ = _build_table()
         for _ in range(40):
             _add_crash(table, "a")
-        self.assertEqual(24 * _HOUR_S, table.find_hold("a"))
+        self.assertEqual(24 * _HOUR_S, table.find_quarantine_s("a"))
 
 
 class DroppingTest(testtools.TestCase):
@@ -123,7 +123,7 @@
         for number in range(500):
             _add_crash(table, f"beside-{number}")
         self.assertEqual(10, len(table))
-        self.assertIsNotNone(table.find_hold("lethal"))
+        self.assertIsNotNone(table.find_quarantine_s("lethal"))
 
 
 _CRASH_RECORD = strategies.builds(
@@ -152,7 +152,9 @@
             table, _ = _build_table()
             for crash in order:
                 table.add(crash)
-            quarantines.append([table.find_hold(name) for name in "abc"])
+            quarantines.append(
+                [table.find_quarantine_s(name) for name in "abc"]
+            )
         self.assertEqual(quarantines[0], quarantines[1])
 
     @_SETTINGS
