--- a/packages/daemon/src/martenquay_daemon/forwarding/content_guard.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/content_guard.py
@@ -65,7 +65,7 @@
             return
         if self._directory.is_leaving(known):
             return
-        crash = records.Crash(current.service, current.route.name)
+        crash = records.CrashDetails(current.service, current.route.name)
         self._quarantine.note_crash(
             content, current.strikes_seen, runner.id, crash
         )
--- a/packages/daemon/src/martenquay_daemon/quarantine/manager.py
+++ b/packages/daemon/src/martenquay_daemon/quarantine/manager.py
@@ -65,7 +65,11 @@
         return self._table.find_latest(content)
 
     def note_crash(
-        self, content: str, latest: int, runner: str, details: records.Crash
+        self,
+        content: str,
+        latest: int,
+        runner: str,
+        details: records.CrashDetails,
     ) -> None:
         """Record that a runner ended while it served a content.
 
@@ -177,7 +181,7 @@
         self,
         crash: strikes.CrashRecord,
         found_at: str,
-        details: records.Crash | None,
+        details: records.CrashDetails | None,
     ) -> None:
         quarantine_s = self._table.find_quarantine_s(crash.content)
         _LOG.write(
--- a/packages/daemon/src/martenquay_daemon/quarantine/records.py
+++ b/packages/daemon/src/martenquay_daemon/quarantine/records.py
@@ -11,12 +11,12 @@
 if TYPE_CHECKING:
     from martenquay_core.serving import ports
 
-__all__ = ["Crash", "decode_crash", "encode_crash", "encode_removal"]
+__all__ = ["CrashDetails", "decode_crash", "encode_crash", "encode_removal"]
 
 _SEPARATOR = "."
 
 
-class Crash(msgspec.Struct, frozen=True):
+class CrashDetails(msgspec.Struct, frozen=True):
     """Details of a crash for those who look for its cause.
 
     Attributes:
@@ -29,7 +29,7 @@
 
 
 def encode_crash(
-    log: ports.LogPort, crash: strikes.CrashRecord, details: Crash
+    log: ports.LogPort, crash: strikes.CrashRecord, details: CrashDetails
 ) -> bytes:
     """Return the payload that adds a crash record.
 
--- a/tests/test_quarantine/test_manager.py
+++ b/tests/test_quarantine/test_manager.py
@@ -13,7 +13,7 @@
 from tests import serving_builders as builders
 
 _TOPIC = builders.TOPICS.strikes
-_CRASH = records.Crash("desk", "lookup")
+_CRASH = records.CrashDetails("desk", "lookup")
 # The shortest contact time of any deployment.
 _CONTACT_S = 3.0
 # The schedule of a large fleet.
