--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -262,8 +262,8 @@
     Mutation(
         "the third crash is the last",
         f"{DAEMON}/quarantine/strikes.py",
-        "MOST_ROUNDS = 3",
-        "MOST_ROUNDS = 99",
+        "QUARANTINE_ROUNDS = 3",
+        "QUARANTINE_ROUNDS = 99",
         "tests.test_promises.test_crashing_request",
     ),
     Mutation(
--- a/packages/daemon/src/martenquay_daemon/quarantine/strikes.py
+++ b/packages/daemon/src/martenquay_daemon/quarantine/strikes.py
@@ -9,11 +9,11 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-__all__ = ["MOST_ROUNDS", "CrashRecord", "CrashTable"]
+__all__ = ["QUARANTINE_ROUNDS", "CrashRecord", "CrashTable"]
 
 # A content is quarantined after this many crashes one after the other. Harmless
 # requests can see two, when they are retried on a runner that crashes next.
-MOST_ROUNDS = 3
+QUARANTINE_ROUNDS = 3
 # A content that reaches several daemons at once crashes several runners in one
 # round. Waiting for a third round would cost too many runners, but one round
 # alone may be an outage of a host or zone.
@@ -66,7 +66,9 @@
         """Return whether the content is the cause of the crashes."""
         rounds = self.count_rounds()
         is_wide = len(self.crashes) >= _QUARANTINE_CRASHES
-        return rounds >= MOST_ROUNDS or (rounds >= _MIN_ROUNDS and is_wide)
+        return rounds >= QUARANTINE_ROUNDS or (
+            rounds >= _MIN_ROUNDS and is_wide
+        )
 
 
 class CrashTable:
@@ -120,7 +122,7 @@
         known = self._contents.get(content)
         if known is None or not known.is_at_fault():
             return None
-        doublings = max(0, known.count_rounds() - MOST_ROUNDS)
+        doublings = max(0, known.count_rounds() - QUARANTINE_ROUNDS)
         quarantine_s = min(_QUARANTINE_S * 2**doublings, _MAX_QUARANTINE_S)
         left_s = known.last_crash_at + quarantine_s - self._read_clock()
         return left_s if left_s > 0 else None
--- a/tests/test_promises/test_suspension.py
+++ b/tests/test_promises/test_suspension.py
@@ -100,7 +100,7 @@
     def test_a_quarantine_lasts_as_long_as_was_told(self) -> None:
         async def scenario() -> None:
             table = strikes.CrashTable(trio.current_time)
-            for number in range(strikes.MOST_ROUNDS):
+            for number in range(strikes.QUARANTINE_ROUNDS):
                 table.add(strikes.CrashRecord("a", number, "runner-1"))
             told_s = table.find_quarantine_s("a")
             self.clock.jump(_SLEEP_S)
