--- a/tests/allowance_fleet.py
+++ b/tests/allowance_fleet.py
@@ -23,7 +23,7 @@
     "FleetLog",
     "DaemonMessage",
     "OwnKeeper",
-    "build_escrow",
+    "build_ledger",
     "build_rights",
     "find_bound",
 ]
@@ -47,7 +47,7 @@
     return refill_shares.RefillShares(lambda: own, BOUNDS.window_s)
 
 
-def build_escrow(
+def build_ledger(
     share: float = 1.0, bounds: terms.ToleranceBounds = BOUNDS
 ) -> quota_ledger.QuotaLedger:
     """Return the ledger of one daemon with a constant share."""
--- a/tests/serving_scene.py
+++ b/tests/serving_scene.py
@@ -144,7 +144,7 @@
             directory=self.directory,
             entries=self.entries,
             allowances=gate.create_gate(
-                allowance_fleet.build_escrow(bounds=tolerance),
+                allowance_fleet.build_ledger(bounds=tolerance),
                 allowance_fleet.OwnKeeper(),
             ),
             placer=placer.Placer(
--- a/tests/test_allowances/test_quota_ledger.py
+++ b/tests/test_allowances/test_quota_ledger.py
@@ -42,7 +42,7 @@
 class QuotaLedgerTest(clocked.ClockedTestCase):
     def test_no_more_is_spent_than_a_lifetime_refills(self) -> None:
         async def scenario() -> None:
-            ledger = allowance_fleet.build_escrow()
+            ledger = allowance_fleet.build_ledger()
             await _fill(ledger)
             count = _count_admitted(ledger, terms.AdmissionRequest(100.0))
             self.assertLessEqual(100.0 * count, _RATE * _LIFE_S)
@@ -66,7 +66,7 @@
 
     def test_a_restarted_process_overdraws_nothing_for_a_window(self) -> None:
         async def scenario() -> None:
-            ledger = allowance_fleet.build_escrow()
+            ledger = allowance_fleet.build_ledger()
             await _fill(ledger)
             _count_admitted(ledger, terms.AdmissionRequest(100.0))
             self.assertIsInstance(
@@ -85,7 +85,7 @@
 
     def test_late_requests_leave_quota_to_requests_on_time(self) -> None:
         async def scenario() -> None:
-            ledger = allowance_fleet.build_escrow()
+            ledger = allowance_fleet.build_ledger()
             await _fill(ledger)
             # Demand above the refill rate.
             ledger.try_spend(_TEAM, terms.AdmissionRequest(2 * _RATE))
@@ -102,7 +102,7 @@
         self,
     ) -> None:
         async def scenario() -> None:
-            ledger = allowance_fleet.build_escrow()
+            ledger = allowance_fleet.build_ledger()
             await _fill(ledger)
             ledger.try_spend(
                 _TEAM, terms.AdmissionRequest(0.6 * _RATE * _LIFE_S)
@@ -119,8 +119,8 @@
         self,
     ) -> None:
         async def scenario() -> None:
-            sender = allowance_fleet.build_escrow(0.5)
-            receiver = allowance_fleet.build_escrow(0.0)
+            sender = allowance_fleet.build_ledger(0.5)
+            receiver = allowance_fleet.build_ledger(0.0)
             receiver.refill([_TEAM])
             await _fill(sender)
             sent_at = trio.current_time()
@@ -147,7 +147,7 @@
         self,
     ) -> None:
         async def scenario() -> None:
-            receiver = allowance_fleet.build_escrow(0.0)
+            receiver = allowance_fleet.build_ledger(0.0)
             receiver.refill([_TEAM])
             sent_at = trio.current_time()
             await trio.sleep(2.0)
@@ -161,7 +161,7 @@
 
     def test_no_quota_is_transferred_to_silent_daemons(self) -> None:
         async def scenario() -> None:
-            sender = allowance_fleet.build_escrow(0.5)
+            sender = allowance_fleet.build_ledger(0.5)
             await _fill(sender)
             sender.apply_balances(
                 "b", 1, {_TEAM.name: sharing.QuotaBalance(0.0, 20_000.0)}
@@ -173,7 +173,7 @@
 
     def test_callers_refused_together_get_increasing_retry_delays(self) -> None:
         async def scenario() -> None:
-            ledger = allowance_fleet.build_escrow()
+            ledger = allowance_fleet.build_ledger()
             ledger.refill([_TEAM])
             delays = [ledger.schedule_retry(_TEAM, 10_000.0) for _ in range(8)]
             self.assertEqual(sorted(delays), delays)
@@ -242,7 +242,7 @@
 
     def test_a_request_waits_for_a_transfer(self) -> None:
         async def scenario() -> None:
-            ledger = allowance_fleet.build_escrow(0.0)
+            ledger = allowance_fleet.build_ledger(0.0)
             ledger.refill([_TEAM])
             quota_gate = self._build(ledger)
             ledger.apply_balances(
@@ -273,7 +273,7 @@
 
     def test_a_request_is_refused_when_no_transfer_arrives(self) -> None:
         async def scenario() -> None:
-            ledger = allowance_fleet.build_escrow(0.0)
+            ledger = allowance_fleet.build_ledger(0.0)
             ledger.refill([_TEAM])
             quota_gate = self._build(ledger)
             ledger.apply_balances(
@@ -292,7 +292,7 @@
         self,
     ) -> None:
         async def scenario() -> None:
-            ledger = allowance_fleet.build_escrow(0.0)
+            ledger = allowance_fleet.build_ledger(0.0)
             ledger.refill([_TEAM])
             quota_gate = self._build(ledger)
             ledger.apply_balances(
@@ -309,7 +309,7 @@
 
     def test_a_daemon_without_quota_has_a_hub_decide(self) -> None:
         async def scenario() -> None:
-            ledger = allowance_fleet.build_escrow()
+            ledger = allowance_fleet.build_ledger()
             await _fill(ledger)
             hub = _RemoteHub(terms.AdmissionDecision(0.7, kept_at="hub"))
             quota_gate = self._build(ledger, hub)
@@ -362,7 +362,7 @@
 
     def test_local_quota_decides_when_no_hub_answers(self) -> None:
         async def scenario() -> None:
-            ledger = allowance_fleet.build_escrow()
+            ledger = allowance_fleet.build_ledger()
             await _fill(ledger)
             quota_gate = self._build(ledger, _RemoteHub(None))
             decision = await quota_gate.acquire(
@@ -374,7 +374,7 @@
 
     def test_a_team_without_a_rate_is_never_refused(self) -> None:
         async def scenario() -> None:
-            ledger = allowance_fleet.build_escrow(0.0)
+            ledger = allowance_fleet.build_ledger(0.0)
             quota_gate = self._build(ledger)
             request = terms.AdmissionRequest(1e9)
             decision = await quota_gate.acquire(builders.build_team(), request)
--- a/tests/test_promises/test_suspension.py
+++ b/tests/test_promises/test_suspension.py
@@ -68,7 +68,7 @@
 
     def test_units_end_with_their_time(self) -> None:
         async def scenario() -> None:
-            ledger = allowance_fleet.build_escrow()
+            ledger = allowance_fleet.build_ledger()
             await trio.sleep(20.0)
             before = _count_units(ledger)
             self.clock.jump(_SLEEP_S)
