--- a/tests/allowance_fleet.py
+++ b/tests/allowance_fleet.py
@@ -24,7 +24,7 @@
     "DaemonMessage",
     "OwnKeeper",
     "build_ledger",
-    "build_rights",
+    "build_refill_shares",
     "find_bound",
 ]
 
@@ -41,7 +41,7 @@
     return allowance * (1 + BOUNDS.overrun) + BOUNDS.slack
 
 
-def build_rights(share: float = 1.0) -> refill_shares.RefillShares:
+def build_refill_shares(share: float = 1.0) -> refill_shares.RefillShares:
     """Return the refill shares of a daemon whose own share is constant."""
     own = refill_shares.RateShare(share, -math.inf)
     return refill_shares.RefillShares(lambda: own, BOUNDS.window_s)
@@ -52,7 +52,7 @@
 ) -> quota_ledger.QuotaLedger:
     """Return the ledger of one daemon with a constant share."""
     return quota_ledger.create_quota_ledger(
-        bounds, build_rights(share), lambda: None
+        bounds, build_refill_shares(share), lambda: None
     )
 
 
--- a/tests/test_allowances/test_refill_shares.py
+++ b/tests/test_allowances/test_refill_shares.py
@@ -23,7 +23,7 @@
 class RefillSharesTest(clocked.ClockedTestCase):
     def test_a_delegated_share_is_not_used_here_until_it_ends(self) -> None:
         async def scenario() -> None:
-            owner = allowance_fleet.build_rights(0.1)
+            owner = allowance_fleet.build_refill_shares(0.1)
             await trio.sleep(1.0)
             delegation = owner.delegate("hub.1", 7)
             self.assertAlmostEqual(0.1, delegation.part)
@@ -36,8 +36,8 @@
 
     def test_a_delegation_ends_counted_from_the_named_report(self) -> None:
         async def scenario() -> None:
-            hub = allowance_fleet.build_rights(0.0)
-            owner = allowance_fleet.build_rights(0.1)
+            hub = allowance_fleet.build_refill_shares(0.0)
+            owner = allowance_fleet.build_refill_shares(0.1)
             reported_at = trio.current_time()
             await trio.sleep(0.5)
             delegation = owner.delegate("hub.1", 7)
@@ -57,8 +57,8 @@
 
     def test_a_delegation_that_arrives_after_its_end_is_ignored(self) -> None:
         async def scenario() -> None:
-            hub = allowance_fleet.build_rights(0.0)
-            owner = allowance_fleet.build_rights(0.1)
+            hub = allowance_fleet.build_refill_shares(0.0)
+            owner = allowance_fleet.build_refill_shares(0.1)
             reported_at = trio.current_time()
             delegation = owner.delegate("hub.1", 7)
             await trio.sleep(refill_shares.DELEGATION_S + 0.1)
@@ -73,9 +73,9 @@
         self,
     ) -> None:
         async def scenario() -> None:
-            owner = allowance_fleet.build_rights(0.1)
-            first = allowance_fleet.build_rights(0.0)
-            second = allowance_fleet.build_rights(0.0)
+            owner = allowance_fleet.build_refill_shares(0.1)
+            first = allowance_fleet.build_refill_shares(0.0)
+            second = allowance_fleet.build_refill_shares(0.0)
             now = trio.current_time()
             first.accept_delegation("e", "e.1", owner.delegate("hub.1", 1), now)
             await trio.sleep(0.6)
@@ -97,8 +97,8 @@
 
     def test_a_new_process_ends_delegations_of_the_former_one(self) -> None:
         async def scenario() -> None:
-            hub = allowance_fleet.build_rights(0.0)
-            owner = allowance_fleet.build_rights(0.1)
+            hub = allowance_fleet.build_refill_shares(0.0)
+            owner = allowance_fleet.build_refill_shares(0.1)
             now = trio.current_time()
             delegation = owner.delegate("hub.1", 1)
             hub.accept_delegation("e", "e.1", delegation, now)
@@ -138,8 +138,8 @@
 
     def test_a_hub_overdraws_on_shares_held_for_a_window(self) -> None:
         async def scenario() -> None:
-            hub = allowance_fleet.build_rights(0.2)
-            owner = allowance_fleet.build_rights(0.1)
+            hub = allowance_fleet.build_refill_shares(0.2)
+            owner = allowance_fleet.build_refill_shares(0.1)
             while trio.current_time() < 0.9 * _WINDOW_S:
                 now = trio.current_time()
                 hub.accept_delegation(
@@ -181,8 +181,8 @@
 
     def test_a_long_pause_records_the_spans_as_they_were(self) -> None:
         async def scenario() -> None:
-            hub = allowance_fleet.build_rights(0.0)
-            owner = allowance_fleet.build_rights(0.1)
+            hub = allowance_fleet.build_refill_shares(0.0)
+            owner = allowance_fleet.build_refill_shares(0.1)
             await trio.sleep(1.0)
             start = trio.current_time()
             hub.accept_delegation("e", "e.1", owner.delegate("hub.1", 1), start)
--- a/tests/test_promises/test_suspension.py
+++ b/tests/test_promises/test_suspension.py
@@ -52,8 +52,8 @@
 
     def test_a_borrowed_part_is_its_owners_again(self) -> None:
         async def scenario() -> None:
-            hub = allowance_fleet.build_rights(0.0)
-            lender = allowance_fleet.build_rights(0.1)
+            hub = allowance_fleet.build_refill_shares(0.0)
+            lender = allowance_fleet.build_refill_shares(0.1)
             reported_at = trio.current_time()
             loan = lender.delegate("hub.1", 7)
             hub.accept_delegation("entry-1", "entry-1.1", loan, reported_at)
