--- a/tests/allowance_fleet.py
+++ b/tests/allowance_fleet.py
@@ -22,7 +22,7 @@
     "FleetDaemon",
     "FleetLog",
     "DaemonMessage",
-    "OwnKeeper",
+    "LocalQuota",
     "build_ledger",
     "build_refill_shares",
     "find_bound",
@@ -56,7 +56,7 @@
     )
 
 
-class OwnKeeper:
+class LocalQuota:
     """Implements `gate.QuotaHolders` for a daemon that holds its own quota."""
 
     def holds_quota_here(self) -> bool:
--- a/tests/serving_scene.py
+++ b/tests/serving_scene.py
@@ -145,7 +145,7 @@
             entries=self.entries,
             allowances=gate.create_gate(
                 allowance_fleet.build_ledger(bounds=tolerance),
-                allowance_fleet.OwnKeeper(),
+                allowance_fleet.LocalQuota(),
             ),
             placer=placer.Placer(
                 "a",
--- a/tests/test_allowances/test_quota_ledger.py
+++ b/tests/test_allowances/test_quota_ledger.py
@@ -237,7 +237,7 @@
         ledger: quota_ledger.QuotaLedger,
         holders: gate.QuotaHolders | None = None,
     ) -> gate.AllowanceGate:
-        holders = holders or allowance_fleet.OwnKeeper()
+        holders = holders or allowance_fleet.LocalQuota()
         return gate.create_gate(ledger, holders)
 
     def test_a_request_waits_for_a_transfer(self) -> None:
--- a/tests/test_fleet/test_quota_exchange.py
+++ b/tests/test_fleet/test_quota_exchange.py
@@ -71,7 +71,7 @@
             "a",
             store,
             self.units,
-            gate.create_gate(self.units, allowance_fleet.OwnKeeper()),
+            gate.create_gate(self.units, allowance_fleet.LocalQuota()),
             self.roster,
             _Members(),
             self.links,
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -194,7 +194,7 @@
             place.zone,
             store,
             self.units,
-            gate.create_gate(self.units, allowance_fleet.OwnKeeper()),
+            gate.create_gate(self.units, allowance_fleet.LocalQuota()),
             self._roster,
             # Only how far it has read the announcements is asked of it.
             self,
