--- a/packages/daemon/src/martenquay_daemon/allowances/quota_ledger.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/quota_ledger.py
@@ -45,7 +45,7 @@
     Attributes:
         heard: The number of the receiver's last message that the sender had
             processed; remaining lifetimes count from when it was sent.
-        parcels: Units and their remaining lifetime in seconds, by team.
+        lots: Units and their remaining lifetime in seconds, by team.
     """
 
     heard: int
@@ -140,7 +140,7 @@
 
     Attributes:
         bounds: The tolerated excess over the allowances; may be replaced.
-        rights: The shares of the refill rates that this daemon may use.
+        shares: The shares of the refill rates that this daemon may use.
         quota_received: Set when a transfer has arrived, then replaced by a
             new event.
     """
--- a/packages/daemon/src/martenquay_daemon/fleet/messages.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/messages.py
@@ -198,7 +198,7 @@
     Attributes:
         heard: The number of the receiver's last digest that the giver had;
             lifetimes count from when that one was sent.
-        parcels: Units by team.
+        lots: Units by team.
     """
 
     heard: int
