--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -261,7 +261,7 @@
     ),
     Mutation(
         "the third crash is the last",
-        f"{DAEMON}/quarantine/strikes.py",
+        f"{DAEMON}/quarantine/crash_table.py",
         "QUARANTINE_ROUNDS = 3",
         "QUARANTINE_ROUNDS = 99",
         "tests.test_promises.test_crashing_request",
--- a/packages/daemon/src/martenquay_daemon/quarantine/manager.py
+++ b/packages/daemon/src/martenquay_daemon/quarantine/manager.py
@@ -8,7 +8,7 @@
 import trio
 
 from martenquay_core import logs
-from martenquay_daemon.quarantine import records, strikes
+from martenquay_daemon.quarantine import crash_table, records
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -39,7 +39,7 @@
     """
 
     def __init__(
-        self, log: ports.LogPort, topic: str, table: strikes.CrashTable
+        self, log: ports.LogPort, topic: str, table: crash_table.CrashTable
     ) -> None:
         self.on_strike: Callable[[], None] = _ignore
         self.may_tidy: Callable[[], bool] = lambda: False
@@ -47,7 +47,7 @@
         self._topic = topic
         self._table = table
         table.on_dropped = self._remove_dropped
-        self._unwritten: dict[strikes.CrashRecord, bytes] = {}
+        self._unwritten: dict[crash_table.CrashRecord, bytes] = {}
         self._has_unwritten = trio.Event()
         self._invalid_logged_at = -math.inf
 
@@ -80,7 +80,7 @@
             details: What else the log keeps of the crash.
         """
         self.on_strike()
-        crash = strikes.CrashRecord(content, latest + 1, runner)
+        crash = crash_table.CrashRecord(content, latest + 1, runner)
         if not self._table.add(crash):
             return
         self._log_crash(crash, "this daemon", details)
@@ -154,20 +154,22 @@
             self._has_unwritten = trio.Event()
         return True
 
-    def _write(self, crash: strikes.CrashRecord, payload: bytes) -> None:
+    def _write(self, crash: crash_table.CrashRecord, payload: bytes) -> None:
         self._unwritten[crash] = payload
         self._has_unwritten.set()
 
-    def _remove_dropped(self, dropped: list[strikes.CrashRecord]) -> None:
+    def _remove_dropped(self, dropped: list[crash_table.CrashRecord]) -> None:
         if not self.may_tidy():
             return
         for crash in dropped:
             self._write(crash, records.encode_removal(self._log, crash))
 
-    def _is_known(self, crash: strikes.CrashRecord) -> bool:
+    def _is_known(self, crash: crash_table.CrashRecord) -> bool:
         return self._table.has(crash)
 
-    def _decode(self, record: ports.KeyedRecord) -> strikes.CrashRecord | None:
+    def _decode(
+        self, record: ports.KeyedRecord
+    ) -> crash_table.CrashRecord | None:
         try:
             return records.decode_crash(record)
         except ValueError as error:
@@ -179,7 +181,7 @@
 
     def _log_crash(
         self,
-        crash: strikes.CrashRecord,
+        crash: crash_table.CrashRecord,
         found_at: str,
         details: records.CrashDetails | None,
     ) -> None:
@@ -204,5 +206,5 @@
     log: ports.LogPort, topic: str
 ) -> QuarantineManager:
     """Return a manager without crash records."""
-    table = strikes.CrashTable(trio.current_time)
+    table = crash_table.CrashTable(trio.current_time)
     return QuarantineManager(log, topic, table)
--- a/packages/daemon/src/martenquay_daemon/quarantine/records.py
+++ b/packages/daemon/src/martenquay_daemon/quarantine/records.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from martenquay_daemon.quarantine import strikes
+from martenquay_daemon.quarantine import crash_table
 
 if TYPE_CHECKING:
     from martenquay_core.serving import ports
@@ -29,7 +29,7 @@
 
 
 def encode_crash(
-    log: ports.LogPort, crash: strikes.CrashRecord, details: CrashDetails
+    log: ports.LogPort, crash: crash_table.CrashRecord, details: CrashDetails
 ) -> bytes:
     """Return the payload that adds a crash record.
 
@@ -39,12 +39,12 @@
     return log.join_keyed(_join_key(crash), msgspec.json.encode(details))
 
 
-def encode_removal(log: ports.LogPort, crash: strikes.CrashRecord) -> bytes:
+def encode_removal(log: ports.LogPort, crash: crash_table.CrashRecord) -> bytes:
     """Return the payload that removes a crash record."""
     return log.join_keyed(_join_key(crash), b"")
 
 
-def decode_crash(record: ports.KeyedRecord) -> strikes.CrashRecord:
+def decode_crash(record: ports.KeyedRecord) -> crash_table.CrashRecord:
     """Return the crash record that a log record adds or removes.
 
     Raises:
@@ -53,9 +53,9 @@
     content, number, runner = [*record.key.split(_SEPARATOR, 2), "", ""][:3]
     if not content or not number.isdecimal() or not runner:
         raise ValueError(f"key {record.key!r} is not CONTENT.NUMBER.RUNNER")
-    return strikes.CrashRecord(content, int(number), runner)
+    return crash_table.CrashRecord(content, int(number), runner)
 
 
-def _join_key(crash: strikes.CrashRecord) -> str:
+def _join_key(crash: crash_table.CrashRecord) -> str:
     fields = [crash.content, str(crash.number), crash.runner]
     return _SEPARATOR.join(fields)
--- a/tests/test_promises/test_suspension.py
+++ b/tests/test_promises/test_suspension.py
@@ -16,7 +16,7 @@
 from martenquay_daemon.duties import lease
 from martenquay_daemon.fleet import view
 from martenquay_daemon.forwarding import retry_window
-from martenquay_daemon.quarantine import strikes
+from martenquay_daemon.quarantine import crash_table
 from martenquay_standins.ports import log
 from tests import allowance_fleet
 
@@ -99,9 +99,9 @@
 
     def test_a_quarantine_lasts_as_long_as_was_told(self) -> None:
         async def scenario() -> None:
-            table = strikes.CrashTable(trio.current_time)
-            for number in range(strikes.QUARANTINE_ROUNDS):
-                table.add(strikes.CrashRecord("a", number, "runner-1"))
+            table = crash_table.CrashTable(trio.current_time)
+            for number in range(crash_table.QUARANTINE_ROUNDS):
+                table.add(crash_table.CrashRecord("a", number, "runner-1"))
             told_s = table.find_quarantine_s("a")
             self.clock.jump(_SLEEP_S)
             self.assertEqual(told_s - _SLEEP_S, table.find_quarantine_s("a"))
--- a/tests/test_quarantine/test_strikes.py
+++ b/tests/test_quarantine/test_crash_table.py
@@ -6,7 +6,7 @@
 import testtools
 from hypothesis import strategies
 
-from martenquay_daemon.quarantine import strikes
+from martenquay_daemon.quarantine import crash_table
 
 _HOUR_S = 3600.0
 _SETTINGS = hypothesis.settings(derandomize=True, deadline=None, database=None)
@@ -20,14 +20,18 @@
         return self.now
 
 
-def _build_table(max_contents: int = 100) -> tuple[strikes.CrashTable, _Clock]:
+def _build_table(
+    max_contents: int = 100,
+) -> tuple[crash_table.CrashTable, _Clock]:
     clock = _Clock()
-    return strikes.CrashTable(clock, max_contents), clock
+    return crash_table.CrashTable(clock, max_contents), clock
 
 
-def _add_crash(table: strikes.CrashTable, content: str) -> strikes.CrashRecord:
+def _add_crash(
+    table: crash_table.CrashTable, content: str
+) -> crash_table.CrashRecord:
     number = table.find_latest(content) + 1
-    crash = strikes.CrashRecord(content, number, f"runner-{number}")
+    crash = crash_table.CrashRecord(content, number, f"runner-{number}")
     table.add(crash)
     return crash
 
@@ -73,11 +77,11 @@
         self._end_together(table, 2)
         self.assertIsNotNone(table.find_quarantine_s("a"))
 
-    def _end_together(self, table: strikes.CrashTable, count: int) -> None:
+    def _end_together(self, table: crash_table.CrashTable, count: int) -> None:
         number = table.find_latest("a") + 1
         for rank in range(count):
             table.add(
-                strikes.CrashRecord("a", number, f"runner-{number}-{rank}")
+                crash_table.CrashRecord("a", number, f"runner-{number}-{rank}")
             )
 
     def test_numbers_continue_after_a_record_was_removed(self) -> None:
@@ -108,7 +112,7 @@
 class DroppingTest(testtools.TestCase):
     def test_a_content_without_a_crash_for_two_days_is_dropped(self) -> None:
         table, clock = _build_table()
-        dropped: list[strikes.CrashRecord] = []
+        dropped: list[crash_table.CrashRecord] = []
         table.on_dropped = dropped.extend
         old = _add_crash(table, "a")
         clock.now = 48 * _HOUR_S + 1.0
@@ -127,7 +131,7 @@
 
 
 _CRASH_RECORD = strategies.builds(
-    strikes.CrashRecord,
+    crash_table.CrashRecord,
     strategies.sampled_from("abc"),
     strategies.integers(1, 6),
     strategies.sampled_from(["r-1", "r-2", "r-3"]),
@@ -145,7 +149,9 @@
     )
     def test_daemons_that_read_the_same_records_agree(
         self,
-        orders: tuple[list[strikes.CrashRecord], list[strikes.CrashRecord]],
+        orders: tuple[
+            list[crash_table.CrashRecord], list[crash_table.CrashRecord]
+        ],
     ) -> None:
         quarantines = []
         for order in orders:
@@ -164,8 +170,8 @@
     )
     def test_a_snapshot_replaces_all_that_came_before(
         self,
-        before: list[strikes.CrashRecord],
-        after: list[strikes.CrashRecord],
+        before: list[crash_table.CrashRecord],
+        after: list[crash_table.CrashRecord],
     ) -> None:
         table, _ = _build_table()
         for crash in before:
