--- a/tests/allowance_fleet.py
+++ b/tests/allowance_fleet.py
@@ -64,17 +64,17 @@
         return True
 
     async def ask(
-        self, team: str, wish: terms.AdmissionRequest
+        self, team: str, request: terms.AdmissionRequest
     ) -> terms.AdmissionDecision | None:
         """Return None: there is no quota hub."""
-        del team, wish
+        del team, request
         return None
 
     async def ask_address(
-        self, address: str, team: str, wish: terms.AdmissionRequest
+        self, address: str, team: str, request: terms.AdmissionRequest
     ) -> terms.AdmissionDecision | None:
         """Return None: no other daemon is reachable."""
-        del address, team, wish
+        del address, team, request
         return None
 
 
