--- a/tests/test_allowances/test_quota_bucket.py
+++ b/tests/test_allowances/test_quota_bucket.py
@@ -9,7 +9,7 @@
 _LIFE_S = 1.6
 
 
-class TokenPileTest(testtools.TestCase):
+class QuotaBucketTest(testtools.TestCase):
     def test_units_expire_a_lifetime_after_they_were_refilled(self) -> None:
         bucket = quota_bucket.QuotaBucket(_LIFE_S)
         bucket.add_refill(10.1, 10.0, 10.1, 100.0)
