--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -164,8 +164,8 @@
     Mutation(
         "a loan ends counted from the report that it names",
         f"{DAEMON}/allowances/refill_shares.py",
-        "end = reported_at + loan.ends_s",
-        "end = now + loan.ends_s",
+        "end = reported_at + delegation.ends_s",
+        "end = now + delegation.ends_s",
         _RIGHTS,
     ),
     Mutation(
@@ -263,9 +263,9 @@
     ),
     Mutation(
         "the third crash is the last",
-        f"{DAEMON}/quarantine/strikes.py",
-        "MOST_ROUNDS = 3",
-        "MOST_ROUNDS = 99",
+        f"{DAEMON}/quarantine/crash_table.py",
+        "QUARANTINE_ROUNDS = 3",
+        "QUARANTINE_ROUNDS = 99",
         "tests.test_promises.test_crashing_request",
     ),
     Mutation(
--- a/packages/daemon/src/martenquay_daemon/allowances/gate.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/gate.py
@@ -1,4 +1,4 @@
-"""Let requests in as far as their teams' allowances go."""
+"""Admit or refuse requests by their teams' quota."""
 
 from __future__ import annotations
 
@@ -16,135 +16,138 @@
 
 __all__ = ["AllowanceGate", "QuotaHolders", "create_gate"]
 
-# For so long a request waits for units that other daemons have: a message there
-# and one back, each sent within 40 ms.
-_WAIT_S = 0.2
-# Between two looks whether parts have come.
-_LOOK_S = 0.05
+# How long a request waits for quota of other daemons: a message there and a
+# transfer back.
+_TRANSFER_WAIT_S = 0.2
+_SHARE_POLL_S = 0.05
 
 
 class QuotaHolders(Protocol):
-    """The daemons that keep units for others."""
+    """The daemons that hold quota for others."""
 
     def holds_quota_here(self) -> bool:
-        """Tell whether this daemon keeps the units that it needs itself."""
+        """Return whether this daemon holds the quota that it needs."""
 
     async def ask(
-        self, team: str, wish: terms.AdmissionRequest
+        self, team: str, request: terms.AdmissionRequest
     ) -> terms.AdmissionDecision | None:
-        """Have a daemon decide that keeps this one's; None if none answers."""
+        """Have a quota hub decide; return None if none answers."""
 
     async def ask_address(
-        self, address: str, team: str, wish: terms.AdmissionRequest
+        self, address: str, team: str, request: terms.AdmissionRequest
     ) -> terms.AdmissionDecision | None:
-        """Have one daemon decide that has units; None if it says nothing."""
+        """Have the daemon at an address decide; return None if it fails to."""
 
 
-def _lack_none() -> bool:
+def _lacks_none() -> bool:
     return False
 
 
 class AllowanceGate:
-    """Decide by the units here, or have those decide that keep them.
+    """Decides on requests by local quota, or asks the daemons that hold it.
 
     Attributes:
-        lacks_shares: Tells whether parts that this daemon is to keep have not
-            been lent to it yet; then what is here says little.
+        lacks_shares: Returns whether refill shares that are to be delegated to
+            this daemon have not arrived yet; the quota here is then too low
+            to refuse a request.
     """
 
     def __init__(
-        self, units: quota_ledger.QuotaLedger, keepers: QuotaHolders
+        self, ledger: quota_ledger.QuotaLedger, holders: QuotaHolders
     ) -> None:
-        self.lacks_shares: Callable[[], bool] = _lack_none
-        self._units = units
-        self._keepers = keepers
+        self.lacks_shares: Callable[[], bool] = _lacks_none
+        self._ledger = ledger
+        self._holders = holders
 
     async def acquire(
-        self, team: catalog.Team, wish: terms.AdmissionRequest
+        self, team: catalog.Team, request: terms.AdmissionRequest
     ) -> terms.AdmissionDecision:
-        """Spend units for a request that came to this daemon."""
+        """Spend quota for a request that a caller sent to this daemon."""
         if team.rate <= 0:
             return terms.AdmissionDecision(0.0)
-        if not self._keepers.holds_quota_here():
-            answer = await self._keepers.ask(team.name, wish)
-            if answer is not None:
-                return answer
-        verdict = await self._take_here(team, wish)
+        if not self._holders.holds_quota_here():
+            decision = await self._holders.ask(team.name, request)
+            if decision is not None:
+                return decision
+        verdict = await self._spend_locally(team, request)
         match verdict:
             case terms.HeldElsewhere(holder=holder) if holder:
-                answer = await self._keepers.ask_address(
-                    holder, team.name, wish
+                decision = await self._holders.ask_address(
+                    holder, team.name, request
                 )
-                if answer is not None and answer.is_admitted:
-                    return answer
-        return await self.settle(team, wish, verdict, _WAIT_S)
+                if decision is not None and decision.is_admitted:
+                    return decision
+        return await self.settle(team, request, verdict, _TRANSFER_WAIT_S)
 
-    async def _take_here(
-        self, team: catalog.Team, wish: terms.AdmissionRequest
+    async def _spend_locally(
+        self, team: catalog.Team, request: terms.AdmissionRequest
     ) -> terms.Verdict:
-        """Return the verdict of the units here, once there can be some.
+        """Try to spend local quota, waiting for refill shares to arrive.
 
-        When all daemons have started, callers that were cut off come back
-        within the second in which parts are lent. Refused then, they mostly
-        gave up; a second later there was enough for all.
+        Without the wait, callers that reconnect after a restart of the fleet
+        would be refused before the shares have been delegated.
         """
-        end = trio.current_time() + wish.max_wait_s
-        verdict = self._units.try_spend(team, wish)
+        deadline = trio.current_time() + request.max_wait_s
+        verdict = self._ledger.try_spend(team, request)
         while isinstance(verdict, terms.Refused) and self.lacks_shares():
-            if trio.current_time() >= end:
+            if trio.current_time() >= deadline:
                 break
-            await trio.sleep(_LOOK_S)
-            verdict = self._units.try_spend(team, wish, is_again=True)
+            await trio.sleep(_SHARE_POLL_S)
+            verdict = self._ledger.try_spend(team, request, is_again=True)
         return verdict
 
     async def settle(
         self,
         team: catalog.Team,
-        wish: terms.AdmissionRequest,
+        request: terms.AdmissionRequest,
         verdict: terms.Verdict,
         wait_s: float,
     ) -> terms.AdmissionDecision:
-        """Return what comes of a verdict of the units here.
+        """Turn the local ledger's verdict into a decision.
 
         Args:
-            team: Who spends.
-            wish: What for.
-            verdict: The verdict.
-            wait_s: How long the request may wait for units of others.
+            team: The team whose quota is spent.
+            request: What the request asks for.
+            verdict: The local ledger's verdict.
+            wait_s: How long the request may wait for transfers.
         """
         match verdict:
             case terms.HeldElsewhere(missing=missing):
-                verdict = await self._wait(team, wish, missing, wait_s)
-        standing = self._units.describe(team.name)
+                verdict = await self._wait_for_quota(
+                    team, request, missing, wait_s
+                )
+        status = self._ledger.describe(team.name)
         match verdict:
             case terms.Admitted():
-                return terms.AdmissionDecision(0.0, standing)
+                return terms.AdmissionDecision(0.0, status)
             case _:
-                retry_s = self._units.refuse(team, wish.units)
-                return terms.AdmissionDecision(retry_s, standing)
+                retry_s = self._ledger.schedule_retry(team, request.units)
+                return terms.AdmissionDecision(retry_s, status)
 
-    async def _wait(
+    async def _wait_for_quota(
         self,
         team: catalog.Team,
-        wish: terms.AdmissionRequest,
+        request: terms.AdmissionRequest,
         missing: float,
         wait_s: float,
     ) -> terms.Verdict:
-        """Wait a moment for units that others have."""
+        """Retry on each transfer until the request is decided or times out."""
         verdict: terms.Verdict = terms.HeldElsewhere(missing)
-        self._units.note_shortage(team, missing)
+        self._ledger.note_shortage(team, missing)
         try:
             with trio.move_on_after(wait_s):
                 while isinstance(verdict, terms.HeldElsewhere):
-                    await self._units.news.wait()
-                    verdict = self._units.try_spend(team, wish, is_again=True)
+                    await self._ledger.quota_received.wait()
+                    verdict = self._ledger.try_spend(
+                        team, request, is_again=True
+                    )
         finally:
-            self._units.note_shortage(team, -missing)
+            self._ledger.note_shortage(team, -missing)
         return verdict
 
 
 def create_gate(
-    units: quota_ledger.QuotaLedger, keepers: QuotaHolders
+    ledger: quota_ledger.QuotaLedger, holders: QuotaHolders
 ) -> AllowanceGate:
     """Return a gate."""
-    return AllowanceGate(units, keepers)
+    return AllowanceGate(ledger, holders)
--- a/packages/daemon/src/martenquay_daemon/fleet/quota_exchange.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/quota_exchange.py
@@ -112,7 +112,7 @@
         """Return whether a rate share is not delegated to a hub yet."""
         return (
             self._links.find_quota_hub() is not None
-            and self._ledger.rights.find_usable_share() > 0
+            and self._ledger.shares.find_usable_share() > 0
         )
 
     def create_delegation(self) -> messages.DelegationEntry | None:
@@ -120,7 +120,7 @@
         hub = self._links.find_quota_hub()
         if hub is None:
             return None
-        delegation = self._ledger.rights.delegate(hub.member, hub.number)
+        delegation = self._ledger.shares.delegate(hub.member, hub.number)
         if delegation is None:
             return None
         return messages.DelegationEntry(
@@ -143,7 +143,7 @@
                 in trio's time; None if it names none of the last ones.
         """
         self._roster.note_read_end(digest.instance, digest.members_end)
-        shares = self._ledger.rights
+        shares = self._ledger.shares
         shares.end_former_delegations(digest.instance, digest.member)
         entry = digest.loan
         if (
@@ -170,7 +170,7 @@
         """
         expected = self._roster.find_zone_share(self._zone)
         has_most = (
-            self._ledger.rights.find_usable_share()
+            self._ledger.shares.find_usable_share()
             >= _MIN_ZONE_FRACTION * expected
         )
         now = trio.current_time()
@@ -188,7 +188,7 @@
         delegation is valid, the announcement does not count as applied, so
         that the new daemon does not use its share too early.
         """
-        if not self._ledger.rights.has_larger_delegation():
+        if not self._ledger.shares.has_larger_delegation():
             self._members_end = max(0, self._members.end)
         return self._members_end
 
@@ -208,7 +208,7 @@
         teams = self._store.table.catalog.teams
         team = next((one for one in teams if one.name == request.team), None)
         passed = messages.QuotaReply(request.number, _Verdict.PASSED)
-        if team is None or self._ledger.rights.find_usable_share() <= 0:
+        if team is None or self._ledger.shares.find_usable_share() <= 0:
             reply(passed)
             return
         admission = terms.AdmissionRequest(
@@ -271,7 +271,7 @@
                 round(balance.needed),
                 math.floor(balance.overdraft),
             )
-            for team, balance in self._ledger.list_holdings().items()
+            for team, balance in self._ledger.list_balances().items()
         }
 
 
@@ -284,7 +284,7 @@
             messages.LotEntry(units, math.floor(life_s * _MS))
             for units, life_s in found
         ]
-        for team, found in transfer.parcels.items()
+        for team, found in transfer.lots.items()
     }
     return messages.TransferEntry(transfer.heard, lots)
 
--- a/tests/serving_scene.py
+++ b/tests/serving_scene.py
@@ -144,8 +144,8 @@
             directory=self.directory,
             entries=self.entries,
             allowances=gate.create_gate(
-                allowance_fleet.build_escrow(bounds=tolerance),
-                allowance_fleet.OwnKeeper(),
+                allowance_fleet.build_ledger(bounds=tolerance),
+                allowance_fleet.LocalQuota(),
             ),
             placer=placer.Placer(
                 "a",
--- a/tests/test_fleet/test_quota_exchange.py
+++ b/tests/test_fleet/test_quota_exchange.py
@@ -50,11 +50,11 @@
         store = catalog_store.create_store(records)
         store.offer(b"catalog", "the test")
         self.share = share
-        self.rights = refill_shares.RefillShares(
+        self.shares = refill_shares.RefillShares(
             lambda: refill_shares.RateShare(self.share, 0.0), 8.0
         )
         self.ledger = quota_ledger.create_quota_ledger(
-            allowance_fleet.BOUNDS, self.rights, lambda: None
+            allowance_fleet.BOUNDS, self.shares, lambda: None
         )
         self.ledger.refill([_TEAM])
         self.roster = roster.Roster("entry-1")
@@ -71,7 +71,7 @@
             "a",
             store,
             self.ledger,
-            gate.create_gate(self.ledger, allowance_fleet.OwnKeeper()),
+            gate.create_gate(self.ledger, allowance_fleet.LocalQuota()),
             self.roster,
             _FakeFollower(),
             self.links,
@@ -158,6 +158,6 @@
             hub = self._build(0.0)
             # The delegation names another process as its receiver.
             hub.apply_subscriber_digest(digest, trio.current_time())
-            self.assertEqual(0.0, self.rights.find_usable_share())
+            self.assertEqual(0.0, self.shares.find_usable_share())
 
         self.run_clocked(scenario)
--- a/tests/test_promises/test_suspension.py
+++ b/tests/test_promises/test_suspension.py
@@ -16,7 +16,7 @@
 from martenquay_daemon.duties import lease
 from martenquay_daemon.fleet import view
 from martenquay_daemon.forwarding import retry_window
-from martenquay_daemon.quarantine import strikes
+from martenquay_daemon.quarantine import crash_table
 from martenquay_standins.ports import log
 from tests import allowance_fleet
 
@@ -52,8 +52,8 @@
 
     def test_a_borrowed_part_is_its_owners_again(self) -> None:
         async def scenario() -> None:
-            hub = allowance_fleet.build_rights(0.0)
-            lender = allowance_fleet.build_rights(0.1)
+            hub = allowance_fleet.build_refill_shares(0.0)
+            lender = allowance_fleet.build_refill_shares(0.1)
             reported_at = trio.current_time()
             loan = lender.delegate("hub.1", 7)
             hub.accept_delegation("entry-1", "entry-1.1", loan, reported_at)
@@ -68,7 +68,7 @@
 
     def test_units_end_with_their_time(self) -> None:
         async def scenario() -> None:
-            ledger = allowance_fleet.build_escrow()
+            ledger = allowance_fleet.build_ledger()
             await trio.sleep(20.0)
             before = _count_units(ledger)
             self.clock.jump(_SLEEP_S)
@@ -99,12 +99,12 @@
 
     def test_a_quarantine_lasts_as_long_as_was_told(self) -> None:
         async def scenario() -> None:
-            table = strikes.CrashTable(trio.current_time)
-            for number in range(strikes.MOST_ROUNDS):
-                table.add(strikes.CrashRecord("a", number, "runner-1"))
-            told_s = table.find_hold("a")
+            table = crash_table.CrashTable(trio.current_time)
+            for number in range(crash_table.QUARANTINE_ROUNDS):
+                table.add(crash_table.CrashRecord("a", number, "runner-1"))
+            told_s = table.find_quarantine_s("a")
             self.clock.jump(_SLEEP_S)
-            self.assertEqual(told_s - _SLEEP_S, table.find_hold("a"))
+            self.assertEqual(told_s - _SLEEP_S, table.find_quarantine_s("a"))
 
         self._run(scenario)
 
