--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -37,7 +37,8 @@
     mutation.Mutation(
         "claim won without reading it back",
         f"{mutation.DAEMON}/claims/shard.py",
-        "        return await self._find_known(claim) or _refuse()\n",
+        "        return await self._find_settlement(claim) or "
+        "_create_log_down_reply()\n",
         "        return messages.SettleReply(\n"
         "            settlement=messages.Settlement.WON)\n",
         f"{_PROMISES}.test_at_most_once.ConcurrentKeyTest",
@@ -53,7 +54,8 @@
         "a lost answer is asked for again",
         f"{mutation.DAEMON}/dispatch/service.py",
         "            if answer.error.sent:\n"
-        "                return Error(_explain_lost(call, runner))\n",
+        "                return Error("
+        "_create_answer_lost_failure(call, runner))\n",
         "",
         f"{_PROMISES}.test_at_most_once.LostAnswerTest",
     ),
@@ -76,20 +78,20 @@
         "an old booking that cannot be read is told as not run",
         f"{mutation.DAEMON}/claims/shard.py",
         "return messages.SettleReply(settlement=messages.Settlement.DONE)",
-        "return _refuse()",
+        "return _create_log_down_reply()",
         "tests.test_daemon.test_claims.OldOutcomeTest",
     ),
     mutation.Mutation(
         "tokens passed on as they come",
-        f"{mutation.DAEMON}/dispatch/relay.py",
+        f"{mutation.DAEMON}/dispatch/token_sequencer.py",
         "        ready: list[str] = []\n",
         "        return [event.text]\n        ready: list[str] = []\n",
         f"{_PROMISES}.test_whole_answers.StreamTest",
     ),
     mutation.Mutation(
         "events of other requests and attempts let through",
-        f"{mutation.DAEMON}/dispatch/relay.py",
-        "        return own\n",
+        f"{mutation.DAEMON}/dispatch/token_sequencer.py",
+        "        return matches\n",
         "        return True\n",
         f"{_PROMISES}.test_whole_answers.StreamTest",
     ),
@@ -163,14 +165,14 @@
     mutation.Mutation(
         "work does not wait for its configuration",
         f"{mutation.DAEMON}/deferrable/worker.py",
-        "        await self._config_applied.wait_for(work.config_offset)\n",
+        "        await self._config_applied.wait_for(request.config_offset)\n",
         "",
         f"{_PROMISES}.test_deferrable",
     ),
     mutation.Mutation(
         "open work is not carried forward",
         f"{mutation.DAEMON}/deferrable/worker.py",
-        "                self._carry_old(nursery)\n",
+        "                self._renew_old_records(nursery)\n",
         "",
         f"{_PROMISES}.test_deferrable",
     ),
--- a/packages/daemon/src/martenquay_daemon/callers/chats.py
+++ b/packages/daemon/src/martenquay_daemon/callers/chats.py
@@ -86,7 +86,7 @@
             await self._send_whole(caller, state.answer)
 
     async def perform(
-        self, work: table.Work, body: bytes
+        self, work: table.OpenRequest, body: bytes
     ) -> Result[bytes, results.Failure]:
         """Answer an accepted deferrable request from its body."""
         team = self._teams.find_by_name(work.team)
--- a/packages/daemon/src/martenquay_daemon/claims/manager.py
+++ b/packages/daemon/src/martenquay_daemon/claims/manager.py
@@ -20,10 +20,10 @@
 
 _LOG = logs.create_log("claims")
 _SETTLE_TIMEOUT_S = 3.5
-_WAIT_MARGIN_S = 1.0
-_REVIEW_S = 1.0
-_RETRY_S = 0.5
-_PARALLEL_REPORTS = 64
+_REPLY_MARGIN_S = 1.0
+_FOLLOW_CHECK_INTERVAL_S = 1.0
+_REPORT_RETRY_S = 0.5
+_MAX_PARALLEL_REPORTS = 64
 
 
 class ClaimManager:
@@ -39,18 +39,20 @@
         log_health: health.LogHealth,
         shard_map: shards.ShardMap,
         peers: links.PeerLinks,
-        spacing_s: float,
+        min_interval_s: float,
         full_outcomes: int,
     ) -> None:
         self._client = client
         self._health = log_health
-        self._map = shard_map
+        self._shard_map = shard_map
         self._peers = peers
-        self._spacing_s = spacing_s
+        self._min_interval_s = min_interval_s
         self._full_outcomes = full_outcomes
-        self._own: dict[int, shard.ClaimShard] = {}
-        self._unreported: trio.MemorySendChannel[records.ClaimRecord]
-        self._unreported, self._reports = trio.open_memory_channel(100_000)
+        self._shards: dict[int, shard.ClaimShard] = {}
+        self._report_sender: trio.MemorySendChannel[records.ClaimRecord]
+        self._report_sender, self._report_receiver = trio.open_memory_channel(
+            100_000
+        )
         self._nursery: trio.Nursery | None = None
 
     async def run(
@@ -62,14 +64,14 @@
             nursery.start_soon(self._deliver_reports)
             task_status.started()
             while True:
-                for number in self._map.list_own():
-                    self._follow(number)
-                await trio.sleep(_REVIEW_S)
+                for number in self._shard_map.list_own():
+                    self._ensure_followed(number)
+                await trio.sleep(_FOLLOW_CHECK_INTERVAL_S)
 
     async def settle(self, claim: records.Claim) -> messages.SettleReply:
         """Settle a claim; the same claim may be settled again."""
-        number = self._map.find_shard(claim.key)
-        if number not in self._own:
+        number = self._shard_map.find_shard(claim.key)
+        if number not in self._shards:
             message = messages.SettleClaim(
                 shard=number,
                 key=claim.key,
@@ -82,14 +84,14 @@
             )
             if reply is not None:
                 return reply
-        return await self._follow(number).settle(claim)
+        return await self._ensure_followed(number).settle(claim)
 
     async def wait_outcome(
         self, claim: records.Claim, wait_s: float
     ) -> messages.SettleReply:
         """Wait for the outcome of the claim that holds this claim's key."""
-        number = self._map.find_shard(claim.key)
-        if number not in self._own:
+        number = self._shard_map.find_shard(claim.key)
+        if number not in self._shards:
             message = messages.WaitOutcome(
                 shard=number,
                 key=claim.key,
@@ -98,23 +100,25 @@
                 wait_s=wait_s,
             )
             reply = await self._ask_followers(
-                number, message, wait_s + _WAIT_MARGIN_S
+                number, message, wait_s + _REPLY_MARGIN_S
             )
             if reply is not None:
                 return reply
-        return await self._follow(number).wait_outcome(claim, wait_s)
+        return await self._ensure_followed(number).wait_outcome(claim, wait_s)
 
     def report(self, record: records.ClaimRecord) -> None:
         """Have a release or an outcome put into the log, sooner or later."""
-        self._unreported.send_nowait(record)
+        self._report_sender.send_nowait(record)
 
     def count_unreported(self) -> int:
         """Return how many records still wait for the log."""
-        return self._reports.statistics().current_buffer_used
+        return self._report_receiver.statistics().current_buffer_used
 
     def count_keys(self) -> int:
         """Return how many keys this daemon holds in memory."""
-        return sum(len(own.claims) for own in self._own.values())
+        return sum(
+            len(claim_shard.claims) for claim_shard in self._shards.values()
+        )
 
     async def settle_for_peer(
         self, message: messages.SettleClaim
@@ -126,7 +130,7 @@
             message.holder,
             message.request_digest,
         )
-        return await self._follow(message.shard).settle(claim)
+        return await self._ensure_followed(message.shard).settle(claim)
 
     async def wait_for_peer(
         self, message: messages.WaitOutcome
@@ -135,8 +139,8 @@
         claim = records.Claim(
             message.key, message.attempt, "", message.request_digest
         )
-        own = self._follow(message.shard)
-        return await own.wait_outcome(claim, message.wait_s)
+        claim_shard = self._ensure_followed(message.shard)
+        return await claim_shard.wait_outcome(claim, message.wait_s)
 
     async def append_for_peer(
         self, message: messages.ReportOutcome
@@ -145,25 +149,25 @@
         record = records.decode(message.record)
         if record is None:
             return messages.Unavailable("the record cannot be read")
-        if await self._follow(message.shard).append(record):
+        if await self._ensure_followed(message.shard).append(record):
             return messages.Acknowledged()
         return messages.Unavailable("the log did not answer")
 
-    def _follow(self, number: int) -> shard.ClaimShard:
-        own = self._own.get(number)
-        if own is None:
+    def _ensure_followed(self, number: int) -> shard.ClaimShard:
+        claim_shard = self._shards.get(number)
+        if claim_shard is None:
             assert self._nursery is not None, "the desk is not running"
-            own = shard.create_shard(
+            claim_shard = shard.create_shard(
                 self._client,
-                self._map.name_stream(number),
+                self._shard_map.name_stream(number),
                 self._health,
-                self._spacing_s,
+                self._min_interval_s,
                 self._full_outcomes,
             )
-            self._own[number] = own
-            self._nursery.start_soon(own.run)
+            self._shards[number] = claim_shard
+            self._nursery.start_soon(claim_shard.run)
             _LOG.write(f"Follow claim stream {number}.", shard=number)
-        return own
+        return claim_shard
 
     async def _ask_followers(
         self,
@@ -171,7 +175,7 @@
         message: messages.SettleClaim | messages.WaitOutcome,
         timeout_s: float,
     ) -> messages.SettleReply | None:
-        for member in self._map.list_followers(number):
+        for member in self._shard_map.list_followers(number):
             reply = await self._peers.request(member, message, timeout_s)
             match reply:
                 case Result(tag="ok", ok=messages.SettleReply() as settled):
@@ -181,25 +185,25 @@
         return None
 
     async def _deliver_reports(self) -> None:
-        limiter = trio.CapacityLimiter(_PARALLEL_REPORTS)
+        limiter = trio.CapacityLimiter(_MAX_PARALLEL_REPORTS)
         async with trio.open_nursery() as nursery:
-            async for record in self._reports:
+            async for record in self._report_receiver:
                 await limiter.acquire_on_behalf_of(record)
-                nursery.start_soon(self._deliver_one, record, limiter)
+                nursery.start_soon(self._deliver_with_retries, record, limiter)
 
-    async def _deliver_one(
+    async def _deliver_with_retries(
         self, record: records.ClaimRecord, limiter: trio.CapacityLimiter
     ) -> None:
         while not await self._deliver(record):
-            await trio.sleep(_RETRY_S)
+            await trio.sleep(_REPORT_RETRY_S)
         limiter.release_on_behalf_of(record)
 
     async def _deliver(self, record: records.ClaimRecord) -> bool:
-        number = self._map.find_shard(record.key)
-        if number in self._own:
-            return await self._own[number].append(record)
+        number = self._shard_map.find_shard(record.key)
+        if number in self._shards:
+            return await self._shards[number].append(record)
         message = messages.ReportOutcome(number, records.encode(record))
-        for member in self._map.list_followers(number):
+        for member in self._shard_map.list_followers(number):
             reply = await self._peers.request(
                 member, message, _SETTLE_TIMEOUT_S
             )
@@ -208,4 +212,4 @@
                     return True
                 case _:
                     continue
-        return await self._follow(number).append(record)
+        return await self._ensure_followed(number).append(record)
--- a/packages/daemon/src/martenquay_daemon/claims/shard.py
+++ b/packages/daemon/src/martenquay_daemon/claims/shard.py
@@ -15,13 +15,13 @@
 
 if TYPE_CHECKING:
     from martenquay_core.platform import log
-    from martenquay_daemon.journal import archive, health
+    from martenquay_daemon.journal import health, offset_index
 
 __all__ = ["ClaimShard", "create_shard"]
 
 _LOG = logs.create_log("claims")
 # How long a claim whose append got no answer is looked for in the log.
-_READ_BACK_S = 1.0
+_READ_BACK_TIMEOUT_S = 1.0
 _POLL_S = 0.05
 
 
@@ -53,30 +53,30 @@
             nursery.start_soon(self._appender.run)
             while True:
                 await trio.sleep(1.0)
-                self.claims.forget_before(self._follower.start)
+                self.claims.forget_before(self._follower.oldest_offset)
 
     async def settle(self, claim: records.Claim) -> messages.SettleReply:
         """Put a claim into the log and read how the log's order settles it.
 
         A claim is never said to be won before it was read back.
         """
-        known = await self._find_known(claim)
+        known = await self._find_settlement(claim)
         if known is not None:
             return known
         if not self._health.is_up:
-            return _refuse()
+            return _create_log_down_reply()
         appended = await self._appender.append(records.encode(claim))
         match appended:
             case Result(tag="ok", ok=offset):
-                with trio.move_on_after(_READ_BACK_S):
+                with trio.move_on_after(_READ_BACK_TIMEOUT_S):
                     await self._follower.applied.wait_for(offset)
             case Result(
                 error=outcome.PlatformFailure(effect=outcome.Effect.UNKNOWN)
             ):
-                await self._look_for(claim)
+                await self._wait_for_claim(claim)
             case _:
-                return _refuse()
-        return await self._find_known(claim) or _refuse()
+                return _create_log_down_reply()
+        return await self._find_settlement(claim) or _create_log_down_reply()
 
     async def append(self, record: records.ClaimRecord) -> bool:
         """Append a release or an outcome; tell whether that is certain."""
@@ -94,41 +94,47 @@
         with trio.move_on_after(wait_s):
             while True:
                 applied = self._follower.applied.value
-                reply = await self._describe(claim)
+                reply = await self._find_settlement_or_free(claim)
                 if reply.settlement is not messages.Settlement.HELD:
                     return reply
                 await self._follower.applied.wait_beyond(applied)
-        return await self._describe(claim)
+        return await self._find_settlement_or_free(claim)
 
-    async def _describe(self, claim: records.Claim) -> messages.SettleReply:
+    async def _find_settlement_or_free(
+        self, claim: records.Claim
+    ) -> messages.SettleReply:
         free = messages.SettleReply(settlement=messages.Settlement.FREE)
-        return await self._find_known(claim) or free
+        return await self._find_settlement(claim) or free
 
-    async def _find_known(
+    async def _find_settlement(
         self, claim: records.Claim
     ) -> messages.SettleReply | None:
         """Return how a key stands, or None if nobody holds it."""
         entry = self.claims.find(claim.key)
         if entry is not None:
-            return _judge(claim, entry)
-        place = self.claims.find_old(claim.key)
-        return await self._read_old(claim, place) if place else None
+            return _create_entry_reply(claim, entry)
+        location = self.claims.find_archived(claim.key)
+        return (
+            await self._read_archived_outcome(claim, location)
+            if location
+            else None
+        )
 
-    async def _read_old(
-        self, claim: records.Claim, place: archive.Place
+    async def _read_archived_outcome(
+        self, claim: records.Claim, location: offset_index.RecordRange
     ) -> messages.SettleReply:
         page = await self._client.read(
-            self._appender.stream, place.offset, limit=1
+            self._appender.stream, location.offset, limit=1
         )
         if page.is_ok() and page.ok.records:
             found = records.decode(page.ok.records[0].payload)
             if isinstance(found, records.Outcome) and found.key == claim.key:
-                return _tell_outcome(claim, found)
+                return _create_outcome_reply(claim, found)
         # It ran; what came of it cannot be read now.
         return messages.SettleReply(settlement=messages.Settlement.DONE)
 
-    async def _look_for(self, claim: records.Claim) -> None:
-        with trio.move_on_after(_READ_BACK_S):
+    async def _wait_for_claim(self, claim: records.Claim) -> None:
+        with trio.move_on_after(_READ_BACK_TIMEOUT_S):
             while self.claims.find(claim.key) is None:
                 await trio.sleep(_POLL_S)
 
@@ -137,7 +143,7 @@
     client: log.LogClient,
     stream: str,
     log_health: health.LogHealth,
-    spacing_s: float,
+    min_interval_s: float,
     full_outcomes: int,
 ) -> ClaimShard:
     """Return a shard that follows the stream once it runs."""
@@ -145,18 +151,20 @@
     return ClaimShard(
         client,
         follower.StreamFollower(client, stream, log_health, claims.apply),
-        appender.StreamAppender(client, stream, log_health, spacing_s),
+        appender.StreamAppender(client, stream, log_health, min_interval_s),
         claims,
         log_health,
     )
 
 
-def _judge(claim: records.Claim, entry: table.Entry) -> messages.SettleReply:
+def _create_entry_reply(
+    claim: records.Claim, entry: table.Entry
+) -> messages.SettleReply:
     """Return what a claimant has to know of the claim that holds its key."""
     if entry.claim.request_digest != claim.request_digest:
         return messages.SettleReply(settlement=messages.Settlement.MISMATCH)
     if entry.outcome is not None:
-        return _tell_outcome(claim, entry.outcome)
+        return _create_outcome_reply(claim, entry.outcome)
     won = entry.claim.attempt == claim.attempt
     settlement = messages.Settlement.WON if won else messages.Settlement.HELD
     return messages.SettleReply(
@@ -164,7 +172,7 @@
     )
 
 
-def _tell_outcome(
+def _create_outcome_reply(
     claim: records.Claim, outcome: records.Outcome
 ) -> messages.SettleReply:
     if outcome.request_digest != claim.request_digest:
@@ -177,5 +185,5 @@
     )
 
 
-def _refuse() -> messages.SettleReply:
+def _create_log_down_reply() -> messages.SettleReply:
     return messages.SettleReply(settlement=messages.Settlement.LOG_DOWN)
--- a/packages/daemon/src/martenquay_daemon/claims/table.py
+++ b/packages/daemon/src/martenquay_daemon/claims/table.py
@@ -15,14 +15,14 @@
 from typing import TYPE_CHECKING, TypeVar
 
 from martenquay_daemon.claims import records
-from martenquay_daemon.journal import archive
+from martenquay_daemon.journal import offset_index
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
 __all__ = ["ClaimTable", "Entry"]
 
-Kept = TypeVar("Kept")
+Value = TypeVar("Value")
 
 
 @dataclasses.dataclass
@@ -45,17 +45,17 @@
 
     def __init__(self, full_outcomes: int) -> None:
         self._full_outcomes = full_outcomes
-        self._done: OrderedDict[str, int] = OrderedDict()
-        self._archive = archive.Archive()
+        self._outcome_offsets: OrderedDict[str, int] = OrderedDict()
+        self._archived = offset_index.OffsetIndex()
         # Both in the order of their offsets, so that old ones go first.
         self._entries: OrderedDict[str, Entry] = OrderedDict()
         # Attempts that can never win: released ones, and those that found
         # the key held. Their claims may come again or late.
-        self._void: OrderedDict[str, int] = OrderedDict()
+        self._void_attempts: OrderedDict[str, int] = OrderedDict()
 
     def __len__(self) -> int:
         """Return the number of keys that are held or done."""
-        return len(self._entries) + len(self._archive)
+        return len(self._entries) + len(self._archived)
 
     def apply(self, offset: int, raw: bytes) -> None:
         """Fold the next record in."""
@@ -73,27 +73,29 @@
         """Return who holds the key, or None; not if its outcome is old."""
         return self._entries.get(key)
 
-    def find_old(self, key: str) -> archive.Place | None:
+    def find_archived(self, key: str) -> offset_index.RecordRange | None:
         """Return where a key's old outcome stands in the log, or None."""
-        return self._archive.find(key)
+        return self._archived.find(key)
 
     def forget_before(self, offset: int) -> None:
         """Drop what the log itself has forgotten."""
         _drop_oldest(self._entries, offset, lambda entry: entry.offset)
-        _drop_oldest(self._void, offset, lambda voided: voided)
-        self._archive.forget_before(offset)
+        _drop_oldest(self._void_attempts, offset, lambda voided_at: voided_at)
+        self._archived.forget_before(offset)
 
     def _apply_claim(self, offset: int, claim: records.Claim) -> None:
-        if claim.attempt in self._void or self._archive.find(claim.key):
+        if claim.attempt in self._void_attempts or self._archived.find(
+            claim.key
+        ):
             return
         entry = self._entries.get(claim.key)
         if entry is None:
             self._entries[claim.key] = Entry(claim, offset)
         elif entry.claim.attempt != claim.attempt:
-            self._void[claim.attempt] = offset
+            self._void_attempts[claim.attempt] = offset
 
     def _apply_release(self, offset: int, key: str, attempt: str) -> None:
-        self._void[attempt] = offset
+        self._void_attempts[attempt] = offset
         entry = self._entries.get(key)
         if entry is None or entry.claim.attempt != attempt:
             return
@@ -106,23 +108,25 @@
             return
         if entry.outcome is None:
             entry.outcome = outcome
-            self._done[outcome.key] = offset
+            self._outcome_offsets[outcome.key] = offset
             self._archive_oldest()
 
     def _archive_oldest(self) -> None:
-        while len(self._done) > self._full_outcomes:
-            key, offset = self._done.popitem(last=False)
+        while len(self._outcome_offsets) > self._full_outcomes:
+            key, offset = self._outcome_offsets.popitem(last=False)
             if self._entries.pop(key, None) is not None:
-                self._archive.add(key, offset, archive.Place(offset, 1))
+                self._archived.add(
+                    key, offset, offset_index.RecordRange(offset, 1)
+                )
 
 
 def _drop_oldest(
-    entries: OrderedDict[str, Kept],
+    entries: OrderedDict[str, Value],
     offset: int,
-    offset_of: Callable[[Kept], int],
+    get_offset: Callable[[Value], int],
 ) -> None:
     while entries:
         oldest = next(iter(entries))
-        if offset_of(entries[oldest]) >= offset:
+        if get_offset(entries[oldest]) >= offset:
             return
         del entries[oldest]
--- a/packages/daemon/src/martenquay_daemon/deferrable/manager.py
+++ b/packages/daemon/src/martenquay_daemon/deferrable/manager.py
@@ -24,8 +24,8 @@
 __all__ = ["DeferrableManager", "TicketState"]
 
 _LOG = logs.create_log("deferrable")
-_FETCH_S = 2.0
-_LOG_RETRY_S = 2.0
+_FETCH_TIMEOUT_S = 2.0
+_LOG_RETRY_AFTER_S = 2.0
 
 
 @dataclasses.dataclass(frozen=True)
@@ -51,37 +51,37 @@
         shard_map: shards.ShardMap,
         peers: links.PeerLinks,
         config_applied: progress.Progress,
-        spacing_s: float,
+        min_interval_s: float,
     ) -> None:
         self._client = client
         self._health = log_health
-        self._map = shard_map
+        self._shard_map = shard_map
         self._peers = peers
         self._config_applied = config_applied
-        self._spacing_s = spacing_s
+        self._min_interval_s = min_interval_s
         self._shards: dict[int, shard.WorkShard] = {}
         self._followed: set[int] = set()
         self._nursery: trio.Nursery | None = None
 
-    def start_in(self, nursery: trio.Nursery) -> None:
+    def set_nursery(self, nursery: trio.Nursery) -> None:
         """Run the streams' tasks in a nursery."""
         self._nursery = nursery
 
     def follow_own(self) -> None:
         """Follow the streams that the membership gives this daemon."""
-        for number in self._map.list_own():
-            self._follow(number)
+        for number in self._shard_map.list_own():
+            self._ensure_followed(number)
 
     def list_followed(self) -> list[tuple[int, shard.WorkShard]]:
         """Return the streams that are followed here."""
         return [(number, self._shards[number]) for number in self._followed]
 
-    def list_open(self) -> list[table.Work]:
+    def list_open(self) -> list[table.OpenRequest]:
         """Return the open requests of the streams followed here."""
         return [
-            work
-            for _, own in self.list_followed()
-            for work in own.works.list_open()
+            request
+            for _, work_shard in self.list_followed()
+            for request in work_shard.requests.list_open()
         ]
 
     async def accept(
@@ -89,12 +89,12 @@
     ) -> Result[str, results.Failure]:
         """Put a request into the log; only then is it accepted."""
         if not self._health.is_up:
-            return Error(_explain_log_down())
-        own = self._find_shard(self._map.find_shard(ticket))
-        written = await own.write_content(body)
+            return Error(_create_log_down_failure())
+        work_shard = self._get_shard(self._shard_map.find_shard(ticket))
+        written = await work_shard.write_content(body)
         if written.is_error():
             # A body without its record is nothing.
-            return Error(_explain_log_down())
+            return Error(_create_log_down_failure())
         record = records.Accepted(
             ticket=ticket,
             team=team,
@@ -104,75 +104,77 @@
             offset=written.ok.offset,
             count=written.ok.count,
         )
-        match await own.append(record):
+        match await work_shard.append(record):
             case Result(tag="ok"):
                 _LOG.write(f"Accepted {ticket} for {team}.", ticket=ticket)
                 return Ok(ticket)
             case Result(
                 error=outcome.PlatformFailure(effect=outcome.Effect.NOT_DONE)
             ):
-                return Error(_explain_log_down())
+                return Error(_create_log_down_failure())
             case _:
                 code = results.ResultCode.UNKNOWN_ANSWER_LOST
                 message = f"it may have been accepted; ask for ticket {ticket}"
-                return Error(results.Failure(code, message, _LOG_RETRY_S))
+                return Error(results.Failure(code, message, _LOG_RETRY_AFTER_S))
 
     async def fetch(self, ticket: str) -> TicketState:
         """Return what is known of a ticket, here or at a peer."""
-        number = self._map.find_shard(ticket)
+        number = self._shard_map.find_shard(ticket)
         if number not in self._followed:
             message = messages.FetchAnswer(ticket)
-            for member in self._map.list_followers(number):
-                reply = await self._peers.request(member, message, _FETCH_S)
+            for member in self._shard_map.list_followers(number):
+                reply = await self._peers.request(
+                    member, message, _FETCH_TIMEOUT_S
+                )
                 match reply:
                     case Result(tag="ok", ok=messages.AnswerReply() as found):
                         return TicketState(found.known, found.answer)
                     case _:
                         continue
-        return await self._look_up(number, ticket)
+        return await self._read_state(number, ticket)
 
     async def fetch_for_peer(
         self, message: messages.FetchAnswer
     ) -> messages.Message:
         """Answer a peer's question for a ticket."""
-        number = self._map.find_shard(message.ticket)
-        state = await self._look_up(number, message.ticket)
+        number = self._shard_map.find_shard(message.ticket)
+        state = await self._read_state(number, message.ticket)
         return messages.AnswerReply(state.known, state.answer)
 
-    async def _look_up(self, number: int, ticket: str) -> TicketState:
-        own = self._follow(number)
-        await own.catch_up(_FETCH_S)
-        place = own.works.find_answer(ticket)
-        if place is not None:
-            return TicketState(True, await own.read_content(place))
-        return TicketState(own.works.find_open(ticket) is not None)
+    async def _read_state(self, number: int, ticket: str) -> TicketState:
+        work_shard = self._ensure_followed(number)
+        await work_shard.catch_up(_FETCH_TIMEOUT_S)
+        location = work_shard.requests.find_answer(ticket)
+        if location is not None:
+            return TicketState(True, await work_shard.read_content(location))
+        return TicketState(work_shard.requests.find_open(ticket) is not None)
 
-    def _follow(self, number: int) -> shard.WorkShard:
-        own = self._find_shard(number)
+    def _ensure_followed(self, number: int) -> shard.WorkShard:
+        work_shard = self._get_shard(number)
         if number not in self._followed:
             assert self._nursery is not None, "the desk is not running"
             self._followed.add(number)
-            self._nursery.start_soon(own.run_follower)
+            self._nursery.start_soon(work_shard.run_follower)
             _LOG.write(f"Follow work stream {number}.", shard=number)
-        return own
+        return work_shard
 
-    def _find_shard(self, number: int) -> shard.WorkShard:
+    def _get_shard(self, number: int) -> shard.WorkShard:
         found = self._shards.get(number)
         if found is None:
             assert self._nursery is not None, "the desk is not running"
             found = self._shards[number] = shard.create_shard(
                 self._client,
-                self._map.name_stream(number),
+                self._shard_map.name_stream(number),
                 self._health,
-                self._spacing_s,
+                self._min_interval_s,
             )
             self._nursery.start_soon(found.run_appenders)
         return found
 
 
-def _explain_log_down() -> results.Failure:
+def _create_log_down_failure() -> results.Failure:
     return results.Failure(
         results.ResultCode.NOT_RUN_LOG_DOWN,
         "the log, which has to keep the request, does not answer",
-        _LOG_RETRY_S,
+        _LOG_RETRY_AFTER_S,
     )
--- a/packages/daemon/src/martenquay_daemon/deferrable/records.py
+++ b/packages/daemon/src/martenquay_daemon/deferrable/records.py
@@ -12,12 +12,12 @@
     "Accepted",
     "Completed",
     "WorkRecord",
-    "cut_content",
+    "split_content",
     "decode",
     "encode",
 ]
 
-PIECE_BYTES = 48_000
+CHUNK_BYTES = 48_000
 
 
 class Accepted(
@@ -80,7 +80,7 @@
         return None
 
 
-def cut_content(content: bytes) -> list[bytes]:
+def split_content(content: bytes) -> list[bytes]:
     """Return a content's pieces, at least one."""
-    starts = range(0, max(len(content), 1), PIECE_BYTES)
-    return [content[start : start + PIECE_BYTES] for start in starts]
+    starts = range(0, max(len(content), 1), CHUNK_BYTES)
+    return [content[start : start + CHUNK_BYTES] for start in starts]
--- a/packages/daemon/src/martenquay_daemon/deferrable/shard.py
+++ b/packages/daemon/src/martenquay_daemon/deferrable/shard.py
@@ -1,4 +1,4 @@
-"""Follow one work stream and keep its contents beside it."""
+"""Follow one work stream and keep its content_appender beside it."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from expression import Result
 
 from martenquay_daemon.deferrable import records, table
-from martenquay_daemon.journal import appender, archive, follower
+from martenquay_daemon.journal import appender, follower, offset_index
 
 if TYPE_CHECKING:
     from martenquay_core.platform import log, outcome
@@ -17,17 +17,17 @@
 
 __all__ = ["WorkShard", "create_shard"]
 
-_REVIEW_S = 1.0
-# Contents written or read here are kept for a while, also for the time in
+_CLEANUP_INTERVAL_S = 1.0
+# Contents written or read here are cached for a while, also for the time in
 # which the log cannot be read.
-_CACHE_BYTES = 4_000_000
+_MAX_CACHE_BYTES = 4_000_000
 
 
 class WorkShard:
-    """One work stream: its fold, its appends, its contents.
+    """One work stream: its fold, its appends, its content_appender.
 
     Attributes:
-        works: The folded state.
+        requests: The folded state.
         follower: Reads the stream.
     """
 
@@ -35,63 +35,67 @@
         self,
         client: log.LogClient,
         stream_follower: follower.StreamFollower,
-        index: appender.StreamAppender,
-        contents: appender.StreamAppender,
-        works: table.WorkTable,
+        record_appender: appender.StreamAppender,
+        content_appender: appender.StreamAppender,
+        requests: table.WorkTable,
     ) -> None:
-        self.works = works
+        self.requests = requests
         self.follower = stream_follower
         self._client = client
-        self._index = index
-        self._contents = contents
-        self._cache: OrderedDict[int, bytes] = OrderedDict()
+        self._record_appender = record_appender
+        self._content_appender = content_appender
+        self._content_cache: OrderedDict[int, bytes] = OrderedDict()
         self._cached_bytes = 0
 
     async def run_appenders(self) -> None:
         """Append until cancelled; a daemon need not follow for that."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._index.run)
-            nursery.start_soon(self._contents.run)
+            nursery.start_soon(self._record_appender.run)
+            nursery.start_soon(self._content_appender.run)
 
     async def run_follower(self) -> None:
         """Follow until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.follower.run)
             while True:
-                await trio.sleep(_REVIEW_S)
-                self.works.forget_before(self.follower.start)
+                await trio.sleep(_CLEANUP_INTERVAL_S)
+                self.requests.forget_before(self.follower.oldest_offset)
 
     async def append(
         self, record: records.WorkRecord
     ) -> Result[int, outcome.PlatformFailure]:
         """Append a record to the work stream."""
-        return await self._index.append(records.encode(record))
+        return await self._record_appender.append(records.encode(record))
 
     async def write_content(
         self, content: bytes
-    ) -> Result[archive.Place, outcome.PlatformFailure]:
+    ) -> Result[offset_index.RecordRange, outcome.PlatformFailure]:
         """Append a content and return where it stands."""
-        pieces = records.cut_content(content)
-        appended = await self._contents.append_run(pieces)
+        chunks = records.split_content(content)
+        appended = await self._content_appender.append_contiguous(chunks)
         if appended.is_ok():
-            self._remember(appended.ok, content)
-        return appended.map(lambda offset: archive.Place(offset, len(pieces)))
+            self._cache_content(appended.ok, content)
+        return appended.map(
+            lambda offset: offset_index.RecordRange(offset, len(chunks))
+        )
 
-    async def read_content(self, place: archive.Place) -> bytes | None:
+    async def read_content(
+        self, location: offset_index.RecordRange
+    ) -> bytes | None:
         """Return a content, or None if the log does not give it now."""
-        kept = self._cache.get(place.offset)
-        if kept is not None:
-            return kept
+        cached = self._content_cache.get(location.offset)
+        if cached is not None:
+            return cached
         page = await self._client.read(
-            self._contents.stream, place.offset, limit=place.count
+            self._content_appender.stream, location.offset, limit=location.count
         )
         match page:
-            case Result(tag="ok", ok=found) if found.start <= place.offset:
-                pieces = [r.payload for r in found.records[: place.count]]
-                if len(pieces) < place.count:
+            case Result(tag="ok", ok=found) if found.start <= location.offset:
+                chunks = [r.payload for r in found.records[: location.count]]
+                if len(chunks) < location.count:
                     return None
-                content = b"".join(pieces)
-                self._remember(place.offset, content)
+                content = b"".join(chunks)
+                self._cache_content(location.offset, content)
                 return content
             case _:
                 return None
@@ -106,13 +110,13 @@
             case _:
                 return
 
-    def _remember(self, offset: int, content: bytes) -> None:
-        if offset in self._cache:
+    def _cache_content(self, offset: int, content: bytes) -> None:
+        if offset in self._content_cache:
             return
-        self._cache[offset] = content
+        self._content_cache[offset] = content
         self._cached_bytes += len(content)
-        while self._cached_bytes > _CACHE_BYTES:
-            _, dropped = self._cache.popitem(last=False)
+        while self._cached_bytes > _MAX_CACHE_BYTES:
+            _, dropped = self._content_cache.popitem(last=False)
             self._cached_bytes -= len(dropped)
 
 
@@ -120,16 +124,16 @@
     client: log.LogClient,
     stream: str,
     log_health: health.LogHealth,
-    spacing_s: float,
+    min_interval_s: float,
 ) -> WorkShard:
     """Return a shard whose parts run once they are started."""
-    works = table.WorkTable()
+    requests = table.WorkTable()
     return WorkShard(
         client,
-        follower.StreamFollower(client, stream, log_health, works.apply),
-        appender.StreamAppender(client, stream, log_health, spacing_s),
+        follower.StreamFollower(client, stream, log_health, requests.apply),
+        appender.StreamAppender(client, stream, log_health, min_interval_s),
         appender.StreamAppender(
-            client, f"{stream}-content", log_health, spacing_s
+            client, f"{stream}-content", log_health, min_interval_s
         ),
-        works,
+        requests,
     )
--- a/packages/daemon/src/martenquay_daemon/deferrable/table.py
+++ b/packages/daemon/src/martenquay_daemon/deferrable/table.py
@@ -9,13 +9,13 @@
 import dataclasses
 
 from martenquay_daemon.deferrable import records
-from martenquay_daemon.journal import archive
+from martenquay_daemon.journal import offset_index
 
-__all__ = ["Work", "WorkTable", "find_team"]
+__all__ = ["OpenRequest", "WorkTable", "find_team"]
 
 
 @dataclasses.dataclass
-class Work:
+class OpenRequest:
     """One accepted request without an answer.
 
     Attributes:
@@ -33,7 +33,7 @@
     route: str
     written_at: float
     config_offset: int
-    body: archive.Place
+    body: offset_index.RecordRange
     is_answered: bool = False
 
 
@@ -41,12 +41,12 @@
     """The accepted requests of one stream."""
 
     def __init__(self) -> None:
-        self._open: dict[str, Work] = {}
-        self._answers = archive.Archive()
+        self._open_requests: dict[str, OpenRequest] = {}
+        self._answers = offset_index.OffsetIndex()
 
     def __len__(self) -> int:
         """Return how many requests are remembered."""
-        return len(self._open) + len(self._answers)
+        return len(self._open_requests) + len(self._answers)
 
     def apply(self, offset: int, raw: bytes) -> None:
         """Fold the next record in."""
@@ -58,17 +58,17 @@
             case None:
                 pass
 
-    def find_open(self, ticket: str) -> Work | None:
+    def find_open(self, ticket: str) -> OpenRequest | None:
         """Return a request without an answer, or None."""
-        return self._open.get(ticket)
+        return self._open_requests.get(ticket)
 
-    def find_answer(self, ticket: str) -> archive.Place | None:
+    def find_answer(self, ticket: str) -> offset_index.RecordRange | None:
         """Return where an answer stands in the content stream, or None."""
         return self._answers.find(ticket)
 
-    def list_open(self) -> list[Work]:
+    def list_open(self) -> list[OpenRequest]:
         """Return the requests without an answer."""
-        return list(self._open.values())
+        return list(self._open_requests.values())
 
     def forget_before(self, offset: int) -> None:
         """Drop answers that the log itself has forgotten.
@@ -80,16 +80,16 @@
     def _apply_accepted(self, accepted: records.Accepted) -> None:
         if self._answers.find(accepted.ticket) is not None:
             return
-        body = archive.Place(accepted.offset, accepted.count)
-        known = self._open.get(accepted.ticket)
-        if known is not None:
+        body = offset_index.RecordRange(accepted.offset, accepted.count)
+        existing = self._open_requests.get(accepted.ticket)
+        if existing is not None:
             # A caller who was not sure may have sent it again; the first
             # body counts, wherever it was carried to since.
             if accepted.is_carried:
-                known.written_at = accepted.written_at
-                known.body = body
+                existing.written_at = accepted.written_at
+                existing.body = body
             return
-        self._open[accepted.ticket] = Work(
+        self._open_requests[accepted.ticket] = OpenRequest(
             accepted.ticket,
             accepted.team,
             accepted.route,
@@ -103,11 +103,11 @@
     ) -> None:
         if self._answers.find(completed.ticket) is not None:
             return
-        place = archive.Place(completed.offset, completed.count)
-        self._answers.add(completed.ticket, offset, place)
-        work = self._open.pop(completed.ticket, None)
-        if work is not None:
-            work.is_answered = True
+        location = offset_index.RecordRange(completed.offset, completed.count)
+        self._answers.add(completed.ticket, offset, location)
+        request = self._open_requests.pop(completed.ticket, None)
+        if request is not None:
+            request.is_answered = True
 
 
 def find_team(ticket: str) -> str:
--- a/packages/daemon/src/martenquay_daemon/deferrable/worker.py
+++ b/packages/daemon/src/martenquay_daemon/deferrable/worker.py
@@ -1,6 +1,6 @@
 """Work on accepted requests until each has its answer in the log.
 
-Whoever follows a ticket's stream and ranks first for the ticket works on it.
+Whoever follows a ticket's stream and ranks first for the ticket requests on it.
 When that daemon leaves or dies, the next in rank does. Two may work on one
 ticket for a while; the log's order picks one answer.
 """
@@ -28,7 +28,7 @@
     from martenquay_daemon.membership import table as member_table
 
     Perform = Callable[
-        [table.Work, bytes], Awaitable[Result[bytes, results.Failure]]
+        [table.OpenRequest, bytes], Awaitable[Result[bytes, results.Failure]]
     ]
 
 __all__ = ["DeferrableWorker"]
@@ -36,9 +36,9 @@
 _LOG = logs.create_log("deferrable")
 _REVIEW_S = 0.5
 _RETRY_S = 0.5
-_LONGEST_RETRY_S = 10.0
+_MAX_RETRY_S = 10.0
 # Open work is written again when its record has this share of its time left.
-_CARRY_SHARE = 0.5
+_RENEWAL_AGE_RATIO = 0.5
 
 
 class DeferrableWorker:
@@ -54,14 +54,14 @@
         retention_s: float,
         workers: int,
     ) -> None:
-        self._desk = deferrable
-        self._map = shard_map
+        self._manager = deferrable
+        self._shard_map = shard_map
         self._members = members
         self._config_applied = config_applied
         self._retention_s = retention_s
-        self._workers = workers
-        self._working: set[str] = set()
-        self._carrying: set[str] = set()
+        self._max_parallel = workers
+        self._in_progress: set[str] = set()
+        self._renewing: set[str] = set()
         self._stopping = trio.Event()
 
     async def run(
@@ -77,129 +77,146 @@
             task_status: Is started once requests can be accepted.
         """
         async with trio.open_nursery() as nursery:
-            self._desk.start_in(nursery)
+            self._manager.set_nursery(nursery)
             task_status.started()
             while True:
-                self._desk.follow_own()
-                self._start_work(nursery, perform)
-                self._carry_old(nursery)
+                self._manager.follow_own()
+                self._start_assigned(nursery, perform)
+                self._renew_old_records(nursery)
                 await trio.sleep(_REVIEW_S)
 
     def hand_over(self) -> None:
         """Stop working; other daemons adopt what is open."""
-        self._workers = 0
+        self._max_parallel = 0
         self._stopping.set()
-        _LOG.write(f"Handed over {len(self._working)} requests in progress.")
+        _LOG.write(
+            f"Handed over {len(self._in_progress)} requests in progress."
+        )
 
-    def _start_work(self, nursery: trio.Nursery, perform: Perform) -> None:
-        for own, work in self._list_mine():
-            if len(self._working) >= self._workers:
+    def _start_assigned(self, nursery: trio.Nursery, perform: Perform) -> None:
+        for work_shard, request in self._list_assigned():
+            if len(self._in_progress) >= self._max_parallel:
                 return
-            if work.ticket not in self._working:
-                self._working.add(work.ticket)
-                nursery.start_soon(self._work, own, work, perform)
-
-    def _carry_old(self, nursery: trio.Nursery) -> None:
-        for own, work in self._list_mine():
-            age_s = time.time() - work.written_at
-            if age_s < self._retention_s * _CARRY_SHARE:
+            if request.ticket not in self._in_progress:
+                self._in_progress.add(request.ticket)
+                nursery.start_soon(self._process, work_shard, request, perform)
+
+    def _renew_old_records(self, nursery: trio.Nursery) -> None:
+        for work_shard, request in self._list_assigned():
+            age_s = time.time() - request.written_at
+            if age_s < self._retention_s * _RENEWAL_AGE_RATIO:
                 continue
-            if work.ticket not in self._carrying:
-                self._carrying.add(work.ticket)
-                nursery.start_soon(self._carry_forward, own, work)
+            if request.ticket not in self._renewing:
+                self._renewing.add(request.ticket)
+                nursery.start_soon(self._renew_record, work_shard, request)
 
-    def _list_mine(self) -> list[tuple[shard.WorkShard, table.Work]]:
+    def _list_assigned(self) -> list[tuple[shard.WorkShard, table.OpenRequest]]:
         # A stream read in part shows answered requests as open ones.
         return [
-            (own, work)
-            for number, own in self._desk.list_followed()
-            if own.follower.is_current
-            for work in own.works.list_open()
-            if self._is_mine(number, work.ticket)
+            (work_shard, request)
+            for number, work_shard in self._manager.list_followed()
+            if work_shard.follower.is_caught_up
+            for request in work_shard.requests.list_open()
+            if self._is_assigned(number, request.ticket)
         ]
 
-    def _is_mine(self, number: int, ticket: str) -> bool:
-        followers = self._map.list_followers(number)
+    def _is_assigned(self, number: int, ticket: str) -> bool:
+        followers = self._shard_map.list_followers(number)
         ranked = rendezvous.rank_candidates(ticket, followers)
         return bool(ranked) and ranked[0] == self._members.me.member
 
-    async def _work(
-        self, own: shard.WorkShard, work: table.Work, perform: Perform
+    async def _process(
+        self,
+        work_shard: shard.WorkShard,
+        request: table.OpenRequest,
+        perform: Perform,
     ) -> None:
         try:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._cancel_when_stopping, nursery)
-                await self._work_until_done(own, work, perform)
+                await self._process_until_answered(work_shard, request, perform)
                 nursery.cancel_scope.cancel()
         finally:
-            self._working.discard(work.ticket)
+            self._in_progress.discard(request.ticket)
 
     async def _cancel_when_stopping(self, nursery: trio.Nursery) -> None:
         await self._stopping.wait()
         nursery.cancel_scope.cancel()
 
-    async def _work_until_done(
-        self, own: shard.WorkShard, work: table.Work, perform: Perform
+    async def _process_until_answered(
+        self,
+        work_shard: shard.WorkShard,
+        request: table.OpenRequest,
+        perform: Perform,
     ) -> None:
-        wait_s = _RETRY_S
-        number = self._map.find_shard(work.ticket)
+        retry_s = _RETRY_S
+        number = self._shard_map.find_shard(request.ticket)
         # By an older configuration its route might not be there yet.
-        await self._config_applied.wait_for(work.config_offset)
-        while not work.is_answered and self._is_mine(number, work.ticket):
-            body = await own.read_content(work.body)
+        await self._config_applied.wait_for(request.config_offset)
+        while not request.is_answered and self._is_assigned(
+            number, request.ticket
+        ):
+            body = await work_shard.read_content(request.body)
             if body is not None:
-                _LOG.write(f"Work on {work.ticket}.", ticket=work.ticket)
-                answer = await perform(work, body)
+                _LOG.write(f"Work on {request.ticket}.", ticket=request.ticket)
+                answer = await perform(request, body)
                 if answer.is_ok():
-                    await self._complete(own, work, answer.ok)
+                    await self._store_answer(work_shard, request, answer.ok)
                     return
                 _LOG.write(
-                    f"Work on {work.ticket} failed: {answer.error.message}.",
-                    ticket=work.ticket,
+                    f"Work on {request.ticket} failed: {answer.error.message}.",
+                    ticket=request.ticket,
                     code=answer.error.code.value,
                 )
-            await trio.sleep(wait_s)
-            wait_s = min(wait_s * 2, _LONGEST_RETRY_S)
+            await trio.sleep(retry_s)
+            retry_s = min(retry_s * 2, _MAX_RETRY_S)
 
-    async def _complete(
-        self, own: shard.WorkShard, work: table.Work, answer: bytes
+    async def _store_answer(
+        self,
+        work_shard: shard.WorkShard,
+        request: table.OpenRequest,
+        answer: bytes,
     ) -> None:
-        while not work.is_answered:
-            written = await own.write_content(answer)
+        while not request.is_answered:
+            written = await work_shard.write_content(answer)
             if written.is_ok():
                 record = records.Completed(
-                    ticket=work.ticket,
+                    ticket=request.ticket,
                     offset=written.ok.offset,
                     count=written.ok.count,
                 )
-                appended = await own.append(record)
+                appended = await work_shard.append(record)
                 if appended.is_ok():
-                    await own.follower.applied.wait_for(appended.ok)
-                    _LOG.write(f"Answered {work.ticket}.", ticket=work.ticket)
+                    await work_shard.follower.applied.wait_for(appended.ok)
+                    _LOG.write(
+                        f"Answered {request.ticket}.", ticket=request.ticket
+                    )
                     return
             await trio.sleep(_RETRY_S)
 
-    async def _carry_forward(
-        self, own: shard.WorkShard, work: table.Work
+    async def _renew_record(
+        self, work_shard: shard.WorkShard, request: table.OpenRequest
     ) -> None:
         """Write open work again before the log forgets it."""
-        body = await own.read_content(work.body)
-        written = await own.write_content(body) if body is not None else None
+        body = await work_shard.read_content(request.body)
+        written = (
+            await work_shard.write_content(body) if body is not None else None
+        )
         if written is not None and written.is_ok():
             record = records.Accepted(
-                ticket=work.ticket,
-                team=work.team,
-                route=work.route,
+                ticket=request.ticket,
+                team=request.team,
+                route=request.route,
                 written_at=time.time(),
-                config_offset=work.config_offset,
+                config_offset=request.config_offset,
                 offset=written.ok.offset,
                 count=written.ok.count,
                 is_carried=True,
             )
-            appended = await own.append(record)
+            appended = await work_shard.append(record)
             if appended.is_ok():
-                await own.follower.applied.wait_for(appended.ok)
+                await work_shard.follower.applied.wait_for(appended.ok)
                 _LOG.write(
-                    f"Carried {work.ticket} forward.", ticket=work.ticket
+                    f"Carried {request.ticket} forward.", ticket=request.ticket
                 )
-        self._carrying.discard(work.ticket)
+        self._renewing.discard(request.ticket)
--- a/packages/daemon/src/martenquay_daemon/dispatch/model.py
+++ b/packages/daemon/src/martenquay_daemon/dispatch/model.py
@@ -18,7 +18,7 @@
 from martenquay_core.config import objects
 from martenquay_core.runners import engine, orders
 from martenquay_core.util import blocks
-from martenquay_daemon.dispatch import relay, request_progress
+from martenquay_daemon.dispatch import request_progress, token_sequencer
 from martenquay_daemon.routing import placement
 
 if TYPE_CHECKING:
@@ -34,10 +34,10 @@
 
 _LOG = logs.create_log("routing")
 _READ_TIMEOUT_S = 10.0
-_LONGEST_BACK_OFF_S = 2.0
-_MOVE_S = 1.0
-_CANCEL_S = 1.0
-_NO_RUNNER_RETRY_S = 2.0
+_MAX_BACKOFF_S = 2.0
+_CACHE_TRANSFER_TIMEOUT_S = 1.0
+_CANCEL_TIMEOUT_S = 1.0
+_NO_RUNNER_RETRY_AFTER_S = 2.0
 
 
 class ModelDispatcher:
@@ -62,14 +62,14 @@
         self._budget = budget
         self._requests = requests
         self._metrics = counters
-        self._live: dict[str, set[request_progress.LiveStream]] = (
-            collections.defaultdict(set)
-        )
+        self._open_streams: dict[
+            str, set[request_progress.InterruptibleStream]
+        ] = collections.defaultdict(set)
 
     def move_streams(self, runner: str) -> None:
         """Move all streams away from a runner that is leaving."""
-        for stream in list(self._live.get(runner, ())):
-            stream.move()
+        for stream in list(self._open_streams.get(runner, ())):
+            stream.interrupt()
 
     async def answer(
         self,
@@ -80,65 +80,67 @@
         usage = request_progress.Usage(blocks.count_tokens(request.prompt))
         self._budget.note_call()
         failure: results.Failure | None = None
-        with trio.move_on_at(request.deadline) as limit:
-            chain = blocks.chain_blocks(request.prompt)
-            journey = request_progress.RequestProgress(
-                request, sink, usage, chain
+        with trio.move_on_at(request.deadline) as deadline_scope:
+            block_hashes = blocks.chain_blocks(request.prompt)
+            progress = request_progress.RequestProgress(
+                request, sink, usage, block_hashes
             )
-            failure = await self._try_runners(journey)
-        if limit.cancelled_caught:
-            failure = _explain_deadline(usage)
+            failure = await self._try_runners(progress)
+        if deadline_scope.cancelled_caught:
+            failure = _create_deadline_failure(usage)
         return Error(failure) if failure else Ok(usage)
 
     async def _try_runners(
-        self, journey: request_progress.RequestProgress
+        self, progress: request_progress.RequestProgress
     ) -> results.Failure | None:
         while True:
-            chosen = self._place(journey)
+            chosen = self._choose_placement(progress)
             if chosen is None:
-                if journey.usage.attempts == 0:
-                    return _explain_no_runner(journey.request)
-                await _wait_for_runner(journey)
+                if progress.usage.attempts == 0:
+                    return _create_no_runner_failure(progress.request)
+                await _back_off(progress)
                 continue
-            self._note_placement(journey, chosen)
-            if journey.left is not None:
-                await self._bring_cache(journey, journey.left, chosen.runner)
-            end = await self._attempt(journey, chosen)
-            journey.left = None
-            journey.excluded.add(chosen.runner.name)
-            match end:
+            self._record_placement(progress, chosen)
+            if progress.cache_source is not None:
+                await self._transfer_cache(
+                    progress, progress.cache_source, chosen.runner
+                )
+            result = await self._run_attempt(progress, chosen)
+            progress.cache_source = None
+            progress.excluded.add(chosen.runner.name)
+            match result:
                 case request_progress.Finished():
                     return None
                 case request_progress.Reclaimed():
-                    journey.left = chosen.runner
-                    journey.cause = "reclaimed"
-                case request_progress.Lost(reason=reason):
-                    journey.cause = "lost"
-                    await self._note_loss(
-                        journey.request, chosen.runner, reason
+                    progress.cache_source = chosen.runner
+                    progress.cause = "reclaimed"
+                case request_progress.StreamLost(reason=reason):
+                    progress.cause = "lost"
+                    await self._record_loss(
+                        progress.request, chosen.runner, reason
                     )
 
-    def _place(
-        self, journey: request_progress.RequestProgress
+    def _choose_placement(
+        self, progress: request_progress.RequestProgress
     ) -> placement.Placement | None:
-        request, usage = journey.request, journey.usage
+        request, usage = progress.request, progress.usage
         return self._placer.place(
             placement.ModelAsk(
                 request.partner,
                 request.pool,
-                journey.chain,
+                progress.block_hashes,
                 usage.prompt_tokens + len(usage.generated),
-                frozenset(journey.excluded),
+                frozenset(progress.excluded),
                 request.urgency is objects.Urgency.DEFERRABLE,
             )
         )
 
-    def _note_placement(
+    def _record_placement(
         self,
-        journey: request_progress.RequestProgress,
+        progress: request_progress.RequestProgress,
         chosen: placement.Placement,
     ) -> None:
-        request, cause = journey.request, journey.cause
+        request, cause = progress.request, progress.cause
         reason = chosen.explain()
         runner = chosen.runner
         after = f" after its runner was {cause}" if cause else ""
@@ -151,14 +153,14 @@
                 f"{c.runner}:{c.cost_s * 1000:.1f}ms" for c in chosen.considered
             ],
         )
-        self._requests.place(
+        self._requests.record_placement(
             request.request_id, runner.name, runner.zone, reason + after
         )
         self._metrics.decisions.inc(
             {"pool": request.pool, "cause": cause or "new"}
         )
 
-    async def _note_loss(
+    async def _record_loss(
         self,
         request: request_progress.ModelRequest,
         runner: instances.Instance,
@@ -172,14 +174,14 @@
         )
         self._ejector.note_failure(runner.name)
         if not self._budget.take_retry():
-            await trio.sleep(request_progress.FIRST_BACK_OFF_S)
+            await trio.sleep(request_progress.INITIAL_BACKOFF_S)
 
-    async def _attempt(
+    async def _run_attempt(
         self,
-        journey: request_progress.RequestProgress,
+        progress: request_progress.RequestProgress,
         chosen: placement.Placement,
-    ) -> request_progress.AttemptEnd:
-        request, usage = journey.request, journey.usage
+    ) -> request_progress.AttemptResult:
+        request, usage = progress.request, progress.usage
         runner = chosen.runner
         usage.attempts += 1
         usage.runner, usage.zone = runner.name, runner.zone
@@ -193,119 +195,129 @@
         )
         self._loads.note_placed(runner.name)
         service_s: float | None = None
-        end: request_progress.AttemptEnd = request_progress.Lost("given up")
+        result: request_progress.AttemptResult = request_progress.StreamLost(
+            "given up"
+        )
         try:
-            end = await self._stream(journey, chosen, order)
+            result = await self._relay_stream(progress, chosen, order)
         except engine.StreamLostError as error:
-            end = request_progress.Lost(str(error))
+            result = request_progress.StreamLost(str(error))
         finally:
-            if isinstance(end, request_progress.Finished):
+            if isinstance(result, request_progress.Finished):
                 service_s = trio.current_time() - usage.started_at
                 self._ejector.note_success(runner.name)
             else:
-                await self._cancel_at(runner, request.request_id)
+                await self._cancel_request(runner, request.request_id)
             self._loads.note_done(runner.name, service_s)
-        return end
+        return result
 
-    async def _stream(
+    async def _relay_stream(
         self,
-        journey: request_progress.RequestProgress,
+        progress: request_progress.RequestProgress,
         chosen: placement.Placement,
         order: orders.GenerateOrder,
-    ) -> request_progress.AttemptEnd:
+    ) -> request_progress.AttemptResult:
         runner = chosen.runner
-        sequence = relay.TokenOrder(
+        sequencer = token_sequencer.TokenSequencer(
             order.request_id, order.attempt, len(order.generated)
         )
-        opened = trio.current_time()
+        opened_at = trio.current_time()
         async with (
             self._client.generate(
                 runner.address, order, _READ_TIMEOUT_S
             ) as stream,
             contextlib.aclosing(stream.iterate()) as events,
         ):
-            live = request_progress.LiveStream(events)
-            with self._register(runner.name, live):
+            open_stream = request_progress.InterruptibleStream(events)
+            with self._track_stream(runner.name, open_stream):
                 while True:
-                    event = await live.read()
+                    event = await open_stream.read()
                     match event:
                         case None:
                             return request_progress.Reclaimed()
-                        case _ if not sequence.is_own(event):
+                        case _ if not sequencer.matches_attempt(event):
                             continue
                         case orders.StreamStarted():
-                            self._note_started(journey, chosen, event, opened)
+                            self._record_prefill(
+                                progress, chosen, event, opened_at
+                            )
                         case orders.TokenEvent():
-                            for text in sequence.take(event):
-                                await self._pass_on(journey, text, opened)
+                            for text in sequencer.add(event):
+                                await self._forward_token(
+                                    progress, text, opened_at
+                                )
                         case orders.StreamFinished(count=count):
-                            if sequence.is_whole(count):
+                            if sequencer.is_complete(count):
                                 return request_progress.Finished()
-                            return request_progress.Lost("tokens are missing")
+                            return request_progress.StreamLost(
+                                "tokens are missing"
+                            )
 
-    async def _pass_on(
+    async def _forward_token(
         self,
-        journey: request_progress.RequestProgress,
+        progress: request_progress.RequestProgress,
         text: str,
-        opened: float,
+        opened_at: float,
     ) -> None:
-        request, usage = journey.request, journey.usage
+        request, usage = progress.request, progress.usage
         if not usage.generated:
-            waited_s = trio.current_time() - opened
+            waited_s = trio.current_time() - opened_at
             self._metrics.first_token_s.observe(
                 {"pool": request.pool}, waited_s
             )
         usage.generated.append(text)
-        self._requests.count_tokens(request.request_id, len(usage.generated))
-        await journey.sink.take(text)
+        self._requests.set_token_count(request.request_id, len(usage.generated))
+        await progress.sink.take(text)
 
-    def _note_started(
+    def _record_prefill(
         self,
-        journey: request_progress.RequestProgress,
+        progress: request_progress.RequestProgress,
         chosen: placement.Placement,
         event: orders.StreamStarted,
-        opened: float,
+        opened_at: float,
     ) -> None:
-        usage, cause = journey.usage, journey.cause
-        self._index.note_held(chosen.runner.name, journey.chain)
-        computed = event.prompt_tokens - event.cached_tokens
+        usage, cause = progress.usage, progress.cause
+        self._index.note_held(chosen.runner.name, progress.block_hashes)
+        computed_tokens = event.prompt_tokens - event.cached_tokens
         usage.started_at = trio.current_time()
-        seconds = usage.started_at - opened
+        prefill_s = usage.started_at - opened_at
         if chosen.chosen.ahead < chosen.runner.slots:
-            self._loads.note_prefill(chosen.runner.name, computed, seconds)
-        missing = (
-            computed
+            self._loads.note_prefill(
+                chosen.runner.name, computed_tokens, prefill_s
+            )
+        recomputed_tokens = (
+            computed_tokens
             if cause
             else max(0, chosen.chosen.cached_tokens - event.cached_tokens)
         )
-        if missing:
+        if recomputed_tokens:
             labels = {"cause": cause or "evicted"}
-            self._metrics.recomputed.add(labels, missing)
+            self._metrics.recomputed.add(labels, recomputed_tokens)
         if cause:
-            usage.recomputed += computed
+            usage.recomputed += computed_tokens
 
     @contextlib.contextmanager
-    def _register(
-        self, runner: str, live: request_progress.LiveStream
+    def _track_stream(
+        self, runner: str, open_stream: request_progress.InterruptibleStream
     ) -> Iterator[None]:
-        self._live[runner].add(live)
+        self._open_streams[runner].add(open_stream)
         try:
             yield
         finally:
-            self._live[runner].discard(live)
-            if not self._live[runner]:
-                del self._live[runner]
+            self._open_streams[runner].discard(open_stream)
+            if not self._open_streams[runner]:
+                del self._open_streams[runner]
 
-    async def _bring_cache(
+    async def _transfer_cache(
         self,
-        journey: request_progress.RequestProgress,
+        progress: request_progress.RequestProgress,
         source: instances.Instance,
         target: instances.Instance,
     ) -> None:
         """Move the KV cache if both runners answer in time."""
-        request = journey.request
-        text = request.prompt + " " + "".join(journey.usage.generated)
-        with trio.move_on_after(_MOVE_S):
+        request = progress.request
+        text = request.prompt + " " + "".join(progress.usage.generated)
+        with trio.move_on_after(_CACHE_TRANSFER_TIMEOUT_S):
             exported = await self._client.export_cache(source.address, text)
             if exported.is_ok():
                 await self._client.import_cache(target.address, exported.ok)
@@ -316,10 +328,10 @@
                     blocks=len(exported.ok),
                 )
 
-    async def _cancel_at(
+    async def _cancel_request(
         self, runner: instances.Instance, request_id: str
     ) -> None:
-        with trio.move_on_after(_CANCEL_S) as scope:
+        with trio.move_on_after(_CANCEL_TIMEOUT_S) as scope:
             scope.shield = True
             await self._client.cancel(runner.address, request_id)
 
@@ -332,14 +344,14 @@
     return request.urgency.rank + borrowed
 
 
-async def _wait_for_runner(journey: request_progress.RequestProgress) -> None:
+async def _back_off(progress: request_progress.RequestProgress) -> None:
     """Wait, then try all runners again: the stream has begun."""
-    journey.excluded.clear()
-    await trio.sleep(journey.back_off_s)
-    journey.back_off_s = min(journey.back_off_s * 2, _LONGEST_BACK_OFF_S)
+    progress.excluded.clear()
+    await trio.sleep(progress.backoff_s)
+    progress.backoff_s = min(progress.backoff_s * 2, _MAX_BACKOFF_S)
 
 
-def _explain_deadline(usage: request_progress.Usage) -> results.Failure:
+def _create_deadline_failure(usage: request_progress.Usage) -> results.Failure:
     if usage.attempts == 0:
         return results.Failure(
             results.ResultCode.NOT_RUN_DEADLINE,
@@ -352,11 +364,11 @@
     )
 
 
-def _explain_no_runner(
+def _create_no_runner_failure(
     request: request_progress.ModelRequest,
 ) -> results.Failure:
     return results.Failure(
         results.ResultCode.NOT_RUN_NO_RUNNER,
         f"pool {request.pool} has no runner that may get work",
-        _NO_RUNNER_RETRY_S,
+        _NO_RUNNER_RETRY_AFTER_S,
     )
--- a/packages/daemon/src/martenquay_daemon/dispatch/registry.py
+++ b/packages/daemon/src/martenquay_daemon/dispatch/registry.py
@@ -6,9 +6,9 @@
 import dataclasses
 import time
 
-__all__ = ["Decision", "RequestRegistry", "RunningRequest"]
+__all__ = ["RoutingDecision", "RequestRegistry", "RunningRequest"]
 
-_KEPT_DECISIONS = 2000
+_MAX_DECISIONS = 2000
 
 
 @dataclasses.dataclass
@@ -37,7 +37,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Decision:
+class RoutingDecision:
     """One decision on a request.
 
     Attributes:
@@ -58,8 +58,8 @@
 
     def __init__(self) -> None:
         self._running: dict[str, RunningRequest] = {}
-        self._decisions: collections.deque[Decision] = collections.deque(
-            maxlen=_KEPT_DECISIONS
+        self._decisions: collections.deque[RoutingDecision] = collections.deque(
+            maxlen=_MAX_DECISIONS
         )
 
     def open(self, request: RunningRequest) -> None:
@@ -70,7 +70,7 @@
         """Note that a request has its final answer."""
         self._running.pop(request_id, None)
 
-    def place(
+    def record_placement(
         self, request_id: str, runner: str, zone: str, reason: str
     ) -> None:
         """Note where a request goes and why."""
@@ -79,10 +79,10 @@
             running.runner = runner
             running.zone = zone
         self._decisions.append(
-            Decision(request_id, time.time(), runner, reason)
+            RoutingDecision(request_id, time.time(), runner, reason)
         )
 
-    def count_tokens(self, request_id: str, tokens: int) -> None:
+    def set_token_count(self, request_id: str, tokens: int) -> None:
         """Note how many tokens have been passed on."""
         running = self._running.get(request_id)
         if running is not None:
@@ -92,6 +92,6 @@
         """Return the requests in progress."""
         return list(self._running.values())
 
-    def list_decisions(self, request_id: str) -> list[Decision]:
+    def list_decisions(self, request_id: str) -> list[RoutingDecision]:
         """Return the decisions on a request that are still kept."""
         return [d for d in self._decisions if d.request_id == request_id]
--- a/packages/daemon/src/martenquay_daemon/dispatch/request_progress.py
+++ b/packages/daemon/src/martenquay_daemon/dispatch/request_progress.py
@@ -17,11 +17,11 @@
     from martenquay_core.runners import orders
 
 __all__ = [
-    "AttemptEnd",
+    "AttemptResult",
     "Finished",
     "RequestProgress",
-    "LiveStream",
-    "Lost",
+    "InterruptibleStream",
+    "StreamLost",
     "ModelRequest",
     "Reclaimed",
     "TokenSink",
@@ -29,7 +29,7 @@
 ]
 
 # How long a request waits the first time that no runner is free.
-FIRST_BACK_OFF_S = 0.1
+INITIAL_BACKOFF_S = 0.1
 
 
 class TokenSink(Protocol):
@@ -93,21 +93,21 @@
         request: The request.
         sink: Where its tokens go.
         usage: What it has taken so far.
-        chain: Hashes of the prompt's blocks.
+        block_hashes: Hashes of the prompt's blocks.
         cause: Why it left its last runner; empty on the first one.
         left: The reclaimed runner whose cache may be brought along.
         excluded: Runners that it has left.
-        back_off_s: How long to wait for a runner next time.
+        backoff_s: How long to wait for a runner next time.
     """
 
     request: ModelRequest
     sink: TokenSink
     usage: Usage
-    chain: list[int]
+    block_hashes: list[int]
     cause: str = ""
-    left: instances.Instance | None = None
+    cache_source: instances.Instance | None = None
     excluded: set[str] = dataclasses.field(default_factory=set)
-    back_off_s: float = FIRST_BACK_OFF_S
+    backoff_s: float = INITIAL_BACKOFF_S
 
 
 @dataclasses.dataclass(frozen=True)
@@ -121,7 +121,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Lost:
+class StreamLost:
     """The runner is gone or its stream broke.
 
     Attributes:
@@ -131,31 +131,31 @@
     reason: str
 
 
-AttemptEnd = Finished | Reclaimed | Lost
+AttemptResult = Finished | Reclaimed | StreamLost
 
 
-class LiveStream:
+class InterruptibleStream:
     """A stream that can be told to move between two events."""
 
     def __init__(self, events: AsyncIterator[orders.StreamEvent]) -> None:
         self._events = events
-        self._moving = False
-        self._reading: trio.CancelScope | None = None
+        self._is_interrupted = False
+        self._read_scope: trio.CancelScope | None = None
 
-    def move(self) -> None:
+    def interrupt(self) -> None:
         """Have the reader stop at the next event."""
-        self._moving = True
-        if self._reading is not None:
-            self._reading.cancel()
+        self._is_interrupted = True
+        if self._read_scope is not None:
+            self._read_scope.cancel()
 
     async def read(self) -> orders.StreamEvent | None:
         """Return the next event, or None if the stream is to move."""
-        if self._moving:
+        if self._is_interrupted:
             return None
-        with trio.CancelScope() as self._reading:
-            return await anext(self._events, None) or _raise_ended()
+        with trio.CancelScope() as self._read_scope:
+            return await anext(self._events, None) or _raise_stream_ended()
         return None
 
 
-def _raise_ended() -> orders.StreamEvent:
+def _raise_stream_ended() -> orders.StreamEvent:
     raise engine.StreamLostError("the stream ended early")
--- a/packages/daemon/src/martenquay_daemon/dispatch/service.py
+++ b/packages/daemon/src/martenquay_daemon/dispatch/service.py
@@ -28,12 +28,12 @@
 
 _LOG = logs.create_log("routing")
 _CLAIM_LOG = logs.create_log("claims")
-_OCTETS = "application/octet-stream"
-_RETRY_S = 2.0
-_POLL_S = 0.25
+_DEFAULT_CONTENT_TYPE = "application/octet-stream"
+_RETRY_AFTER_S = 2.0
+_OUTCOME_POLL_S = 0.25
 # Beyond this an answer is not kept in the log, only that the call ran.
-_KEPT_BODY_BYTES = 16_384
-_NOT_KEPT = 0
+_MAX_STORED_BODY_BYTES = 16_384
+_STATUS_WITHOUT_ANSWER = 0
 
 
 @dataclasses.dataclass(frozen=True)
@@ -70,11 +70,11 @@
     key: str | None
     deadline: float
 
-    def scope_key(self) -> str:
+    def create_claim_key(self) -> str:
         """Return the key within its team and route."""
         return f"{self.team}/{self.route}/{self.key}"
 
-    def digest(self) -> str:
+    def create_digest(self) -> str:
         """Return what tells this request from another of the same key."""
         content = f"{self.method} {self.path}\n".encode() + self.body
         return hashlib.blake2b(content, digest_size=8).hexdigest()
@@ -99,7 +99,7 @@
     zone: str = ""
 
 
-_Answered = Result[ServiceAnswer, results.Failure]
+_CallResult = Result[ServiceAnswer, results.Failure]
 
 
 class ServiceDispatcher:
@@ -107,8 +107,8 @@
 
     def __init__(
         self,
-        reusing: http.HttpClient,
-        fresh: http.HttpClient,
+        pooled_client: http.HttpClient,
+        fresh_client: http.HttpClient,
         runners: directory.RunnerDirectory,
         members: table.MemberTable,
         claims: manager.ClaimManager,
@@ -118,8 +118,8 @@
         requests: registry.RequestRegistry,
         counters: metrics.DaemonMetrics,
     ) -> None:
-        self._reusing = reusing
-        self._fresh = fresh
+        self._pooled_client = pooled_client
+        self._fresh_client = fresh_client
         self._runners = runners
         self._members = members
         self._claims = claims
@@ -129,51 +129,55 @@
         self._requests = requests
         self._metrics = counters
 
-    async def call(self, call: ServiceCall) -> _Answered:
+    async def call(self, call: ServiceCall) -> _CallResult:
         """Make a call in the way that its route and key allow."""
         match call:
             case ServiceCall(repeatable=True):
-                return await self._call_repeatable(call)
+                return await self._call_with_retries(call)
             case ServiceCall(key=None) | ServiceCall(checks_orders=True):
                 return await self._call_once(call)
             case _:
-                return await self._call_claimed(call)
+                return await self._call_with_claim(call)
 
-    async def _call_repeatable(self, call: ServiceCall) -> _Answered:
+    async def _call_with_retries(self, call: ServiceCall) -> _CallResult:
         self._budget.note_call()
         tried: set[str] = set()
-        lost: results.Failure | None = None
+        last_failure: results.Failure | None = None
         while True:
-            runner = self._choose(call, tried)
+            runner = self._choose_runner(call, tried)
             if runner is None:
-                return Error(lost or _explain_no_runner(call))
+                return Error(last_failure or _create_no_runner_failure(call))
             tried.add(runner.name)
-            answer = await self._send(self._reusing, call, runner)
+            answer = await self._send(self._pooled_client, call, runner)
             if answer.is_ok():
-                return answer.map(lambda found, r=runner: _wrap(found, r))
+                return answer.map(
+                    lambda found, r=runner: _create_answer(found, r)
+                )
             if answer.error.sent:
                 # From here on it would be untrue to say "not run".
-                lost = _explain_lost(call, runner)
+                last_failure = _create_answer_lost_failure(call, runner)
                 if not self._budget.take_retry():
-                    return Error(lost)
+                    return Error(last_failure)
             if trio.current_time() >= call.deadline:
-                return Error(lost or _explain_deadline())
+                return Error(last_failure or _create_deadline_failure())
 
-    async def _call_once(self, call: ServiceCall) -> _Answered:
-        """Send the call to one runner; only a refused connection moves on."""
+    async def _call_once(self, call: ServiceCall) -> _CallResult:
+        """Send the call to one runner; only a log_down connection moves on."""
         tried: set[str] = set()
         while True:
-            runner = self._choose(call, tried)
+            runner = self._choose_runner(call, tried)
             if runner is None:
-                return Error(_explain_no_runner(call))
+                return Error(_create_no_runner_failure(call))
             tried.add(runner.name)
-            answer = await self._send(self._fresh, call, runner)
+            answer = await self._send(self._fresh_client, call, runner)
             if answer.is_ok():
-                return answer.map(lambda found, r=runner: _wrap(found, r))
+                return answer.map(
+                    lambda found, r=runner: _create_answer(found, r)
+                )
             if answer.error.sent:
-                return Error(_explain_lost(call, runner))
+                return Error(_create_answer_lost_failure(call, runner))
 
-    async def _call_claimed(self, call: ServiceCall) -> _Answered:
+    async def _call_with_claim(self, call: ServiceCall) -> _CallResult:
         """Claim the key in the log before the call.
 
         The first claim in the log's order makes the call. Whoever comes later
@@ -181,66 +185,68 @@
         """
         while True:
             claim = records.Claim(
-                call.scope_key(),
+                call.create_claim_key(),
                 secrets.token_hex(8),
                 self._members.me.member,
-                call.digest(),
+                call.create_digest(),
             )
             reply = await self._settle(claim, call.deadline)
-            self._note_settled(call, claim, reply)
+            self._record_settlement(call, claim, reply)
             match reply.settlement:
                 case messages.Settlement.WON:
-                    return await self._run_claim(call, claim)
+                    return await self._call_as_holder(call, claim)
                 case messages.Settlement.LOG_DOWN:
                     self._release(claim)
-                    return Error(_explain_log_down())
+                    return Error(_create_log_down_failure())
                 case messages.Settlement.MISMATCH:
-                    return Error(_explain_mismatch())
+                    return Error(_create_key_reused_failure())
                 case messages.Settlement.DONE:
-                    return _open_kept(reply)
+                    return _read_stored_answer(reply)
                 case _:
-                    waited = await self._await_holder(call, claim, reply)
+                    waited = await self._await_holder_outcome(
+                        call, claim, reply
+                    )
                     if waited is not None:
                         return waited
 
     async def _settle(
         self, claim: records.Claim, deadline: float
     ) -> messages.SettleReply:
-        refused = messages.SettleReply(settlement=messages.Settlement.LOG_DOWN)
+        log_down = messages.SettleReply(settlement=messages.Settlement.LOG_DOWN)
         with trio.move_on_at(deadline):
             return await self._claims.settle(claim)
-        return refused
+        return log_down
 
-    async def _run_claim(
+    async def _call_as_holder(
         self, call: ServiceCall, claim: records.Claim
-    ) -> _Answered:
+    ) -> _CallResult:
         if trio.current_time() >= call.deadline:
             # This process may have been frozen since it made the claim.
             self._release(claim)
-            return Error(_explain_deadline())
+            return Error(_create_deadline_failure())
         answered = await self._call_once(call)
         if answered.is_ok():
-            self._claims.report(_keep(claim, answered.ok))
+            self._claims.report(_create_outcome(claim, answered.ok))
         elif answered.error.code is results.ResultCode.UNKNOWN_ANSWER_LOST:
-            self._claims.report(_keep(claim, None))
+            self._claims.report(_create_outcome(claim, None))
         else:
             self._release(claim)
         return answered
 
-    async def _await_holder(
+    async def _await_holder_outcome(
         self,
         call: ServiceCall,
         claim: records.Claim,
         reply: messages.SettleReply,
-    ) -> _Answered | None:
+    ) -> _CallResult | None:
         """Wait for the holder's answer; None if it let go of the key."""
         while trio.current_time() < call.deadline:
             if self._members.is_gone(reply.holder):
                 break
-            reply = await self._claims.wait_outcome(claim, _POLL_S)
+            reply = await self._claims.wait_outcome(claim, _OUTCOME_POLL_S)
             match reply.settlement:
                 case messages.Settlement.DONE:
-                    return _open_kept(reply)
+                    return _read_stored_answer(reply)
                 case messages.Settlement.FREE:
                     return None
                 case _:
@@ -255,7 +261,7 @@
         call: ServiceCall,
         runner: instances.Instance,
     ) -> Result[http.Answer, http.CallFailure]:
-        self._note_placement(call, runner)
+        self._record_placement(call, runner)
         self._loads.note_placed(runner.name)
         started = trio.current_time()
         service_s = None
@@ -276,7 +282,7 @@
             self._loads.note_done(runner.name, service_s)
         return answer
 
-    def _choose(
+    def _choose_runner(
         self, call: ServiceCall, tried: set[str]
     ) -> instances.Instance | None:
         """Return the least busy runner, one of the own zone if alike."""
@@ -299,7 +305,7 @@
             default=None,
         )
 
-    def _note_placement(
+    def _record_placement(
         self, call: ServiceCall, runner: instances.Instance
     ) -> None:
         ahead = self._loads.count_ahead(runner.name)
@@ -310,10 +316,12 @@
             request=call.request_id,
             runner=runner.name,
         )
-        self._requests.place(call.request_id, runner.name, runner.zone, reason)
+        self._requests.record_placement(
+            call.request_id, runner.name, runner.zone, reason
+        )
         self._metrics.decisions.inc({"pool": call.pool, "cause": "new"})
 
-    def _note_settled(
+    def _record_settlement(
         self,
         call: ServiceCall,
         claim: records.Claim,
@@ -331,23 +339,25 @@
         self._claims.report(records.Release(claim.key, claim.attempt))
 
 
-def _wrap(answer: http.Answer, runner: instances.Instance) -> ServiceAnswer:
+def _create_answer(
+    answer: http.Answer, runner: instances.Instance
+) -> ServiceAnswer:
     content_type = dict(answer.headers).get(b"content-type", b"").decode()
     return ServiceAnswer(
         answer.status,
-        content_type or _OCTETS,
+        content_type or _DEFAULT_CONTENT_TYPE,
         answer.body,
         runner.name,
         runner.zone,
     )
 
 
-def _keep(
+def _create_outcome(
     claim: records.Claim, answer: ServiceAnswer | None
 ) -> records.Outcome:
     """Return the outcome to be kept; without an answer, that it was lost."""
-    if answer is None or len(answer.body) > _KEPT_BODY_BYTES:
-        answer = ServiceAnswer(_NOT_KEPT, "", b"")
+    if answer is None or len(answer.body) > _MAX_STORED_BODY_BYTES:
+        answer = ServiceAnswer(_STATUS_WITHOUT_ANSWER, "", b"")
     return records.Outcome(
         claim.key,
         claim.attempt,
@@ -358,23 +368,23 @@
     )
 
 
-def _open_kept(reply: messages.SettleReply) -> _Answered:
-    if reply.status == _NOT_KEPT:
+def _read_stored_answer(reply: messages.SettleReply) -> _CallResult:
+    if reply.status == _STATUS_WITHOUT_ANSWER:
         code = results.ResultCode.UNKNOWN_ANSWER_LOST
         message = "the call was made under this key and its answer is lost"
         return Error(results.Failure(code, message))
     return Ok(ServiceAnswer(reply.status, reply.content_type, reply.body))
 
 
-def _explain_no_runner(call: ServiceCall) -> results.Failure:
+def _create_no_runner_failure(call: ServiceCall) -> results.Failure:
     return results.Failure(
         results.ResultCode.NOT_RUN_NO_RUNNER,
         f"no runner of pool {call.pool} took the call",
-        _RETRY_S,
+        _RETRY_AFTER_S,
     )
 
 
-def _explain_lost(
+def _create_answer_lost_failure(
     call: ServiceCall, runner: instances.Instance
 ) -> results.Failure:
     return results.Failure(
@@ -383,24 +393,24 @@
     )
 
 
-def _explain_log_down() -> results.Failure:
+def _create_log_down_failure() -> results.Failure:
     return results.Failure(
         results.ResultCode.NOT_RUN_LOG_DOWN,
         "the log, which has to keep the key, does not answer",
-        _RETRY_S,
+        _RETRY_AFTER_S,
     )
 
 
-def _explain_mismatch() -> results.Failure:
+def _create_key_reused_failure() -> results.Failure:
     return results.Failure(
         results.ResultCode.KEY_REUSED,
         "the key came before with another request",
     )
 
 
-def _explain_deadline() -> results.Failure:
+def _create_deadline_failure() -> results.Failure:
     return results.Failure(
         results.ResultCode.NOT_RUN_DEADLINE,
         "the deadline passed before the call was made",
-        _RETRY_S,
+        _RETRY_AFTER_S,
     )
--- a/packages/daemon/src/martenquay_daemon/journal/appender.py
+++ b/packages/daemon/src/martenquay_daemon/journal/appender.py
@@ -14,11 +14,11 @@
 
 __all__ = ["StreamAppender"]
 
-_MAX_GROUP_BYTES = 1_000_000
+_MAX_BATCH_BYTES = 1_000_000
 
 
 @dataclasses.dataclass
-class _Pending:
+class _PendingAppend:
     payloads: list[bytes]
     result: Result[int, outcome.PlatformFailure] | None = None
     done: trio.Event = dataclasses.field(default_factory=trio.Event)
@@ -29,7 +29,7 @@
 
     Attributes:
         stream: The stream's name.
-        group_count: Appends made so far, for measurements.
+        batch_count: Appends made so far, for measurements.
     """
 
     def __init__(
@@ -37,15 +37,15 @@
         client: log.LogClient,
         stream: str,
         log_health: health.LogHealth,
-        spacing_s: float,
+        min_interval_s: float,
     ) -> None:
         self.stream = stream
-        self.group_count = 0
+        self.batch_count = 0
         self._client = client
         self._health = log_health
-        self._spacing_s = spacing_s
-        self._pending: list[_Pending] = []
-        self._arrived = trio.Event()
+        self._min_interval_s = min_interval_s
+        self._pending: list[_PendingAppend] = []
+        self._pending_added = trio.Event()
 
     async def append(
         self, payload: bytes
@@ -55,9 +55,9 @@
         Whoever is cancelled while it waits has to assume
         `Effect.UNKNOWN`: the record may go out all the same.
         """
-        return await self.append_run([payload])
+        return await self.append_contiguous([payload])
 
-    async def append_run(
+    async def append_contiguous(
         self, payloads: list[bytes]
     ) -> Result[int, outcome.PlatformFailure]:
         """Append records side by side and return the first one's offset.
@@ -65,53 +65,53 @@
         Whoever is cancelled while it waits has to assume
         `Effect.UNKNOWN`: the record may go out all the same.
         """
-        pending = _Pending(payloads)
+        pending = _PendingAppend(payloads)
         self._pending.append(pending)
-        self._arrived.set()
+        self._pending_added.set()
         await pending.done.wait()
         assert pending.result is not None
         return pending.result
 
     async def run(self) -> None:
-        """Append groups, at least `spacing_s` apart, until cancelled."""
+        """Append groups, at least `min_interval_s` apart, until cancelled."""
         while True:
-            await self._arrived.wait()
-            group = self._take_group()
+            await self._pending_added.wait()
+            batch = self._take_batch()
             result = await self._client.append(
                 self.stream,
-                [payload for pending in group for payload in pending.payloads],
+                [payload for pending in batch for payload in pending.payloads],
             )
-            self.group_count += 1
-            self._settle(group, result)
-            await trio.sleep(self._spacing_s)
+            self.batch_count += 1
+            self._complete_batch(batch, result)
+            await trio.sleep(self._min_interval_s)
 
-    def _take_group(self) -> list[_Pending]:
+    def _take_batch(self) -> list[_PendingAppend]:
         size = 0
         count = 0
         for pending in self._pending:
             size += sum(map(len, pending.payloads))
-            if count and size > _MAX_GROUP_BYTES:
+            if count and size > _MAX_BATCH_BYTES:
                 break
             count += 1
-        group = self._pending[:count]
+        batch = self._pending[:count]
         self._pending = self._pending[count:]
         if not self._pending:
-            self._arrived = trio.Event()
-        return group
+            self._pending_added = trio.Event()
+        return batch
 
-    def _settle(
+    def _complete_batch(
         self,
-        group: list[_Pending],
+        batch: list[_PendingAppend],
         result: Result[int, outcome.PlatformFailure],
     ) -> None:
         if result.is_ok():
             self._health.note_answer()
         else:
             self._health.note_failure(result.error.message)
-        place = 0
-        for pending in group:
+        position = 0
+        for pending in batch:
             pending.result = (
-                Ok(result.ok + place) if result.is_ok() else Error(result.error)
+                Ok(result.ok + position) if result.is_ok() else Error(result.error)
             )
-            place += len(pending.payloads)
+            position += len(pending.payloads)
             pending.done.set()
--- a/packages/daemon/src/martenquay_daemon/journal/follower.py
+++ b/packages/daemon/src/martenquay_daemon/journal/follower.py
@@ -18,7 +18,7 @@
 __all__ = ["StreamFollower"]
 
 _LOG = logs.create_log("journal")
-_WAIT_S = 20.0
+_LONG_POLL_S = 20.0
 _RETRY_S = 0.2
 
 
@@ -29,8 +29,8 @@
         stream: The stream's name.
         applied: The offset of the last record handed on; offsets count
             from 1.
-        start: The lowest offset that the log still kept when last read.
-        is_current: The stream was read to its end at least once.
+        oldest_offset: The lowest offset that the log still kept when last read.
+        is_caught_up: The stream was read to its end at least once.
     """
 
     def __init__(
@@ -42,8 +42,8 @@
     ) -> None:
         self.stream = stream
         self.applied = progress.Progress()
-        self.start = 0
-        self.is_current = False
+        self.oldest_offset = 0
+        self.is_caught_up = False
         self._client = client
         self._health = log_health
         self._apply = apply
@@ -52,17 +52,17 @@
         """Follow until cancelled; failures are tried again."""
         while True:
             page = await self._client.read(
-                self.stream, self.applied.value + 1, wait_s=_WAIT_S
+                self.stream, self.applied.value + 1, wait_s=_LONG_POLL_S
             )
             if page.is_error():
                 self._health.note_failure(page.error.message)
                 await trio.sleep(_RETRY_S)
                 continue
             self._health.note_answer()
-            self._take(page.ok)
+            self._apply_page(page.ok)
 
-    def _take(self, page: log.LogPage) -> None:
-        self.start = page.start
+    def _apply_page(self, page: log.LogPage) -> None:
+        self.oldest_offset = page.start
         if page.start > self.applied.value + 1:
             _LOG.write(
                 f"Stream {self.stream} starts at {page.start}: older records "
@@ -73,4 +73,4 @@
             self._apply(record.offset, record.payload)
             self.applied.advance(record.offset)
         if self.applied.value + 1 >= page.end:
-            self.is_current = True
+            self.is_caught_up = True
--- a/packages/daemon/src/martenquay_daemon/journal/health.py
+++ b/packages/daemon/src/martenquay_daemon/journal/health.py
@@ -25,13 +25,13 @@
 
     def note_answer(self) -> None:
         """Note that a call was answered."""
-        self._change(True, "The log answers.")
+        self._set_state(True, "The log answers.")
 
     def note_failure(self, message: str) -> None:
         """Note that a call failed."""
-        self._change(False, f"The log does not answer: {message}.")
+        self._set_state(False, f"The log does not answer: {message}.")
 
-    def _change(self, is_up: bool, text: str) -> None:
+    def _set_state(self, is_up: bool, text: str) -> None:
         if is_up == self.is_up:
             return
         self.is_up = is_up
--- a/packages/daemon/src/martenquay_daemon/journal/archive.py
+++ b/packages/daemon/src/martenquay_daemon/journal/offset_index.py
@@ -10,7 +10,7 @@
 import dataclasses
 import hashlib
 
-__all__ = ["Archive", "Place"]
+__all__ = ["OffsetIndex", "RecordRange"]
 
 _COUNT_BITS = 16
 _OFFSET_BITS = 48
@@ -19,7 +19,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Place:
+class RecordRange:
     """Where something stands in a stream.
 
     Attributes:
@@ -31,29 +31,29 @@
     count: int
 
 
-class Archive:
+class OffsetIndex:
     """Map names to places, oldest first."""
 
     def __init__(self) -> None:
-        # One packed integer a name: index offset, place, number of records.
+        # One packed integer a name: index offset, records, number of records.
         self._packed: dict[int, int] = {}
 
     def __len__(self) -> int:
         """Return how many names are remembered."""
         return len(self._packed)
 
-    def add(self, name: str, index_offset: int, place: Place) -> None:
+    def add(self, name: str, index_offset: int, records: RecordRange) -> None:
         """Remember where a name's content stands."""
-        packed = index_offset << _OFFSET_BITS | place.offset
-        self._packed[_hash_name(name)] = packed << _COUNT_BITS | place.count
+        packed = index_offset << _OFFSET_BITS | records.offset
+        self._packed[_hash_name(name)] = packed << _COUNT_BITS | records.count
 
-    def find(self, name: str) -> Place | None:
+    def find(self, name: str) -> RecordRange | None:
         """Return where a name's content stands, or None."""
         packed = self._packed.get(_hash_name(name))
         if packed is None:
             return None
         offset = packed >> _COUNT_BITS & _OFFSET_MASK
-        return Place(offset, packed & _COUNT_MASK)
+        return RecordRange(offset, packed & _COUNT_MASK)
 
     def forget_before(self, index_offset: int) -> None:
         """Drop the names whose index record is below an offset."""
--- a/packages/daemon/src/martenquay_daemon/journal/shards.py
+++ b/packages/daemon/src/martenquay_daemon/journal/shards.py
@@ -24,12 +24,12 @@
     def __init__(
         self,
         members: table.MemberTable,
-        family: str,
+        stream_prefix: str,
         shard_count: int,
         follower_count: int,
     ) -> None:
         self._members = members
-        self._family = family
+        self._stream_prefix = stream_prefix
         self._shard_count = shard_count
         self._follower_count = follower_count
 
@@ -40,7 +40,7 @@
 
     def name_stream(self, shard: int) -> str:
         """Return a stream's name."""
-        return f"{self._family}-{self._members.me.partner}-{shard}"
+        return f"{self._stream_prefix}-{self._members.me.partner}-{shard}"
 
     def list_followers(self, shard: int) -> list[str]:
         """Return the daemons that should follow a stream, best first.
--- a/tests/test_daemon/test_claims.py
+++ b/tests/test_daemon/test_claims.py
@@ -5,7 +5,7 @@
 import testtools
 
 from martenquay_daemon.claims import records, table
-from martenquay_daemon.journal import archive
+from martenquay_daemon.journal import offset_index
 from martenquay_standins import partners
 from tests import scenarios
 
@@ -22,10 +22,14 @@
 
 class ArchiveTest(testtools.TestCase):
     def test_a_place_is_found_by_name_until_it_is_forgotten(self):
-        kept = archive.Archive()
+        kept = offset_index.OffsetIndex()
         for number in range(1, 6):
-            kept.add(f"key-{number}", 10 * number, archive.Place(number, 3))
-        self.assertEqual(archive.Place(4, 3), kept.find("key-4"))
+            kept.add(
+                f"key-{number}",
+                10 * number,
+                offset_index.RecordRange(number, 3),
+            )
+        self.assertEqual(offset_index.RecordRange(4, 3), kept.find("key-4"))
         kept.forget_before(40)
         self.assertIsNone(kept.find("key-3"))
         self.assertEqual(2, len(kept))
@@ -38,7 +42,9 @@
         for number in range(5):
             offset = _run_key(claims, offset, f"key-{number}")
         self.assertIsNone(claims.find("key-0"))
-        self.assertEqual(archive.Place(2, 1), claims.find_old("key-0"))
+        self.assertEqual(
+            offset_index.RecordRange(2, 1), claims.find_archived("key-0")
+        )
         late = records.Claim("key-0", "another", "d-2", "x")
         claims.apply(offset + 1, records.encode(late))
         self.assertIsNone(claims.find("key-0"))
--- a/tests/test_daemon/test_work_table.py
+++ b/tests/test_daemon/test_work_table.py
@@ -5,7 +5,7 @@
 import testtools
 
 from martenquay_daemon.deferrable import records, table
-from martenquay_daemon.journal import archive
+from martenquay_daemon.journal import offset_index
 
 
 def _accept(offset: int, *, is_carried: bool = False) -> bytes:
@@ -36,16 +36,22 @@
             [_accept(1), _complete(50), _complete(60)], 1
         ):
             works.apply(offset, raw)
-        self.assertEqual(archive.Place(50, 1), works.find_answer("team.1"))
+        self.assertEqual(
+            offset_index.RecordRange(50, 1), works.find_answer("team.1")
+        )
         self.assertEqual([], works.list_open())
 
     def test_a_request_sent_again_keeps_its_first_body(self):
         works = table.WorkTable()
         works.apply(1, _accept(10))
         works.apply(2, _accept(20))
-        self.assertEqual(archive.Place(10, 1), works.list_open()[0].body)
+        self.assertEqual(
+            offset_index.RecordRange(10, 1), works.list_open()[0].body
+        )
         works.apply(3, _accept(30, is_carried=True))
-        self.assertEqual(archive.Place(30, 1), works.list_open()[0].body)
+        self.assertEqual(
+            offset_index.RecordRange(30, 1), works.list_open()[0].body
+        )
 
     def test_an_answered_request_sent_again_stays_answered(self):
         works = table.WorkTable()
