--- a/packages/daemon/src/martenquay_daemon/claims/__init__.py
+++ b/packages/daemon/src/martenquay_daemon/claims/__init__.py
@@ -1,1 +1,1 @@
-"""Let a call that may not be repeated run at most once."""
+"""Claim idempotency keys in the log so that a call runs at most once."""
--- a/packages/daemon/src/martenquay_daemon/claims/manager.py
+++ b/packages/daemon/src/martenquay_daemon/claims/manager.py
@@ -1,4 +1,4 @@
-"""Settle claims wherever their stream is followed, here or at a peer."""
+"""Settle claims on idempotency keys at a daemon that follows their stream."""
 
 from __future__ import annotations
 
@@ -27,10 +27,11 @@
 
 
 class ClaimManager:
-    """Settle claims and report their outcomes.
+    """Settles claims and delivers their releases and outcomes to the log.
 
-    A daemon follows the streams that the membership gives it. It asks a
-    follower for the others, and follows one itself when none answers.
+    To settle a claim is to find out whether it holds its key. A daemon follows
+    the shards that the shard map assigns to it. It asks a follower for the
+    others, and starts to follow a shard itself when no follower answers.
     """
 
     def __init__(
@@ -58,7 +59,7 @@
     async def run(
         self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Follow this daemon's streams and deliver reports."""
+        """Follow the assigned shards and deliver reports until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             nursery.start_soon(self._deliver_reports)
@@ -69,7 +70,7 @@
                 await trio.sleep(_FOLLOW_CHECK_INTERVAL_S)
 
     async def settle(self, claim: records.Claim) -> messages.SettleReply:
-        """Settle a claim; the same claim may be settled again."""
+        """Settle a claim; settling the same claim again is harmless."""
         number = self._shard_map.find_shard(claim.key)
         if number not in self._shards:
             message = messages.SettleClaim(
@@ -89,7 +90,12 @@
     async def wait_outcome(
         self, claim: records.Claim, wait_s: float
     ) -> messages.SettleReply:
-        """Wait for the outcome of the claim that holds this claim's key."""
+        """Wait for the outcome of the claim that holds this claim's key.
+
+        Args:
+            claim: A claim on the key that did not win.
+            wait_s: Longest time to wait, in seconds.
+        """
         number = self._shard_map.find_shard(claim.key)
         if number not in self._shards:
             message = messages.WaitOutcome(
@@ -107,15 +113,15 @@
         return await self._ensure_followed(number).wait_outcome(claim, wait_s)
 
     def report(self, record: records.ClaimRecord) -> None:
-        """Have a release or an outcome put into the log, sooner or later."""
+        """Queue a release or an outcome; it is retried until appended."""
         self._report_sender.send_nowait(record)
 
     def count_unreported(self) -> int:
-        """Return how many records still wait for the log."""
+        """Return the number of queued records whose delivery has not begun."""
         return self._report_receiver.statistics().current_buffer_used
 
     def count_keys(self) -> int:
-        """Return how many keys this daemon holds in memory."""
+        """Return the number of keys in the tables of the followed shards."""
         return sum(
             len(claim_shard.claims) for claim_shard in self._shards.values()
         )
@@ -123,7 +129,7 @@
     async def settle_for_peer(
         self, message: messages.SettleClaim
     ) -> messages.Message:
-        """Settle a claim that a peer makes."""
+        """Settle a claim for a peer that does not follow its shard."""
         claim = records.Claim(
             message.key,
             message.attempt,
@@ -135,7 +141,7 @@
     async def wait_for_peer(
         self, message: messages.WaitOutcome
     ) -> messages.Message:
-        """Wait for an outcome that a peer needs."""
+        """Wait for an outcome for a peer that does not follow its shard."""
         claim = records.Claim(
             message.key, message.attempt, "", message.request_digest
         )
@@ -145,18 +151,18 @@
     async def append_for_peer(
         self, message: messages.ReportOutcome
     ) -> messages.Message:
-        """Append a record that a peer reports."""
+        """Append a release or an outcome that a peer reports."""
         record = records.decode(message.record)
         if record is None:
-            return messages.Unavailable("the record cannot be read")
+            return messages.Unavailable("the claim record cannot be decoded")
         if await self._ensure_followed(message.shard).append(record):
             return messages.Acknowledged()
-        return messages.Unavailable("the log did not answer")
+        return messages.Unavailable("the log did not accept the claim record")
 
     def _ensure_followed(self, number: int) -> shard.ClaimShard:
         claim_shard = self._shards.get(number)
         if claim_shard is None:
-            assert self._nursery is not None, "the desk is not running"
+            assert self._nursery is not None, "the claim manager is not running"
             claim_shard = shard.create_shard(
                 self._client,
                 self._shard_map.name_stream(number),
@@ -166,7 +172,7 @@
             )
             self._shards[number] = claim_shard
             self._nursery.start_soon(claim_shard.run)
-            _LOG.write(f"Follow claim stream {number}.", shard=number)
+            _LOG.write(f"Started to follow claim shard {number}.", shard=number)
         return claim_shard
 
     async def _ask_followers(
@@ -181,7 +187,7 @@
                 case Result(tag="ok", ok=messages.SettleReply() as settled):
                     return settled
                 case _:
-                    _LOG.write(f"Follower {member} did not settle.")
+                    _LOG.write(f"Daemon {member} did not settle a claim.")
         return None
 
     async def _deliver_reports(self) -> None:
--- a/packages/daemon/src/martenquay_daemon/claims/records.py
+++ b/packages/daemon/src/martenquay_daemon/claims/records.py
@@ -1,4 +1,4 @@
-"""Define the records of a claim stream."""
+"""Records of a claim stream and their encoding."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 class Claim(msgspec.Struct, frozen=True, array_like=True, tag="c"):
-    """A daemon asks to make the call.
+    """A daemon's claim on an idempotency key; the first in the log wins.
 
     Attributes:
-        key: The caller's key with its team and route.
-        attempt: Names this claim.
-        holder: The daemon that would make the call.
-        request_digest: Tells a repeat from another request of the same key.
+        key: The caller's idempotency key, qualified by team and route.
+        attempt: Random ID of this claim.
+        holder: Daemon that makes the call if the claim wins.
+        request_digest: Digest of the request; detects a reused key.
     """
 
     key: str
@@ -24,11 +24,11 @@
 
 
 class Release(msgspec.Struct, frozen=True, array_like=True, tag="r"):
-    """The holder will never make the call.
+    """The daemon that made a claim will never make the call.
 
     Attributes:
-        key: The key.
-        attempt: The claim given up. It may come later in the log than this.
+        key: The claimed key.
+        attempt: ID of the claim, which may follow the release in the log.
     """
 
     key: str
@@ -36,15 +36,16 @@
 
 
 class Outcome(msgspec.Struct, frozen=True, array_like=True, tag="o"):
-    """What the call came to.
+    """The call was made, with this answer.
 
     Attributes:
-        key: The key.
-        attempt: The claim under which it was made.
-        status: The answer's HTTP status; 0 if the answer was lost.
-        content_type: The answer's content type.
-        body: The answer's body.
-        request_digest: The claim's; an old outcome stands alone.
+        key: The claimed key.
+        attempt: ID of the claim that won.
+        status: HTTP status of the answer; 0 if it was lost or too large.
+        content_type: Content type of the answer.
+        body: Body of the answer.
+        request_digest: Copied from the claim, because an archived outcome is
+            read without it.
     """
 
     key: str
@@ -61,12 +62,12 @@
 
 
 def encode(record: ClaimRecord) -> bytes:
-    """Return a record's bytes."""
+    """Encode a record."""
     return msgspec.msgpack.encode(record)
 
 
 def decode(raw: bytes) -> ClaimRecord | None:
-    """Return the record, or None if the bytes hold none."""
+    """Decode a record; return None if the bytes are not a claim record."""
     try:
         return _DECODER.decode(raw)
     except msgspec.MsgspecError:
--- a/packages/daemon/src/martenquay_daemon/claims/shard.py
+++ b/packages/daemon/src/martenquay_daemon/claims/shard.py
@@ -1,4 +1,4 @@
-"""Follow one claim stream and settle claims in it."""
+"""Settle claims by appending to one claim stream and reading it back."""
 
 from __future__ import annotations
 
@@ -20,16 +20,15 @@
 __all__ = ["ClaimShard", "create_shard"]
 
 _LOG = logs.create_log("claims")
-# How long a claim whose append got no answer is looked for in the log.
 _READ_BACK_TIMEOUT_S = 1.0
 _POLL_S = 0.05
 
 
 class ClaimShard:
-    """One claim stream: its fold, its appends, its settlements.
+    """Follower, appender and claim table of one claim stream.
 
     Attributes:
-        claims: The folded state.
+        claims: Claims and outcomes read from the stream so far.
     """
 
     def __init__(
@@ -47,7 +46,7 @@
         self._health = log_health
 
     async def run(self) -> None:
-        """Follow and append until cancelled."""
+        """Follow the stream and append to it until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._follower.run)
             nursery.start_soon(self._appender.run)
@@ -56,9 +55,10 @@
                 self.claims.forget_before(self._follower.oldest_offset)
 
     async def settle(self, claim: records.Claim) -> messages.SettleReply:
-        """Put a claim into the log and read how the log's order settles it.
+        """Append a claim and return how the order of the log settles it.
 
-        A claim is never said to be won before it was read back.
+        A claim has won only once it was read back: another daemon's claim may
+        come before it in the log.
         """
         known = await self._find_settlement(claim)
         if known is not None:
@@ -79,17 +79,22 @@
         return await self._find_settlement(claim) or _create_log_down_reply()
 
     async def append(self, record: records.ClaimRecord) -> bool:
-        """Append a release or an outcome; tell whether that is certain."""
+        """Append a release or an outcome; return whether that succeeded."""
         appended = await self._appender.append(records.encode(record))
         return appended.is_ok()
 
     async def wait_outcome(
         self, claim: records.Claim, wait_s: float
     ) -> messages.SettleReply:
-        """Wait until the claim that holds the key has its outcome.
+        """Wait until the claim that holds the key has an outcome.
+
+        Args:
+            claim: A claim on the key that did not win.
+            wait_s: Longest time to wait, in seconds.
 
         Returns:
-            What is known when the wait ends; `FREE` if the holder let go.
+            The state of the key when the wait ends; `FREE` if no claim holds
+            it any more.
         """
         with trio.move_on_after(wait_s):
             while True:
@@ -109,7 +114,7 @@
     async def _find_settlement(
         self, claim: records.Claim
     ) -> messages.SettleReply | None:
-        """Return how a key stands, or None if nobody holds it."""
+        """Return the state of the claim's key, or None if it is free."""
         entry = self.claims.find(claim.key)
         if entry is not None:
             return _create_entry_reply(claim, entry)
@@ -130,7 +135,8 @@
             found = records.decode(page.ok.records[0].payload)
             if isinstance(found, records.Outcome) and found.key == claim.key:
                 return _create_outcome_reply(claim, found)
-        # It ran; what came of it cannot be read now.
+        # The call was made, so this must not report the key as free even when
+        # the outcome cannot be read.
         return messages.SettleReply(settlement=messages.Settlement.DONE)
 
     async def _wait_for_claim(self, claim: records.Claim) -> None:
@@ -146,7 +152,7 @@
     min_interval_s: float,
     full_outcomes: int,
 ) -> ClaimShard:
-    """Return a shard that follows the stream once it runs."""
+    """Create a shard, to be started with `ClaimShard.run`."""
     claims = table.ClaimTable(full_outcomes)
     return ClaimShard(
         client,
@@ -160,7 +166,7 @@
 def _create_entry_reply(
     claim: records.Claim, entry: table.Entry
 ) -> messages.SettleReply:
-    """Return what a claimant has to know of the claim that holds its key."""
+    """Return how a claim is settled by the entry of its key."""
     if entry.claim.request_digest != claim.request_digest:
         return messages.SettleReply(settlement=messages.Settlement.MISMATCH)
     if entry.outcome is not None:
--- a/packages/daemon/src/martenquay_daemon/claims/table.py
+++ b/packages/daemon/src/martenquay_daemon/claims/table.py
@@ -1,12 +1,4 @@
-"""Fold a claim stream: the first claim on a key in the log's order wins.
-
-Keys whose outcome is old stay held, but of each only its place in the log is
-kept; what the outcome was is read from there.
-
-A claim that finds the key held is void for ever, even if the holder lets go
-later: whoever made it has been told so. A holder that lets go writes a
-release, which also counts when its claim turns up after it.
-"""
+"""State of a claim stream: the first claim on a key in the log wins."""
 
 from __future__ import annotations
 
@@ -31,8 +23,8 @@
 
     Attributes:
         claim: The claim.
-        offset: Where it stands in the log.
-        outcome: What its call came to, once that is known.
+        offset: Offset of the claim in the stream.
+        outcome: Outcome of the call, once known.
     """
 
     claim: records.Claim
@@ -41,24 +33,30 @@
 
 
 class ClaimTable:
-    """The keys that are held or done."""
+    """The keys that are claimed or whose call was made.
+
+    A claim on a key that is held never wins, even if the holder releases the
+    key later, because its daemon was told that it lost. A release also voids
+    its claim when the claim follows it in the log. Of all but the newest
+    outcomes only the offset is kept; their contents are read from the log.
+    """
 
     def __init__(self, full_outcomes: int) -> None:
         self._full_outcomes = full_outcomes
         self._outcome_offsets: OrderedDict[str, int] = OrderedDict()
         self._archived = offset_index.OffsetIndex()
-        # Both in the order of their offsets, so that old ones go first.
+        # Ordered by offset, as `_drop_oldest` requires; so is `_void_attempts`.
         self._entries: OrderedDict[str, Entry] = OrderedDict()
         # Attempts that can never win: released ones, and those that found
-        # the key held. Their claims may come again or late.
+        # the key held. A retried or delayed append may repeat their claims.
         self._void_attempts: OrderedDict[str, int] = OrderedDict()
 
     def __len__(self) -> int:
-        """Return the number of keys that are held or done."""
+        """Return the number of keys that are claimed or whose call was made."""
         return len(self._entries) + len(self._archived)
 
     def apply(self, offset: int, raw: bytes) -> None:
-        """Fold the next record in."""
+        """Apply the next record of the stream; ignore an unknown one."""
         match records.decode(raw):
             case records.Claim() as claim:
                 self._apply_claim(offset, claim)
@@ -70,15 +68,15 @@
                 pass
 
     def find(self, key: str) -> Entry | None:
-        """Return who holds the key, or None; not if its outcome is old."""
+        """Return the entry of a key, or None if it is free or archived."""
         return self._entries.get(key)
 
     def find_archived(self, key: str) -> offset_index.RecordRange | None:
-        """Return where a key's old outcome stands in the log, or None."""
+        """Return the record of a key's archived outcome, or None."""
         return self._archived.find(key)
 
     def forget_before(self, offset: int) -> None:
-        """Drop what the log itself has forgotten."""
+        """Remove what the log no longer retains."""
         _drop_oldest(self._entries, offset, lambda entry: entry.offset)
         _drop_oldest(self._void_attempts, offset, lambda voided_at: voided_at)
         self._archived.forget_before(offset)
--- a/packages/daemon/src/martenquay_daemon/deferrable/__init__.py
+++ b/packages/daemon/src/martenquay_daemon/deferrable/__init__.py
@@ -1,1 +1,1 @@
-"""Keep accepted deferrable requests in the log until they are answered."""
+"""Store deferrable requests durably in the log and answer them later."""
--- a/packages/daemon/src/martenquay_daemon/deferrable/manager.py
+++ b/packages/daemon/src/martenquay_daemon/deferrable/manager.py
@@ -30,11 +30,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class TicketState:
-    """What is known of a ticket.
+    """State of the deferrable request with a given ticket.
 
     Attributes:
-        known: It was accepted.
-        answer: The answer, None while there is none or it cannot be read.
+        known: Whether the request was accepted.
+        answer: The answer, or None while it is missing or cannot be read.
     """
 
     known: bool
@@ -42,7 +42,12 @@
 
 
 class DeferrableManager:
-    """The deferrable requests of one partner, as one daemon knows them."""
+    """Accepts deferrable requests of one partner and looks up their answers.
+
+    Each request belongs to the shard of its ticket. A daemon can append to any
+    shard, but follows only those that the shard map assigns to it and those of
+    tickets that no other daemon could look up.
+    """
 
     def __init__(
         self,
@@ -64,20 +69,20 @@
         self._nursery: trio.Nursery | None = None
 
     def set_nursery(self, nursery: trio.Nursery) -> None:
-        """Run the streams' tasks in a nursery."""
+        """Set the nursery that runs the tasks of the shards."""
         self._nursery = nursery
 
     def follow_own(self) -> None:
-        """Follow the streams that the membership gives this daemon."""
+        """Follow the shards that the shard map assigns to this daemon."""
         for number in self._shard_map.list_own():
             self._ensure_followed(number)
 
     def list_followed(self) -> list[tuple[int, shard.WorkShard]]:
-        """Return the streams that are followed here."""
+        """Return the followed shards with their numbers."""
         return [(number, self._shards[number]) for number in self._followed]
 
     def list_open(self) -> list[table.OpenRequest]:
-        """Return the open requests of the streams followed here."""
+        """Return the unanswered requests of the followed shards."""
         return [
             request
             for _, work_shard in self.list_followed()
@@ -87,13 +92,19 @@
     async def accept(
         self, ticket: str, team: str, route: str, body: bytes
     ) -> Result[str, results.Failure]:
-        """Put a request into the log; only then is it accepted."""
+        """Append a request to the log.
+
+        Returns:
+            The ticket once the request is stored, otherwise why it was not
+            accepted or may not have been.
+        """
         if not self._health.is_up:
             return Error(_create_log_down_failure())
         work_shard = self._get_shard(self._shard_map.find_shard(ticket))
         written = await work_shard.write_content(body)
         if written.is_error():
-            # A body without its record is nothing.
+            # Even if the body was appended: without an `Accepted` record that
+            # refers to it, the request does not exist.
             return Error(_create_log_down_failure())
         record = records.Accepted(
             ticket=ticket,
@@ -106,7 +117,10 @@
         )
         match await work_shard.append(record):
             case Result(tag="ok"):
-                _LOG.write(f"Accepted {ticket} for {team}.", ticket=ticket)
+                _LOG.write(
+                    f"Accepted deferrable request {ticket} of team {team}.",
+                    ticket=ticket,
+                )
                 return Ok(ticket)
             case Result(
                 error=outcome.PlatformFailure(effect=outcome.Effect.NOT_DONE)
@@ -114,11 +128,14 @@
                 return Error(_create_log_down_failure())
             case _:
                 code = results.ResultCode.UNKNOWN_ANSWER_LOST
-                message = f"it may have been accepted; ask for ticket {ticket}"
+                message = (
+                    "the request may have been accepted; "
+                    f"ask for ticket {ticket}"
+                )
                 return Error(results.Failure(code, message, _LOG_RETRY_AFTER_S))
 
     async def fetch(self, ticket: str) -> TicketState:
-        """Return what is known of a ticket, here or at a peer."""
+        """Return the state of a ticket, from a peer if it follows the shard."""
         number = self._shard_map.find_shard(ticket)
         if number not in self._followed:
             message = messages.FetchAnswer(ticket)
@@ -136,7 +153,7 @@
     async def fetch_for_peer(
         self, message: messages.FetchAnswer
     ) -> messages.Message:
-        """Answer a peer's question for a ticket."""
+        """Return the state of a ticket to a peer."""
         number = self._shard_map.find_shard(message.ticket)
         state = await self._read_state(number, message.ticket)
         return messages.AnswerReply(state.known, state.answer)
@@ -152,16 +169,16 @@
     def _ensure_followed(self, number: int) -> shard.WorkShard:
         work_shard = self._get_shard(number)
         if number not in self._followed:
-            assert self._nursery is not None, "the desk is not running"
+            assert self._nursery is not None, "the worker is not running"
             self._followed.add(number)
             self._nursery.start_soon(work_shard.run_follower)
-            _LOG.write(f"Follow work stream {number}.", shard=number)
+            _LOG.write(f"Started to follow work shard {number}.", shard=number)
         return work_shard
 
     def _get_shard(self, number: int) -> shard.WorkShard:
         found = self._shards.get(number)
         if found is None:
-            assert self._nursery is not None, "the desk is not running"
+            assert self._nursery is not None, "the worker is not running"
             found = self._shards[number] = shard.create_shard(
                 self._client,
                 self._shard_map.name_stream(number),
@@ -175,6 +192,6 @@
 def _create_log_down_failure() -> results.Failure:
     return results.Failure(
         results.ResultCode.NOT_RUN_LOG_DOWN,
-        "the log, which has to keep the request, does not answer",
+        "the log that stores deferrable requests does not answer",
         _LOG_RETRY_AFTER_S,
     )
--- a/packages/daemon/src/martenquay_daemon/deferrable/records.py
+++ b/packages/daemon/src/martenquay_daemon/deferrable/records.py
@@ -1,8 +1,4 @@
-"""Define the records of a work stream; contents stand in one of their own.
-
-Followers read only the small records here. Bodies and answers are read from
-the content stream by whoever needs them.
-"""
+"""Records of a work stream, which refer to bodies in a content stream."""
 
 from __future__ import annotations
 
@@ -23,17 +19,18 @@
 class Accepted(
     msgspec.Struct, frozen=True, array_like=True, tag="a", kw_only=True
 ):
-    """A request is accepted.
+    """A deferrable request was accepted.
 
     Attributes:
-        ticket: Names the request.
-        team: Who pays.
-        route: What was asked for.
-        written_at: When this was written, in seconds since the epoch.
-        config_offset: The configuration by which it was accepted.
-        offset: Where its body stands in the content stream.
-        count: How many records the body has.
-        is_carried: Written again before the log forgets the first one.
+        ticket: ID of the request.
+        team: Team that sent it.
+        route: Name of the requested route.
+        written_at: When the record was written, in seconds since the epoch.
+        config_offset: Offset of the configuration that accepted the request.
+        offset: Offset of the body's first record in the content stream.
+        count: Number of records of the body.
+        is_carried: Whether this renews an earlier record, before the log's
+            retention removes that one.
     """
 
     ticket: str
@@ -49,12 +46,12 @@
 class Completed(
     msgspec.Struct, frozen=True, array_like=True, tag="d", kw_only=True
 ):
-    """A request is answered.
+    """A deferrable request was answered.
 
     Attributes:
-        ticket: Names the request.
-        offset: Where the answer stands in the content stream.
-        count: How many records the answer has.
+        ticket: ID of the request.
+        offset: Offset of the answer's first record in the content stream.
+        count: Number of records of the answer.
     """
 
     ticket: str
@@ -68,12 +65,12 @@
 
 
 def encode(record: WorkRecord) -> bytes:
-    """Return a record's bytes."""
+    """Encode a record."""
     return msgspec.msgpack.encode(record)
 
 
 def decode(raw: bytes) -> WorkRecord | None:
-    """Return the record, or None if the bytes hold none."""
+    """Decode a record; return None if the bytes are not a work record."""
     try:
         return _DECODER.decode(raw)
     except msgspec.MsgspecError:
@@ -81,6 +78,6 @@
 
 
 def split_content(content: bytes) -> list[bytes]:
-    """Return a content's pieces, at least one."""
+    """Split a body or an answer into one or more chunks."""
     starts = range(0, max(len(content), 1), CHUNK_BYTES)
     return [content[start : start + CHUNK_BYTES] for start in starts]
--- a/packages/daemon/src/martenquay_daemon/deferrable/shard.py
+++ b/packages/daemon/src/martenquay_daemon/deferrable/shard.py
@@ -1,4 +1,4 @@
-"""Follow one work stream and keep its content_appender beside it."""
+"""Read and append one work stream and its content stream."""
 
 from __future__ import annotations
 
@@ -18,17 +18,19 @@
 __all__ = ["WorkShard", "create_shard"]
 
 _CLEANUP_INTERVAL_S = 1.0
-# Contents written or read here are cached for a while, also for the time in
-# which the log cannot be read.
+# Cached contents also stay readable while the log does not answer.
 _MAX_CACHE_BYTES = 4_000_000
 
 
 class WorkShard:
-    """One work stream: its fold, its appends, its content_appender.
+    """Follower, appenders, request table and content cache of one shard.
+
+    Followers read only the small records of the work stream. Bodies and answers
+    are in a content stream of their own and are read when needed.
 
     Attributes:
-        requests: The folded state.
-        follower: Reads the stream.
+        requests: Requests and answers read from the work stream so far.
+        follower: Reads the work stream.
     """
 
     def __init__(
@@ -48,13 +50,13 @@
         self._cached_bytes = 0
 
     async def run_appenders(self) -> None:
-        """Append until cancelled; a daemon need not follow for that."""
+        """Append to both streams until cancelled, followed or not."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._record_appender.run)
             nursery.start_soon(self._content_appender.run)
 
     async def run_follower(self) -> None:
-        """Follow until cancelled."""
+        """Follow the work stream until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.follower.run)
             while True:
@@ -70,7 +72,7 @@
     async def write_content(
         self, content: bytes
     ) -> Result[offset_index.RecordRange, outcome.PlatformFailure]:
-        """Append a content and return where it stands."""
+        """Append a body or an answer and return its records' offsets."""
         chunks = records.split_content(content)
         appended = await self._content_appender.append_contiguous(chunks)
         if appended.is_ok():
@@ -82,7 +84,7 @@
     async def read_content(
         self, location: offset_index.RecordRange
     ) -> bytes | None:
-        """Return a content, or None if the log does not give it now."""
+        """Return a body or an answer, or None if the log cannot be read."""
         cached = self._content_cache.get(location.offset)
         if cached is not None:
             return cached
@@ -101,7 +103,10 @@
                 return None
 
     async def catch_up(self, timeout_s: float) -> None:
-        """Read up to the stream's present end, if the log answers."""
+        """Wait until the work stream is read to its current end.
+
+        Returns early if the log does not answer or after `timeout_s` seconds.
+        """
         page = await self._client.read(self.follower.stream, 1, limit=1)
         match page:
             case Result(tag="ok", ok=found):
@@ -126,7 +131,7 @@
     log_health: health.LogHealth,
     min_interval_s: float,
 ) -> WorkShard:
-    """Return a shard whose parts run once they are started."""
+    """Create a shard, to be started with its `run_` methods."""
     requests = table.WorkTable()
     return WorkShard(
         client,
--- a/packages/daemon/src/martenquay_daemon/deferrable/table.py
+++ b/packages/daemon/src/martenquay_daemon/deferrable/table.py
@@ -1,8 +1,4 @@
-"""Fold a work stream: what is accepted and not yet answered, and the answers.
-
-The first answer in the log's order is the answer, so that it is one and the
-same wherever and however often it is fetched.
-"""
+"""State of a work stream: unanswered requests and offsets of the answers."""
 
 from __future__ import annotations
 
@@ -16,16 +12,17 @@
 
 @dataclasses.dataclass
 class OpenRequest:
-    """One accepted request without an answer.
+    """An accepted request without an answer.
 
     Attributes:
-        ticket: Names it.
-        team: Who pays.
-        route: What was asked for.
-        written_at: When its newest record was written, in epoch seconds.
-        config_offset: The configuration by which it was accepted.
-        body: Where its body stands in the content stream.
-        is_answered: The log holds an answer by now.
+        ticket: ID of the request.
+        team: Team that sent it.
+        route: Name of the requested route.
+        written_at: When its newest record was written, in seconds since the
+            epoch.
+        config_offset: Offset of the configuration that accepted it.
+        body: Records of its body in the content stream.
+        is_answered: Whether an answer was read from the log since.
     """
 
     ticket: str
@@ -38,18 +35,22 @@
 
 
 class WorkTable:
-    """The accepted requests of one stream."""
+    """The accepted requests of one work stream.
+
+    The first answer in the log is the one that counts, so that each daemon
+    returns the same answer however often it is fetched.
+    """
 
     def __init__(self) -> None:
         self._open_requests: dict[str, OpenRequest] = {}
         self._answers = offset_index.OffsetIndex()
 
     def __len__(self) -> int:
-        """Return how many requests are remembered."""
+        """Return the number of requests, answered or not."""
         return len(self._open_requests) + len(self._answers)
 
     def apply(self, offset: int, raw: bytes) -> None:
-        """Fold the next record in."""
+        """Apply the next record of the stream; ignore an unknown one."""
         match records.decode(raw):
             case records.Accepted() as accepted:
                 self._apply_accepted(accepted)
@@ -59,21 +60,21 @@
                 pass
 
     def find_open(self, ticket: str) -> OpenRequest | None:
-        """Return a request without an answer, or None."""
+        """Return the unanswered request with this ticket, or None."""
         return self._open_requests.get(ticket)
 
     def find_answer(self, ticket: str) -> offset_index.RecordRange | None:
-        """Return where an answer stands in the content stream, or None."""
+        """Return the records of an answer in the content stream, or None."""
         return self._answers.find(ticket)
 
     def list_open(self) -> list[OpenRequest]:
-        """Return the requests without an answer."""
+        """Return the unanswered requests."""
         return list(self._open_requests.values())
 
     def forget_before(self, offset: int) -> None:
-        """Drop answers that the log itself has forgotten.
+        """Remove answers that the log no longer retains.
 
-        A request without an answer is kept: it is still owed one.
+        Unanswered requests stay, because their callers wait for an answer.
         """
         self._answers.forget_before(offset)
 
@@ -83,8 +84,8 @@
         body = offset_index.RecordRange(accepted.offset, accepted.count)
         existing = self._open_requests.get(accepted.ticket)
         if existing is not None:
-            # A caller who was not sure may have sent it again; the first
-            # body counts, wherever it was carried to since.
+            # A caller that retries an uncertain request may send another body.
+            # The first body counts; only a renewal may change its offset.
             if accepted.is_carried:
                 existing.written_at = accepted.written_at
                 existing.body = body
@@ -111,5 +112,5 @@
 
 
 def find_team(ticket: str) -> str:
-    """Return the team that a ticket belongs to."""
+    """Return the name of the team that a ticket belongs to."""
     return ticket.partition(".")[0]
--- a/packages/daemon/src/martenquay_daemon/deferrable/worker.py
+++ b/packages/daemon/src/martenquay_daemon/deferrable/worker.py
@@ -1,9 +1,4 @@
-"""Work on accepted requests until each has its answer in the log.
-
-Whoever follows a ticket's stream and ranks first for the ticket requests on it.
-When that daemon leaves or dies, the next in rank does. Two may work on one
-ticket for a while; the log's order picks one answer.
-"""
+"""Answer accepted deferrable requests and renew their records."""
 
 from __future__ import annotations
 
@@ -37,12 +32,18 @@
 _REVIEW_S = 0.5
 _RETRY_S = 0.5
 _MAX_RETRY_S = 10.0
-# Open work is written again when its record has this share of its time left.
+# Records of unanswered requests are renewed at this fraction of the retention.
 _RENEWAL_AGE_RATIO = 0.5
 
 
 class DeferrableWorker:
-    """Work on the requests that fall to one daemon."""
+    """Answers the deferrable requests that are assigned to one daemon.
+
+    Of the daemons that follow a ticket's shard, the one that ranks first for
+    the ticket answers the request. When that daemon stops or fails, the next
+    one does. Two may answer one request for a while; the order of the log
+    decides which answer counts.
+    """
 
     def __init__(
         self,
@@ -70,11 +71,11 @@
         *,
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Work until cancelled.
+        """Answer assigned requests until cancelled.
 
         Args:
             perform: Answers one request from its body.
-            task_status: Is started once requests can be accepted.
+            task_status: Started once requests can be accepted.
         """
         async with trio.open_nursery() as nursery:
             self._manager.set_nursery(nursery)
@@ -86,11 +87,12 @@
                 await trio.sleep(_REVIEW_S)
 
     def hand_over(self) -> None:
-        """Stop working; other daemons adopt what is open."""
+        """Cancel the requests in progress; other daemons answer them."""
         self._max_parallel = 0
         self._stopping.set()
         _LOG.write(
-            f"Handed over {len(self._in_progress)} requests in progress."
+            f"Handed {len(self._in_progress)} deferrable requests in progress "
+            "over to other daemons."
         )
 
     def _start_assigned(self, nursery: trio.Nursery, perform: Perform) -> None:
@@ -111,7 +113,8 @@
                 nursery.start_soon(self._renew_record, work_shard, request)
 
     def _list_assigned(self) -> list[tuple[shard.WorkShard, table.OpenRequest]]:
-        # A stream read in part shows answered requests as open ones.
+        # In a shard that was not read to its end, requests may look unanswered
+        # although their answers follow; they would be answered again.
         return [
             (work_shard, request)
             for number, work_shard in self._manager.list_followed()
@@ -151,20 +154,25 @@
     ) -> None:
         retry_s = _RETRY_S
         number = self._shard_map.find_shard(request.ticket)
-        # By an older configuration its route might not be there yet.
+        # With an older configuration the route may be unknown, and the request
+        # would be answered with that error.
         await self._config_applied.wait_for(request.config_offset)
         while not request.is_answered and self._is_assigned(
             number, request.ticket
         ):
             body = await work_shard.read_content(request.body)
             if body is not None:
-                _LOG.write(f"Work on {request.ticket}.", ticket=request.ticket)
+                _LOG.write(
+                    f"Started to answer deferrable request {request.ticket}.",
+                    ticket=request.ticket,
+                )
                 answer = await perform(request, body)
                 if answer.is_ok():
                     await self._store_answer(work_shard, request, answer.ok)
                     return
                 _LOG.write(
-                    f"Work on {request.ticket} failed: {answer.error.message}.",
+                    f"Could not answer deferrable request {request.ticket}: "
+                    f"{answer.error.message}.",
                     ticket=request.ticket,
                     code=answer.error.code.value,
                 )
@@ -189,7 +197,9 @@
                 if appended.is_ok():
                     await work_shard.follower.applied.wait_for(appended.ok)
                     _LOG.write(
-                        f"Answered {request.ticket}.", ticket=request.ticket
+                        "Stored the answer to deferrable request "
+                        f"{request.ticket}.",
+                        ticket=request.ticket,
                     )
                     return
             await trio.sleep(_RETRY_S)
@@ -197,7 +207,7 @@
     async def _renew_record(
         self, work_shard: shard.WorkShard, request: table.OpenRequest
     ) -> None:
-        """Write open work again before the log forgets it."""
+        """Append a request again before the log's retention removes it."""
         body = await work_shard.read_content(request.body)
         written = (
             await work_shard.write_content(body) if body is not None else None
@@ -217,6 +227,8 @@
             if appended.is_ok():
                 await work_shard.follower.applied.wait_for(appended.ok)
                 _LOG.write(
-                    f"Carried {request.ticket} forward.", ticket=request.ticket
+                    f"Renewed the record of deferrable request "
+                    f"{request.ticket}.",
+                    ticket=request.ticket,
                 )
         self._renewing.discard(request.ticket)
--- a/packages/daemon/src/martenquay_daemon/dispatch/__init__.py
+++ b/packages/daemon/src/martenquay_daemon/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""Send requests to runners and bring back whole answers."""
+"""Forward model requests and service calls to runners."""
--- a/packages/daemon/src/martenquay_daemon/dispatch/model.py
+++ b/packages/daemon/src/martenquay_daemon/dispatch/model.py
@@ -1,9 +1,4 @@
-"""Answer model requests: place, stream, and move when a runner goes away.
-
-The caller gets one unbroken run of tokens. When a runner is reclaimed, its
-stream goes on elsewhere from the next token, with the KV cache brought along
-if there is time; when a runner dies, from the prompt and the tokens so far.
-"""
+"""Stream model answers from runners and fail over when a runner is lost."""
 
 from __future__ import annotations
 
@@ -41,7 +36,13 @@
 
 
 class ModelDispatcher:
-    """Answer model requests at one daemon."""
+    """Runs the model requests of one daemon on runners.
+
+    The caller receives one continuous token stream. When a runner is
+    reclaimed, the stream continues on another runner from the next token, with
+    the KV cache if it can be transferred in time. When a runner fails, the
+    next one computes the prompt and the tokens generated so far again.
+    """
 
     def __init__(
         self,
@@ -67,7 +68,7 @@
         ] = collections.defaultdict(set)
 
     def move_streams(self, runner: str) -> None:
-        """Move all streams away from a runner that is leaving."""
+        """Interrupt a reclaimed runner's streams; they resume on others."""
         for stream in list(self._open_streams.get(runner, ())):
             stream.interrupt()
 
@@ -76,7 +77,12 @@
         request: request_progress.ModelRequest,
         sink: request_progress.TokenSink,
     ) -> Result[request_progress.Usage, results.Failure]:
-        """Generate the whole answer into a sink."""
+        """Generate the answer into a sink.
+
+        Returns:
+            What the answer used, or why it could not be completed before the
+            request's deadline.
+        """
         usage = request_progress.Usage(blocks.count_tokens(request.prompt))
         self._budget.note_call()
         failure: results.Failure | None = None
@@ -145,7 +151,7 @@
         runner = chosen.runner
         after = f" after its runner was {cause}" if cause else ""
         _LOG.write(
-            f"Placed {request.request_id} on {runner.name} in "
+            f"Routed request {request.request_id} to runner {runner.name} in "
             f"{runner.zone}{after}: {reason}.",
             request=request.request_id,
             runner=runner.name,
@@ -167,8 +173,8 @@
         reason: str,
     ) -> None:
         _LOG.write(
-            f"Lost the stream of {request.request_id} on {runner.name}: "
-            f"{reason}.",
+            f"The stream of request {request.request_id} from runner "
+            f"{runner.name} failed: {reason}.",
             request=request.request_id,
             runner=runner.name,
         )
@@ -196,7 +202,7 @@
         self._loads.note_placed(runner.name)
         service_s: float | None = None
         result: request_progress.AttemptResult = request_progress.StreamLost(
-            "given up"
+            "the attempt was cancelled"
         )
         try:
             result = await self._relay_stream(progress, chosen, order)
@@ -250,7 +256,7 @@
                             if sequencer.is_complete(count):
                                 return request_progress.Finished()
                             return request_progress.StreamLost(
-                                "tokens are missing"
+                                "the stream finished without all its tokens"
                             )
 
     async def _forward_token(
@@ -314,7 +320,7 @@
         source: instances.Instance,
         target: instances.Instance,
     ) -> None:
-        """Move the KV cache if both runners answer in time."""
+        """Copy the KV cache to the target if both runners answer in time."""
         request = progress.request
         text = request.prompt + " " + "".join(progress.usage.generated)
         with trio.move_on_after(_CACHE_TRANSFER_TIMEOUT_S):
@@ -322,8 +328,8 @@
             if exported.is_ok():
                 await self._client.import_cache(target.address, exported.ok)
                 _LOG.write(
-                    f"Brought the cache of {request.request_id} from "
-                    f"{source.name} to {target.name}.",
+                    f"Copied the KV cache of request {request.request_id} "
+                    f"from runner {source.name} to {target.name}.",
                     request=request.request_id,
                     blocks=len(exported.ok),
                 )
@@ -332,6 +338,7 @@
         self, runner: instances.Instance, request_id: str
     ) -> None:
         with trio.move_on_after(_CANCEL_TIMEOUT_S) as scope:
+            # Otherwise the runner keeps generating for a caller that left.
             scope.shield = True
             await self._client.cancel(runner.address, request_id)
 
@@ -339,13 +346,13 @@
 def _choose_priority(
     request: request_progress.ModelRequest, chosen: placement.Placement
 ) -> int:
-    """Return the engine's priority; a lender's own requests come first."""
+    """Return the engine's priority; the runner owner's requests come first."""
     borrowed = len(objects.Urgency) if chosen.is_borrowed else 0
     return request.urgency.rank + borrowed
 
 
 async def _back_off(progress: request_progress.RequestProgress) -> None:
-    """Wait, then try all runners again: the stream has begun."""
+    """Wait with exponential backoff, then make all runners eligible again."""
     progress.excluded.clear()
     await trio.sleep(progress.backoff_s)
     progress.backoff_s = min(progress.backoff_s * 2, _MAX_BACKOFF_S)
@@ -355,7 +362,7 @@
     if usage.attempts == 0:
         return results.Failure(
             results.ResultCode.NOT_RUN_DEADLINE,
-            "the deadline passed before a runner was found",
+            "the deadline passed before a runner accepted the request",
             1.0,
         )
     return results.Failure(
@@ -369,6 +376,6 @@
 ) -> results.Failure:
     return results.Failure(
         results.ResultCode.NOT_RUN_NO_RUNNER,
-        f"pool {request.pool} has no runner that may get work",
+        f"pool {request.pool} has no available runner",
         _NO_RUNNER_RETRY_AFTER_S,
     )
--- a/packages/daemon/src/martenquay_daemon/dispatch/registry.py
+++ b/packages/daemon/src/martenquay_daemon/dispatch/registry.py
@@ -1,4 +1,4 @@
-"""Keep what runs now, where and for whom, and why it was put there."""
+"""Requests in progress and recent routing decisions, for operators."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
     """One request in progress at this daemon.
 
     Attributes:
-        request_id: The request.
-        team: For whom it runs.
-        route: What was asked for.
-        urgency: How long it may wait.
-        runner: Where it runs; empty while it waits.
-        zone: The runner's availability zone.
-        tokens: Tokens passed on so far.
-        started_at: When it came, in seconds since the epoch.
+        request_id: ID of the request.
+        team: Team that sent it.
+        route: Name of the requested route.
+        urgency: Urgency class, as configured for the route.
+        runner: Runner that serves it; empty while it waits.
+        zone: Availability zone of the runner.
+        tokens: Tokens forwarded to the caller so far.
+        started_at: Arrival time, in seconds since the epoch.
     """
 
     request_id: str
@@ -38,13 +38,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class RoutingDecision:
-    """One decision on a request.
+    """Why a request was sent to a runner.
 
     Attributes:
-        request_id: The request.
-        at: When, in seconds since the epoch.
-        runner: The runner chosen; empty if none.
-        reason: Why.
+        request_id: ID of the request.
+        at: Time of the decision, in seconds since the epoch.
+        runner: Name of the chosen runner.
+        reason: Why this runner was chosen.
     """
 
     request_id: str
@@ -54,7 +54,7 @@
 
 
 class RequestRegistry:
-    """The requests in progress and the latest decisions."""
+    """Holds the requests in progress and the latest routing decisions."""
 
     def __init__(self) -> None:
         self._running: dict[str, RunningRequest] = {}
@@ -63,17 +63,17 @@
         )
 
     def open(self, request: RunningRequest) -> None:
-        """Note a request that has come."""
+        """Add a request."""
         self._running[request.request_id] = request
 
     def close(self, request_id: str) -> None:
-        """Note that a request has its final answer."""
+        """Remove a request that has its final answer."""
         self._running.pop(request_id, None)
 
     def record_placement(
         self, request_id: str, runner: str, zone: str, reason: str
     ) -> None:
-        """Note where a request goes and why."""
+        """Record which runner a request is sent to and why."""
         running = self._running.get(request_id)
         if running is not None:
             running.runner = runner
@@ -83,7 +83,7 @@
         )
 
     def set_token_count(self, request_id: str, tokens: int) -> None:
-        """Note how many tokens have been passed on."""
+        """Set how many tokens have been forwarded to the caller."""
         running = self._running.get(request_id)
         if running is not None:
             running.tokens = tokens
@@ -93,5 +93,5 @@
         return list(self._running.values())
 
     def list_decisions(self, request_id: str) -> list[RoutingDecision]:
-        """Return the decisions on a request that are still kept."""
+        """Return the latest decisions on a request, oldest first."""
         return [d for d in self._decisions if d.request_id == request_id]
--- a/packages/daemon/src/martenquay_daemon/dispatch/request_progress.py
+++ b/packages/daemon/src/martenquay_daemon/dispatch/request_progress.py
@@ -1,4 +1,4 @@
-"""One model request on its way over one or more runners."""
+"""Model requests, their state over several attempts, and attempt results."""
 
 from __future__ import annotations
 
@@ -28,15 +28,14 @@
     "Usage",
 ]
 
-# How long a request waits the first time that no runner is free.
 INITIAL_BACKOFF_S = 0.1
 
 
 class TokenSink(Protocol):
-    """Where an answer's tokens go."""
+    """Receives the tokens of an answer in order."""
 
     async def take(self, text: str) -> None:
-        """Take the next token."""
+        """Receive the next token."""
 
 
 @dataclasses.dataclass(frozen=True)
@@ -44,13 +43,13 @@
     """A request to a model.
 
     Attributes:
-        request_id: Its id.
-        partner: The partner whose pool serves it.
-        pool: The pool.
-        urgency: How long it may wait; passed to the engine as priority.
-        prompt: The prompt.
-        max_tokens: How many tokens are to be generated.
-        deadline: When it has to be whole, in trio's time.
+        request_id: ID of the request.
+        partner: Partner that owns the pool.
+        pool: Pool of runners that serves the request.
+        urgency: Urgency class; determines the priority in the engine.
+        prompt: Text of the prompt.
+        max_tokens: Maximum number of tokens to generate.
+        deadline: When the answer has to be complete, on trio's clock.
     """
 
     request_id: str
@@ -64,16 +63,16 @@
 
 @dataclasses.dataclass
 class Usage:
-    """What an answer took.
+    """Tokens and attempts used by an answer.
 
     Attributes:
-        prompt_tokens: Tokens of the prompt.
-        generated: The tokens generated.
-        attempts: How many runners were tried.
-        recomputed: Prompt tokens read again because of a move or a loss.
-        started_at: When its last runner had read the prompt.
-        runner: The runner that finished it.
-        zone: That runner's availability zone.
+        prompt_tokens: Number of tokens in the prompt.
+        generated: The tokens generated so far.
+        attempts: Number of runners to which the request was sent.
+        recomputed: Tokens prefilled again after a change of runner.
+        started_at: When the latest attempt finished prefill, on trio's clock.
+        runner: Name of the runner of the latest attempt.
+        zone: Availability zone of that runner.
     """
 
     prompt_tokens: int
@@ -87,17 +86,18 @@
 
 @dataclasses.dataclass
 class RequestProgress:
-    """One request on its way over one or more runners.
+    """State of a request over its attempts on one or more runners.
 
     Attributes:
         request: The request.
-        sink: Where its tokens go.
-        usage: What it has taken so far.
-        block_hashes: Hashes of the prompt's blocks.
-        cause: Why it left its last runner; empty on the first one.
-        left: The reclaimed runner whose cache may be brought along.
-        excluded: Runners that it has left.
-        backoff_s: How long to wait for a runner next time.
+        sink: Receives the tokens.
+        usage: Tokens and attempts used so far.
+        block_hashes: Chained hashes of the prompt's blocks.
+        cause: Why the previous attempt ended, "reclaimed" or "lost"; empty
+            for the first attempt.
+        cache_source: Reclaimed runner that may still export the KV cache.
+        excluded: Names of the runners that the next attempt avoids.
+        backoff_s: Time to wait when no runner is available.
     """
 
     request: ModelRequest
@@ -112,20 +112,20 @@
 
 @dataclasses.dataclass(frozen=True)
 class Finished:
-    """The answer is whole."""
+    """The runner sent the complete answer."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Reclaimed:
-    """The runner is leaving; the stream was stopped in good order."""
+    """The stream was interrupted because its runner is being reclaimed."""
 
 
 @dataclasses.dataclass(frozen=True)
 class StreamLost:
-    """The runner is gone or its stream broke.
+    """The stream failed before the answer was complete.
 
     Attributes:
-        reason: What was seen.
+        reason: Description of the failure.
     """
 
     reason: str
@@ -135,7 +135,7 @@
 
 
 class InterruptibleStream:
-    """A stream that can be told to move between two events."""
+    """A stream of engine events whose reader can be interrupted."""
 
     def __init__(self, events: AsyncIterator[orders.StreamEvent]) -> None:
         self._events = events
@@ -143,13 +143,17 @@
         self._read_scope: trio.CancelScope | None = None
 
     def interrupt(self) -> None:
-        """Have the reader stop at the next event."""
+        """Make the current and any later read return None."""
         self._is_interrupted = True
         if self._read_scope is not None:
             self._read_scope.cancel()
 
     async def read(self) -> orders.StreamEvent | None:
-        """Return the next event, or None if the stream is to move."""
+        """Return the next event, or None once the stream is interrupted.
+
+        Raises:
+            StreamLostError: The stream ended or broke.
+        """
         if self._is_interrupted:
             return None
         with trio.CancelScope() as self._read_scope:
@@ -158,4 +162,4 @@
 
 
 def _raise_stream_ended() -> orders.StreamEvent:
-    raise engine.StreamLostError("the stream ended early")
+    raise engine.StreamLostError("the stream ended before its last event")
--- a/packages/daemon/src/martenquay_daemon/dispatch/service.py
+++ b/packages/daemon/src/martenquay_daemon/dispatch/service.py
@@ -1,4 +1,4 @@
-"""Call plain services; what may not be repeated runs at most once."""
+"""Forward calls to plain HTTP services; non-idempotent ones at most once."""
 
 from __future__ import annotations
 
@@ -31,29 +31,29 @@
 _DEFAULT_CONTENT_TYPE = "application/octet-stream"
 _RETRY_AFTER_S = 2.0
 _OUTCOME_POLL_S = 0.25
-# Beyond this an answer is not kept in the log, only that the call ran.
+# A larger answer is not stored; a repeated call learns that the answer is lost.
 _MAX_STORED_BODY_BYTES = 16_384
 _STATUS_WITHOUT_ANSWER = 0
 
 
 @dataclasses.dataclass(frozen=True)
 class ServiceCall:
-    """A call to a plain service.
+    """A call to a plain HTTP service.
 
     Attributes:
-        request_id: Its id.
-        partner: The partner whose pool serves it.
-        team: Who pays.
-        route: The route's name.
-        pool: The pool.
-        repeatable: It may be sent again when an answer is lost.
-        checks_orders: The service itself runs each key once.
-        method: The HTTP method.
-        path: The path and query below the route.
-        headers: The headers that are passed on.
-        body: The body.
-        key: The caller's idempotency key, or None.
-        deadline: When it has to be answered, in trio's time.
+        request_id: ID of the request.
+        partner: Partner that owns the pool.
+        team: Team that sent the call.
+        route: Name of the route.
+        pool: Pool of runners that serves the call.
+        repeatable: The call may be retried after its answer was lost.
+        checks_orders: The service deduplicates idempotency keys itself.
+        method: HTTP method.
+        path: Path and query below the route.
+        headers: Headers to forward.
+        body: Request body.
+        key: Idempotency key sent by the caller, or None.
+        deadline: When the answer is due, on trio's clock.
     """
 
     request_id: str
@@ -71,25 +71,25 @@
     deadline: float
 
     def create_claim_key(self) -> str:
-        """Return the key within its team and route."""
+        """Return the idempotency key qualified by team and route."""
         return f"{self.team}/{self.route}/{self.key}"
 
     def create_digest(self) -> str:
-        """Return what tells this request from another of the same key."""
+        """Return a digest that detects a key reused for another request."""
         content = f"{self.method} {self.path}\n".encode() + self.body
         return hashlib.blake2b(content, digest_size=8).hexdigest()
 
 
 @dataclasses.dataclass(frozen=True)
 class ServiceAnswer:
-    """A service's answer.
+    """Answer of a service.
 
     Attributes:
-        status: The HTTP status.
-        content_type: The content type.
-        body: The body.
-        runner: Where it ran; empty for a kept answer.
-        zone: That runner's availability zone.
+        status: HTTP status.
+        content_type: Value of the Content-Type header.
+        body: Response body.
+        runner: Runner that answered; empty for an answer read from the log.
+        zone: Availability zone of that runner.
     """
 
     status: int
@@ -103,7 +103,7 @@
 
 
 class ServiceDispatcher:
-    """Call services from one daemon."""
+    """Forwards the service calls of one daemon to runners."""
 
     def __init__(
         self,
@@ -130,7 +130,7 @@
         self._metrics = counters
 
     async def call(self, call: ServiceCall) -> _CallResult:
-        """Make a call in the way that its route and key allow."""
+        """Forward a call, with the retries that its route and key allow."""
         match call:
             case ServiceCall(repeatable=True):
                 return await self._call_with_retries(call)
@@ -154,7 +154,7 @@
                     lambda found, r=runner: _create_answer(found, r)
                 )
             if answer.error.sent:
-                # From here on it would be untrue to say "not run".
+                # The call may have run, so no later failure may say "not run".
                 last_failure = _create_answer_lost_failure(call, runner)
                 if not self._budget.take_retry():
                     return Error(last_failure)
@@ -162,7 +162,10 @@
                 return Error(last_failure or _create_deadline_failure())
 
     async def _call_once(self, call: ServiceCall) -> _CallResult:
-        """Send the call to one runner; only a log_down connection moves on."""
+        """Try runners until one may have received the call.
+
+        Only a call that was certainly not sent is tried on the next runner.
+        """
         tried: set[str] = set()
         while True:
             runner = self._choose_runner(call, tried)
@@ -178,10 +181,10 @@
                 return Error(_create_answer_lost_failure(call, runner))
 
     async def _call_with_claim(self, call: ServiceCall) -> _CallResult:
-        """Claim the key in the log before the call.
+        """Claim the idempotency key in the log before making the call.
 
-        The first claim in the log's order makes the call. Whoever comes later
-        gets the winner's answer, or is told that the outcome is unknown.
+        The daemon whose claim comes first in the log makes the call. Any other
+        daemon returns the winner's answer, or that the outcome is unknown.
         """
         while True:
             claim = records.Claim(
@@ -221,7 +224,8 @@
         self, call: ServiceCall, claim: records.Claim
     ) -> _CallResult:
         if trio.current_time() >= call.deadline:
-            # This process may have been frozen since it made the claim.
+            # Settling may have taken longer than the deadline, for example
+            # while the process was suspended; the call must not run then.
             self._release(claim)
             return Error(_create_deadline_failure())
         answered = await self._call_once(call)
@@ -239,7 +243,7 @@
         claim: records.Claim,
         reply: messages.SettleReply,
     ) -> _CallResult | None:
-        """Wait for the holder's answer; None if it let go of the key."""
+        """Wait for the key holder's answer; None if it released the key."""
         while trio.current_time() < call.deadline:
             if self._members.is_gone(reply.holder):
                 break
@@ -252,7 +256,7 @@
                 case _:
                     continue
         code = results.ResultCode.UNKNOWN_HOLDER_LOST
-        message = f"daemon {reply.holder} held the key and gave no outcome"
+        message = f"daemon {reply.holder} holds the key and sent no outcome"
         return Error(results.Failure(code, message))
 
     async def _send(
@@ -285,7 +289,7 @@
     def _choose_runner(
         self, call: ServiceCall, tried: set[str]
     ) -> instances.Instance | None:
-        """Return the least busy runner, one of the own zone if alike."""
+        """Return the least loaded runner, preferring this daemon's zone."""
         listed = [
             runner
             for runner in self._runners.list_pool(call.partner, call.pool)
@@ -309,10 +313,10 @@
         self, call: ServiceCall, runner: instances.Instance
     ) -> None:
         ahead = self._loads.count_ahead(runner.name)
-        reason = f"{ahead} ahead, fewest in {call.pool}"
+        reason = f"{ahead} requests ahead, fewest in pool {call.pool}"
         _LOG.write(
-            f"Placed {call.request_id} on {runner.name} in {runner.zone}: "
-            f"{reason}.",
+            f"Routed call {call.request_id} to runner {runner.name} in "
+            f"{runner.zone}: {reason}.",
             request=call.request_id,
             runner=runner.name,
         )
@@ -330,7 +334,8 @@
         outcome = reply.settlement.name.lower()
         self._metrics.settled.inc({"settlement": outcome})
         _CLAIM_LOG.write(
-            f"Claim {claim.attempt} of {call.request_id}: {outcome}.",
+            f"Claim {claim.attempt} of call {call.request_id} was settled: "
+            f"{outcome}.",
             request=call.request_id,
             holder=reply.holder,
         )
@@ -355,7 +360,7 @@
 def _create_outcome(
     claim: records.Claim, answer: ServiceAnswer | None
 ) -> records.Outcome:
-    """Return the outcome to be kept; without an answer, that it was lost."""
+    """Return the outcome record for an answer; None if it was lost."""
     if answer is None or len(answer.body) > _MAX_STORED_BODY_BYTES:
         answer = ServiceAnswer(_STATUS_WITHOUT_ANSWER, "", b"")
     return records.Outcome(
@@ -371,7 +376,7 @@
 def _read_stored_answer(reply: messages.SettleReply) -> _CallResult:
     if reply.status == _STATUS_WITHOUT_ANSWER:
         code = results.ResultCode.UNKNOWN_ANSWER_LOST
-        message = "the call was made under this key and its answer is lost"
+        message = "the call with this key was made, but its answer is lost"
         return Error(results.Failure(code, message))
     return Ok(ServiceAnswer(reply.status, reply.content_type, reply.body))
 
@@ -379,7 +384,7 @@
 def _create_no_runner_failure(call: ServiceCall) -> results.Failure:
     return results.Failure(
         results.ResultCode.NOT_RUN_NO_RUNNER,
-        f"no runner of pool {call.pool} took the call",
+        f"no runner of pool {call.pool} accepted the call",
         _RETRY_AFTER_S,
     )
 
@@ -389,14 +394,14 @@
 ) -> results.Failure:
     return results.Failure(
         results.ResultCode.UNKNOWN_ANSWER_LOST,
-        f"runner {runner.name} gave no answer to {call.request_id}",
+        f"runner {runner.name} sent no complete answer to {call.request_id}",
     )
 
 
 def _create_log_down_failure() -> results.Failure:
     return results.Failure(
         results.ResultCode.NOT_RUN_LOG_DOWN,
-        "the log, which has to keep the key, does not answer",
+        "the log that stores idempotency keys does not answer",
         _RETRY_AFTER_S,
     )
 
@@ -404,7 +409,7 @@
 def _create_key_reused_failure() -> results.Failure:
     return results.Failure(
         results.ResultCode.KEY_REUSED,
-        "the key came before with another request",
+        "the idempotency key was used for a different request",
     )
 
 
--- a/packages/daemon/src/martenquay_daemon/dispatch/token_sequencer.py
+++ b/packages/daemon/src/martenquay_daemon/dispatch/token_sequencer.py
@@ -1,4 +1,4 @@
-"""Pass on exactly the next token of exactly this attempt."""
+"""Reorder and deduplicate the token events of one attempt."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class TokenSequencer:
-    """Put token events in order; drop repeated and foreign ones.
+    """Orders token events by index; drops duplicates and other attempts'.
 
     Attributes:
-        dropped_events: Events that were not for this attempt or came twice.
+        dropped_events: Number of events dropped so far.
     """
 
     def __init__(self, request_id: str, attempt: int, next_index: int) -> None:
@@ -25,7 +25,7 @@
         self._out_of_order: dict[int, str] = {}
 
     def matches_attempt(self, event: orders.StreamEvent) -> bool:
-        """Tell whether an event belongs to this attempt."""
+        """Return whether an event belongs to this attempt; else drop it."""
         matches = (
             event.request_id == self._request_id
             and event.attempt == self._attempt
@@ -35,7 +35,7 @@
         return matches
 
     def add(self, event: orders.TokenEvent) -> list[str]:
-        """Take an event of this attempt; return the tokens now in order."""
+        """Add an event of this attempt and return the tokens now in order."""
         if event.index < self._next_index or event.index in self._out_of_order:
             self.dropped_events += 1
             return []
@@ -47,5 +47,5 @@
         return ready
 
     def is_complete(self, count: int) -> bool:
-        """Tell whether all tokens up to a count have been given out."""
+        """Return whether exactly the first `count` tokens were returned."""
         return self._next_index == count and not self._out_of_order
--- a/packages/daemon/src/martenquay_daemon/journal/__init__.py
+++ b/packages/daemon/src/martenquay_daemon/journal/__init__.py
@@ -1,1 +1,1 @@
-"""Append to and follow streams of the platform's log."""
+"""Append to, follow and index streams of the platform's log."""
--- a/packages/daemon/src/martenquay_daemon/journal/appender.py
+++ b/packages/daemon/src/martenquay_daemon/journal/appender.py
@@ -1,4 +1,4 @@
-"""Append to a stream in groups, so that many records share one append."""
+"""Append records to a log stream in batches."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 
 
 class StreamAppender:
-    """Group the records that wait while an append is under way.
+    """Batches the records that arrive while an append is in progress.
 
     Attributes:
-        stream: The stream's name.
-        batch_count: Appends made so far, for measurements.
+        stream: Name of the stream.
+        batch_count: Number of batches appended so far.
     """
 
     def __init__(
@@ -52,18 +52,18 @@
     ) -> Result[int, outcome.PlatformFailure]:
         """Append one record and return its offset.
 
-        Whoever is cancelled while it waits has to assume
-        `Effect.UNKNOWN`: the record may go out all the same.
+        A caller that is cancelled must assume `Effect.UNKNOWN`: the record may
+        still be appended.
         """
         return await self.append_contiguous([payload])
 
     async def append_contiguous(
         self, payloads: list[bytes]
     ) -> Result[int, outcome.PlatformFailure]:
-        """Append records side by side and return the first one's offset.
+        """Append records at contiguous offsets; return the first offset.
 
-        Whoever is cancelled while it waits has to assume
-        `Effect.UNKNOWN`: the record may go out all the same.
+        A caller that is cancelled must assume `Effect.UNKNOWN`: the records
+        may still be appended.
         """
         pending = _PendingAppend(payloads)
         self._pending.append(pending)
@@ -73,7 +73,7 @@
         return pending.result
 
     async def run(self) -> None:
-        """Append groups, at least `min_interval_s` apart, until cancelled."""
+        """Append batches, at least `min_interval_s` apart, until cancelled."""
         while True:
             await self._pending_added.wait()
             batch = self._take_batch()
--- a/packages/daemon/src/martenquay_daemon/journal/follower.py
+++ b/packages/daemon/src/martenquay_daemon/journal/follower.py
@@ -1,4 +1,4 @@
-"""Follow one stream of the log and hand each record on in order."""
+"""Read a log stream continuously and apply each record in order."""
 
 from __future__ import annotations
 
@@ -23,14 +23,13 @@
 
 
 class StreamFollower:
-    """Read a stream from its oldest record on.
+    """Reads a stream from its oldest record on.
 
     Attributes:
-        stream: The stream's name.
-        applied: The offset of the last record handed on; offsets count
-            from 1.
-        oldest_offset: The lowest offset that the log still kept when last read.
-        is_caught_up: The stream was read to its end at least once.
+        stream: Name of the stream.
+        applied: Offset of the last record applied; the first offset is 1.
+        oldest_offset: Lowest offset that the log retained at the last read.
+        is_caught_up: Whether the stream was read to its end at least once.
     """
 
     def __init__(
@@ -49,7 +48,7 @@
         self._apply = apply
 
     async def run(self) -> None:
-        """Follow until cancelled; failures are tried again."""
+        """Read until cancelled; failed reads are retried."""
         while True:
             page = await self._client.read(
                 self.stream, self.applied.value + 1, wait_s=_LONG_POLL_S
@@ -65,8 +64,8 @@
         self.oldest_offset = page.start
         if page.start > self.applied.value + 1:
             _LOG.write(
-                f"Stream {self.stream} starts at {page.start}: older records "
-                "are past their time.",
+                f"Stream {self.stream} now starts at offset {page.start}: the "
+                "records before it were not read within the log's retention.",
             )
             self.applied.advance(page.start - 1)
         for record in page.records:
--- a/packages/daemon/src/martenquay_daemon/journal/health.py
+++ b/packages/daemon/src/martenquay_daemon/journal/health.py
@@ -1,4 +1,4 @@
-"""Remember whether the log answered lately, so that refusals are immediate."""
+"""Track whether the log answers, to fail fast while it does not."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 class LogHealth:
-    """Whether the last call to the log was answered.
+    """Result of the last call to the log.
 
     Attributes:
-        is_up: The last call was answered.
-        changed_at: When that last changed, in trio's time.
+        is_up: Whether the last call was answered; False before the first.
+        changed_at: When `is_up` last changed, on trio's clock.
     """
 
     def __init__(self) -> None:
@@ -24,11 +24,11 @@
         self.changed_at = trio.current_time()
 
     def note_answer(self) -> None:
-        """Note that a call was answered."""
+        """Record that a call was answered."""
         self._set_state(True, "The log answers.")
 
     def note_failure(self, message: str) -> None:
-        """Note that a call failed."""
+        """Record that a call failed."""
         self._set_state(False, f"The log does not answer: {message}.")
 
     def _set_state(self, is_up: bool, text: str) -> None:
--- a/packages/daemon/src/martenquay_daemon/journal/offset_index.py
+++ b/packages/daemon/src/martenquay_daemon/journal/offset_index.py
@@ -1,9 +1,4 @@
-"""Remember where old records stand, in few bytes each.
-
-A node follows its part of a day's claims and answers: some hundred thousand.
-Kept as objects they would not fit its memory, so of each only a hash of its
-name and two offsets stay; what they hold is read from the log when asked for.
-"""
+"""Compact in-memory index from names to offsets in a log stream."""
 
 from __future__ import annotations
 
@@ -20,11 +15,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class RecordRange:
-    """Where something stands in a stream.
+    """A contiguous range of records in a stream.
 
     Attributes:
-        offset: The offset of its first record.
-        count: How many records it has.
+        offset: Offset of the first record.
+        count: Number of records.
     """
 
     offset: int
@@ -32,23 +27,36 @@
 
 
 class OffsetIndex:
-    """Map names to places, oldest first."""
+    """Maps names to record ranges, in the order of their index records.
+
+    Each entry is one integer for the hash of the name and one for the offsets:
+    the records of a whole retention period would not fit into memory as
+    objects, so their contents are read from the log when needed.
+    """
 
     def __init__(self) -> None:
-        # One packed integer a name: index offset, records, number of records.
+        # Values hold, from the high bits down: offset of the index record,
+        # offset of the first content record, number of content records.
         self._packed: dict[int, int] = {}
 
     def __len__(self) -> int:
-        """Return how many names are remembered."""
+        """Return the number of names."""
         return len(self._packed)
 
     def add(self, name: str, index_offset: int, records: RecordRange) -> None:
-        """Remember where a name's content stands."""
+        """Add a name.
+
+        Args:
+            name: The name.
+            index_offset: Offset of the record that announced the content;
+                must not decrease from call to call.
+            records: The records that hold the content.
+        """
         packed = index_offset << _OFFSET_BITS | records.offset
         self._packed[_hash_name(name)] = packed << _COUNT_BITS | records.count
 
     def find(self, name: str) -> RecordRange | None:
-        """Return where a name's content stands, or None."""
+        """Return the records that hold a name's content, or None."""
         packed = self._packed.get(_hash_name(name))
         if packed is None:
             return None
@@ -56,7 +64,7 @@
         return RecordRange(offset, packed & _COUNT_MASK)
 
     def forget_before(self, index_offset: int) -> None:
-        """Drop the names whose index record is below an offset."""
+        """Remove the names whose index record is below an offset."""
         old = []
         for name, packed in self._packed.items():
             if packed >> (_COUNT_BITS + _OFFSET_BITS) >= index_offset:
--- a/packages/daemon/src/martenquay_daemon/journal/shards.py
+++ b/packages/daemon/src/martenquay_daemon/journal/shards.py
@@ -1,9 +1,4 @@
-"""Spread keys over streams and streams over the daemons that follow them.
-
-All daemons of a partner rank the same members by rendezvous hashing, so they
-agree without asking. Where their views of the membership differ, two sets of
-daemons follow the same stream, which costs a little and breaks nothing.
-"""
+"""Assign keys to stream shards and shards to the daemons that follow them."""
 
 from __future__ import annotations
 
@@ -19,7 +14,12 @@
 
 
 class ShardMap:
-    """Which stream a key belongs to and who follows it."""
+    """Maps keys to shards, each a log stream, and shards to daemons.
+
+    All daemons of a partner rank the members by rendezvous hashing and so agree
+    without coordination. While their views of the membership differ, more
+    daemons than needed follow a shard, which is harmless.
+    """
 
     def __init__(
         self,
@@ -34,16 +34,16 @@
         self._follower_count = follower_count
 
     def find_shard(self, key: str) -> int:
-        """Return the number of the key's stream."""
+        """Return the shard number of a key."""
         digest = hashlib.blake2b(key.encode(), digest_size=8).digest()
         return int.from_bytes(digest, "big") % self._shard_count
 
     def name_stream(self, shard: int) -> str:
-        """Return a stream's name."""
+        """Return the name of a shard's stream."""
         return f"{self._stream_prefix}-{self._members.me.partner}-{shard}"
 
     def list_followers(self, shard: int) -> list[str]:
-        """Return the daemons that should follow a stream, best first.
+        """Return the daemons that should follow a shard, by preference.
 
         They are spread over the availability zones.
         """
@@ -54,7 +54,7 @@
         )
 
     def list_own(self) -> list[int]:
-        """Return the streams that this daemon should follow."""
+        """Return the shards that this daemon should follow."""
         me = self._members.me.member
         return [
             shard
