--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,4 +1,4 @@
-"""Build test data."""
+"""Build configuration records, fleet messages and settings for tests."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Partners:
-    """Signers of both partners and what checks them.
+    """Signers of both partners and their verifier.
 
     Attributes:
-        serrana: The Bureau's signer.
-        lindqvist: The flower shop's signer.
-        verifier: Checks both.
+        serrana: Signer of partner Serrana.
+        lindqvist: Signer of partner Lindqvist.
+        verifier: Verifies signatures of both partners.
     """
 
     serrana: records.Signer
@@ -34,12 +34,12 @@
     verifier: records.Verifier
 
     def start_state(self) -> fold.ConfigState:
-        """Return the configuration before the first record."""
+        """Return the configuration state before the first record."""
         return fold.create_state(["serrana", "lindqvist"])
 
 
 def build_partners() -> Partners:
-    """Return both partners with fixed keys."""
+    """Return the signers of both partners, with fixed keys."""
     keys = {"serrana": "11" * 32, "lindqvist": "22" * 32}
     signers = {
         name: records.create_signer(name, key) for name, key in keys.items()
@@ -71,7 +71,7 @@
 
 
 def build_member(**changes: Any) -> messages.MemberUpdate:
-    """Return a live daemon's report, with some fields replaced."""
+    """Return the membership update of a live daemon, with fields replaced."""
     fields: dict[str, Any] = {
         "member": "entry-1.aa",
         "partner": "serrana",
@@ -95,7 +95,7 @@
 
 
 def build_settings(**changes: Any) -> dict[str, Any]:
-    """Return the content of a good settings file, with sections replaced."""
+    """Return the content of a valid settings file, with sections replaced."""
     settings: dict[str, Any] = {
         "partner": "serrana",
         "zone": "serra-a",
--- a/tests/leaving.py
+++ b/tests/leaving.py
@@ -1,4 +1,4 @@
-"""Callers that leave, runners that hang, and what is seen of both."""
+"""Simulate disconnecting callers and hanging runners; record the effects."""
 
 from __future__ import annotations
 
@@ -28,26 +28,25 @@
     "read_to_end",
 ]
 
-# The rule: a runner is told within half a second.
 TOLD_S = 0.5
-_RECEIVE_BYTES = 65_536
+_READ_BYTES = 65_536
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-_DEAF_BYTES = 4096
+_RECEIVE_BUFFER_BYTES = 4096
 
 
 def leave(caller: trio.SocketStream, *, is_reset: bool) -> None:
-    """Close the caller's connection at once, by FIN or by RST."""
+    """Close a caller's connection immediately, by FIN or by RST."""
     if is_reset:
         caller.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
     caller.socket.close()
 
 
 class DepartureLog:
-    """The log lines that tell of callers that left.
+    """Collects the log lines about disconnected callers.
 
     Attributes:
-        lines: Their fields.
-        written: Set with the first one.
+        lines: Fields of these log lines.
+        written: Set when the first one is written.
     """
 
     def __init__(self) -> None:
@@ -55,7 +54,7 @@
         self.written = trio.Event()
 
     def take(self, message: dict[str, Any]) -> None:
-        """Take any log line."""
+        """Receive a log line and keep it if it is about a disconnect."""
         if message.get("text", "").startswith("A caller left"):
             self.lines.append(message)
             self.written.set()
@@ -63,10 +62,10 @@
 
 @contextlib.contextmanager
 def open_departure_log() -> Iterator[DepartureLog]:
-    """Watch the log."""
+    """Collect the log lines about disconnected callers in this context."""
     log = DepartureLog()
     eliot.add_destinations(log.take)
-    # eliot hands a first destination what was logged before it came.
+    # Eliot sends lines that were logged earlier to the first destination.
     log.lines.clear()
     log.written = trio.Event()
     try:
@@ -76,13 +75,13 @@
 
 
 class ConnectWatch:
-    """The connections to runners that a daemon has begun and ended.
+    """Records a daemon's connection attempts to runners; can make them hang.
 
     Attributes:
-        addresses: Of all that were begun.
-        hangs_from: Connections from this number on never come up.
-        hung: Set when one began to hang.
-        ended: Set when one that hung was given up.
+        addresses: Address of each attempt.
+        hangs_from: Index of the first attempt that hangs, or None.
+        hung: Set when an attempt starts to hang.
+        ended: Set when a hanging attempt is cancelled.
     """
 
     def __init__(self) -> None:
@@ -96,7 +95,7 @@
     async def connect(
         self, address: str, timeout_s: float, **options: float
     ) -> AsyncIterator[connections.RunnerConnection]:
-        """Connect as the daemon does, or hang."""
+        """Replace `connect_runner`: connect, or hang from `hangs_from` on."""
         number = len(self.addresses)
         self.addresses.append(address)
         if self.hangs_from is not None and number >= self.hangs_from:
@@ -111,7 +110,7 @@
 
 @contextlib.contextmanager
 def open_connect_watch() -> Iterator[ConnectWatch]:
-    """Watch the connections to runners."""
+    """Record the connection attempts to runners in this context."""
     watch = ConnectWatch()
     with mock.patch.object(connections, "connect_runner", watch.connect):
         yield watch
@@ -119,7 +118,7 @@
 
 @contextlib.contextmanager
 def listen_hung() -> Iterator[tuple[socket.socket, str]]:
-    """Yield a listener whose queue is full: connections do not come up."""
+    """Yield a listener with a full backlog: connecting to it hangs."""
     with socket.socket() as listener, socket.socket() as filler:
         listener.bind(("127.0.0.1", 0))
         listener.listen(0)
@@ -130,9 +129,11 @@
 
 @contextlib.contextmanager
 def listen_deaf() -> Iterator[tuple[socket.socket, str]]:
-    """Yield a listener whose connections come up and are not read."""
+    """Yield a listener whose accepted connections are not read."""
     with socket.socket() as listener:
-        listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, _DEAF_BYTES)
+        listener.setsockopt(
+            socket.SOL_SOCKET, socket.SO_RCVBUF, _RECEIVE_BUFFER_BYTES
+        )
         listener.bind(("127.0.0.1", 0))
         listener.listen()
         listener.setblocking(False)
@@ -140,12 +141,12 @@
 
 
 async def read_to_end(sock: socket.socket) -> int:
-    """Read until the other side has closed or reset; return the bytes."""
+    """Read until the peer closes or resets; return the number of bytes."""
     sock.setblocking(False)
     stream = trio.SocketStream(trio.socket.from_stdlib_socket(sock))
     size = 0
     with contextlib.suppress(trio.BrokenResourceError):
-        while data := await stream.receive_some(_RECEIVE_BYTES):
+        while data := await stream.receive_some(_READ_BYTES):
             size += len(data)
     return size
 
--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -1,4 +1,4 @@
-"""Run test scenarios in a world of stand-ins, under trio."""
+"""Run test scenarios against daemons and a simulated platform."""
 
 from __future__ import annotations
 
@@ -17,19 +17,18 @@
 
 __all__ = ["Caller", "CallerReply", "Scene", "ScenarioTestCase"]
 
-# Ends a scenario that hangs; nothing is asserted about time.
 _HANG_S = 120.0
 _POLL_S = 0.02
 
 
 @dataclasses.dataclass(frozen=True)
 class CallerReply:
-    """An answer as a caller sees it.
+    """An HTTP answer as a caller receives it.
 
     Attributes:
-        status: The HTTP status.
-        headers: The headers.
-        body: The body.
+        status: HTTP status; 0 if the call failed.
+        headers: Response headers.
+        body: Response body, or the error message of a failed call.
     """
 
     status: int
@@ -38,7 +37,7 @@
 
     @property
     def code(self) -> int:
-        """Return the numbered result, 0 if the answer has none."""
+        """Result code in the headers, 0 if there is none."""
         return int(self.headers.get(b"x-martenquay-result", b"0"))
 
     def read_json(self) -> Any:
@@ -46,7 +45,7 @@
         return json.loads(self.body)
 
     def read_text(self) -> str:
-        """Return the answer's text, streamed or whole."""
+        """Return the generated text, whether streamed or not."""
         if not self.body.startswith((b"data:", b"event:")):
             return self.read_json()["choices"][0]["message"]["content"]
         text = ""
@@ -57,12 +56,12 @@
         return text
 
     def is_unbroken(self) -> bool:
-        """Tell whether a streamed answer came to its proper end."""
+        """Return whether a streamed answer has its end marker."""
         return self.body.endswith(b"data: [DONE]\n\n")
 
 
 class Caller:
-    """A caller of one team, who may turn to any daemon."""
+    """Sends requests of one team to any daemon."""
 
     def __init__(self, client: http.HttpClient, credential: str) -> None:
         self._client = client
@@ -78,7 +77,7 @@
         stream: bool = False,
         key: str = "",
     ) -> CallerReply:
-        """Ask a model."""
+        """Send a chat completion request."""
         content = {
             "model": route,
             "messages": [{"role": "user", "content": prompt}],
@@ -93,16 +92,16 @@
     async def book(
         self, daemon: Any, key: str, body: bytes = b"slot"
     ) -> CallerReply:
-        """Make a booking, which may not be repeated."""
+        """Send a booking, a non-idempotent call."""
         path = "/services/booking/slots"
         return await self.send(daemon, "POST", path, body, key)
 
     async def fetch(self, daemon: Any, ticket: str) -> CallerReply:
-        """Ask for the answer to a ticket."""
+        """Fetch the state of a ticket once."""
         return await self.send(daemon, "GET", f"/v1/tickets/{ticket}")
 
     async def fetch_answer(self, daemon: Any, ticket: str) -> CallerReply:
-        """Ask for the answer to a ticket until there is one."""
+        """Poll a ticket until it is no longer pending."""
         while True:
             reply = await self.fetch(daemon, ticket)
             if reply.code != 1002:
@@ -117,7 +116,7 @@
         body: bytes = b"",
         key: str = "",
     ) -> CallerReply:
-        """Send any request."""
+        """Send an HTTP request; a failed call has status 0."""
         headers = list(self._headers)
         if key:
             headers.append((b"idempotency-key", key.encode()))
@@ -135,20 +134,23 @@
 
 
 class Scene:
-    """A running world with a caller of each partner.
+    """A simulated platform with daemons and one caller of each partner.
 
     Attributes:
-        world: The world.
-        nursery: For tasks of the test.
-        client: For the test's own HTTP calls.
-        caller: A caller of the Bureau.
-        florist: A caller of the flower shop.
+        world: The simulated platform; starts runners and daemons.
+        nursery: Runs background tasks of the test.
+        client: HTTP client of the test.
+        caller: Caller of partner Serrana.
+        florist: Caller of partner Lindqvist.
     """
 
     def __init__(
-        self, place: world.World, nursery: trio.Nursery, client: http.HttpClient
+        self,
+        platform_world: world.World,
+        nursery: trio.Nursery,
+        client: http.HttpClient,
     ) -> None:
-        self.world = place
+        self.world = platform_world
         self.nursery = nursery
         self.client = client
         self.caller = Caller(client, "serrana-counter")
@@ -157,13 +159,13 @@
     async def start_daemons(
         self, plan: partners.PartnerPlan, count: int, **sections: Any
     ) -> list[running.LocalDaemon]:
-        """Start daemons in this process, in the partner's zones by turns."""
+        """Start daemons in this process, round-robin over the zones."""
         return await self._start(self.world.start_daemon, plan, count, sections)
 
     async def start_processes(
         self, plan: partners.PartnerPlan, count: int, **sections: Any
     ) -> list[running.DaemonProcess]:
-        """Start daemons as processes, in the partner's zones by turns."""
+        """Start daemons as processes, round-robin over the zones."""
         return await self._start(
             self.world.start_process, plan, count, sections
         )
@@ -184,16 +186,16 @@
         return daemons
 
     async def wait_ready(self, daemons: list[Any]) -> None:
-        """Wait until all are ready and know of each other."""
+        """Wait until all daemons are ready and list each other as alive."""
         for daemon in daemons:
             await self.wait_until(self._is_ready, daemon)
         for daemon in daemons:
-            await self.wait_until(self._knows, daemon, len(daemons))
+            await self.wait_until(self._knows_members, daemon, len(daemons))
 
     async def wait_until(
         self, condition: Callable[..., Awaitable[bool]], *args: Any
     ) -> None:
-        """Wait until a condition holds."""
+        """Poll a condition until it is true."""
         while not await condition(*args):
             await trio.sleep(_POLL_S)
 
@@ -204,7 +206,7 @@
         operator: str = "serrana-operator",
         **fields: Any,
     ) -> CallerReply:
-        """Send an operator's statement."""
+        """Send a query or command to the operator API."""
         kind = (
             "query"
             if text.split(maxsplit=1)[0] in {"show", "why"}
@@ -223,7 +225,7 @@
     async def list_rows(
         self, daemon: Any, text: str, operator: str = "serrana-operator"
     ) -> list[dict[str, Any]]:
-        """Return the rows of a query."""
+        """Return the rows of an operator's query."""
         return (await self.ask(daemon, text, operator)).read_json()["rows"]
 
     async def _is_ready(self, daemon: Any) -> bool:
@@ -231,7 +233,7 @@
         answer = await self.client.call("GET", url)
         return answer.is_ok() and answer.ok.status == 200
 
-    async def _knows(self, daemon: Any, count: int) -> bool:
+    async def _knows_members(self, daemon: Any, count: int) -> bool:
         for operator in ("serrana-operator", "lindqvist-operator"):
             reply = await self.ask(daemon, "show daemons", operator)
             if reply.status == 200:
@@ -242,12 +244,12 @@
 
 
 class ScenarioTestCase(testtools.TestCase):
-    """A test whose scenario runs in a world of its own."""
+    """Base class of tests that run scenarios, each in a new `Scene`."""
 
     def run_scene(
         self, scenario: Callable[[Scene], Awaitable[None]], **options: Any
     ) -> None:
-        """Run a scenario in a fresh world and end everything after it."""
+        """Run a scenario in a new scene and stop everything afterwards."""
         trio.run(self._run_scene, scenario, options)
 
     async def _run_scene(
@@ -260,11 +262,11 @@
                 http.open_client(reuse=False) as client,
                 trio.open_nursery() as nursery,
             ):
-                place = world.World(nursery, **options)
-                await place.start_platform()
-                place.put_standard_config()
+                platform_world = world.World(nursery, **options)
+                await platform_world.start_platform()
+                platform_world.put_standard_config()
                 try:
-                    await scenario(Scene(place, nursery, client))
+                    await scenario(Scene(platform_world, nursery, client))
                 finally:
-                    place.end_processes()
+                    platform_world.end_processes()
                 nursery.cancel_scope.cancel()
--- a/tests/test_daemon/test_work_table.py
+++ b/tests/test_daemon/test_work_table.py
@@ -1,4 +1,4 @@
-"""The first answer in the log's order is the answer."""
+"""Of several answers or bodies for one ticket, the first in the log counts."""
 
 from __future__ import annotations
 
@@ -31,38 +31,38 @@
 
 class WorkTableTest(testtools.TestCase):
     def test_the_first_answer_counts(self):
-        works = table.WorkTable()
+        requests = table.WorkTable()
         for offset, raw in enumerate(
             [_accept(1), _complete(50), _complete(60)], 1
         ):
-            works.apply(offset, raw)
+            requests.apply(offset, raw)
         self.assertEqual(
-            offset_index.RecordRange(50, 1), works.find_answer("team.1")
+            offset_index.RecordRange(50, 1), requests.find_answer("team.1")
         )
-        self.assertEqual([], works.list_open())
+        self.assertEqual([], requests.list_open())
 
     def test_a_request_sent_again_keeps_its_first_body(self):
-        works = table.WorkTable()
-        works.apply(1, _accept(10))
-        works.apply(2, _accept(20))
+        requests = table.WorkTable()
+        requests.apply(1, _accept(10))
+        requests.apply(2, _accept(20))
         self.assertEqual(
-            offset_index.RecordRange(10, 1), works.list_open()[0].body
+            offset_index.RecordRange(10, 1), requests.list_open()[0].body
         )
-        works.apply(3, _accept(30, is_carried=True))
+        requests.apply(3, _accept(30, is_carried=True))
         self.assertEqual(
-            offset_index.RecordRange(30, 1), works.list_open()[0].body
+            offset_index.RecordRange(30, 1), requests.list_open()[0].body
         )
 
     def test_an_answered_request_sent_again_stays_answered(self):
-        works = table.WorkTable()
+        requests = table.WorkTable()
         for offset, raw in enumerate(
             [_accept(1), _complete(50), _accept(70)], 1
         ):
-            works.apply(offset, raw)
-        self.assertEqual([], works.list_open())
+            requests.apply(offset, raw)
+        self.assertEqual([], requests.list_open())
 
-    def test_an_open_request_outlives_the_log(self):
-        works = table.WorkTable()
-        works.apply(1, _accept(10))
-        works.forget_before(1000)
-        self.assertEqual(1, len(works.list_open()))
+    def test_an_unanswered_request_outlives_the_retention_of_the_log(self):
+        requests = table.WorkTable()
+        requests.apply(1, _accept(10))
+        requests.forget_before(1000)
+        self.assertEqual(1, len(requests.list_open()))
--- a/tests/test_promises/test_at_most_once.py
+++ b/tests/test_promises/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""A call that may not be repeated runs at most once, and "not run" is true."""
+"""Non-idempotent calls run at most once, and never after "not run"."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 _Code = results.ResultCode
 
 
-def _holds_claim(scene: scenarios.Scene, key: str) -> str:
-    """Return the holder of the key's first claim in the log, or nothing."""
+def _find_claim_holder(scene: scenarios.Scene, key: str) -> str:
+    """Return the daemon of the key's first claim in the log, or ""."""
     for shard in range(4):
         for record in scene.world.log.list_records(f"claims-serrana-{shard}"):
             match records.decode(record.payload):
@@ -45,7 +45,7 @@
 
         self.run_scene(scenario)
 
-    def test_a_key_that_comes_with_another_request_is_refused(self):
+    def test_a_key_reused_for_another_request_is_rejected(self):
         async def scenario(scene: scenarios.Scene) -> None:
             service = await scene.world.add_service(
                 partners.SERRANA, "serra-a", "desk-1"
@@ -60,7 +60,7 @@
 
 
 class LostAnswerTest(scenarios.ScenarioTestCase):
-    def test_a_lost_answer_is_unknown_and_is_never_asked_for_again(self):
+    def test_a_call_whose_answer_is_lost_is_unknown_and_never_retried(self):
         async def scenario(scene: scenarios.Scene) -> None:
             services = [
                 await scene.world.add_service(
@@ -79,7 +79,7 @@
 
         self.run_scene(scenario)
 
-    def test_a_lost_append_answer_is_settled_by_reading_on(self):
+    def test_a_claim_whose_append_got_no_answer_is_settled_by_reading(self):
         async def scenario(scene: scenarios.Scene) -> None:
             service = await scene.world.add_service(
                 partners.SERRANA, "serra-a", "desk-1"
@@ -94,7 +94,7 @@
 
 
 class LogOutageTest(scenarios.ScenarioTestCase):
-    def test_with_the_log_down_keyed_calls_are_refused_and_never_run(self):
+    def test_with_the_log_down_keyed_calls_are_rejected_and_never_run(self):
         async def scenario(scene: scenarios.Scene) -> None:
             service = await scene.world.add_service(
                 partners.SERRANA, "serra-a", "desk-1"
@@ -129,7 +129,9 @@
 
         self.run_scene(scenario)
 
-    def test_a_claim_that_turns_up_after_not_run_was_said_never_runs(self):
+    def test_a_claim_appended_after_its_caller_was_told_not_run_never_runs(
+        self,
+    ):
         async def scenario(scene: scenarios.Scene) -> None:
             service = await scene.world.add_service(
                 partners.SERRANA, "serra-a", "desk-1"
@@ -139,7 +141,7 @@
             refused = await scene.caller.book(daemons[0], "slot-1")
             self.assertEqual(_Code.NOT_RUN_LOG_DOWN, refused.code)
             scene.world.log.set_faults({"late_effect_s": 0.0})
-            while not _holds_claim(scene, "slot-1"):
+            while not _find_claim_holder(scene, "slot-1"):
                 await trio.sleep(0.05)
             self.assertEqual(0, service.runs["slot-1"])
 
@@ -154,7 +156,9 @@
 
 
 class LostHolderTest(scenarios.ScenarioTestCase):
-    def test_a_holder_killed_during_the_call_leaves_the_outcome_unknown(self):
+    def test_if_the_holder_is_killed_during_the_call_its_outcome_is_unknown(
+        self,
+    ):
         async def scenario(scene: scenarios.Scene) -> None:
             service = await scene.world.add_service(
                 partners.SERRANA, "serra-a", "desk-1"
@@ -176,28 +180,28 @@
 
         self.run_scene(scenario)
 
-    def test_a_holder_frozen_before_the_call_may_go_on_but_no_one_else_runs(
-        self,
-    ):
+    def test_while_a_holder_is_suspended_no_other_daemon_makes_the_call(self):
         async def scenario(scene: scenarios.Scene) -> None:
             service = await scene.world.add_service(
                 partners.SERRANA, "serra-a", "desk-1"
             )
             daemons = await scene.start_processes(partners.SERRANA, 3)
-            frozen = daemons[0]
-            # The log takes the claim and is slow to say so, which leaves
-            # time to freeze the holder before it can make the call.
+            suspended = daemons[0]
+            # Without the delay the holder could make the call before it is
+            # suspended.
             scene.world.log.set_faults({"answer_delay_s": 0.5})
-            scene.nursery.start_soon(scene.caller.book, frozen, "slot-1")
-            while not _holds_claim(scene, "slot-1"):
+            scene.nursery.start_soon(scene.caller.book, suspended, "slot-1")
+            while not _find_claim_holder(scene, "slot-1"):
                 await trio.sleep(0.005)
-            frozen.send_signal(signal.SIGSTOP)
+            suspended.send_signal(signal.SIGSTOP)
             self.assertEqual(0, service.runs["slot-1"])
-            self.assertEqual(frozen.member, _holds_claim(scene, "slot-1"))
+            self.assertEqual(
+                suspended.member, _find_claim_holder(scene, "slot-1")
+            )
             scene.world.log.set_faults({"answer_delay_s": 0.0})
             reply = await scene.caller.book(daemons[1], "slot-1")
             self.assertEqual(_Code.UNKNOWN_HOLDER_LOST, reply.code)
-            frozen.send_signal(signal.SIGCONT)
+            suspended.send_signal(signal.SIGCONT)
 
             async def has_outcome() -> bool:
                 again = await scene.caller.book(daemons[2], "slot-1")
@@ -208,7 +212,7 @@
 
         self.run_scene(scenario)
 
-    def test_zones_cut_apart_with_the_log_reachable_still_run_a_key_once(self):
+    def test_partitioned_zones_that_reach_the_log_run_a_key_once(self):
         async def scenario(scene: scenarios.Scene) -> None:
             service = await scene.world.add_service(
                 partners.SERRANA, "serra-c", "desk-1"
--- a/tests/test_promises/test_callers_gone.py
+++ b/tests/test_promises/test_callers_gone.py
@@ -1,4 +1,4 @@
-"""Callers that are slow or vanish leave nothing behind."""
+"""Slow and disconnected callers neither leak requests nor lose outcomes."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
         await stream.send_all(head.encode())
         return stream
 
-    def test_a_body_that_does_not_come_is_answered_and_runs_nothing(self):
+    def test_a_body_that_times_out_is_answered_and_runs_nothing(self):
         async def scenario(scene: scenarios.Scene) -> None:
             service = await scene.world.add_service(
                 partners.SERRANA, "serra-a", "desk-1"
@@ -44,7 +44,7 @@
 
         self.run_scene(scenario)
 
-    def test_a_caller_that_leaves_in_its_body_leaves_nothing_behind(self):
+    def test_a_caller_that_disconnects_during_its_body_leaks_no_request(self):
         async def scenario(scene: scenarios.Scene) -> None:
             service = await scene.world.add_service(
                 partners.SERRANA, "serra-a", "desk-1"
@@ -62,7 +62,7 @@
 
         self.run_scene(scenario)
 
-    def test_a_booking_whose_caller_left_is_kept_for_the_next_try(self):
+    def test_a_booking_whose_caller_disconnected_is_kept_for_its_retry(self):
         async def scenario(scene: scenarios.Scene) -> None:
             service = await scene.world.add_service(
                 partners.SERRANA, "serra-a", "desk-1"
--- a/tests/test_promises/test_deferrable.py
+++ b/tests/test_promises/test_deferrable.py
@@ -1,4 +1,4 @@
-"""What was accepted is answered, and its answer is one and the same."""
+"""Each accepted deferrable request is answered, always with one answer."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 _SLOW = engine.EngineShape(token_s=0.02)
 
 
-def _expect(prompt: str, count: int) -> str:
+def _build_text(prompt: str, count: int) -> str:
     return "".join(
         engine.make_token(f"user: {prompt}", i) for i in range(count)
     )
@@ -35,12 +35,12 @@
         self, scene: scenarios.Scene, daemons: list[Any], ticket: str
     ) -> None:
         first = await scene.caller.fetch_answer(daemons[0], ticket)
-        self.assertEqual(_expect("part seven", 40), first.read_text())
+        self.assertEqual(_build_text("part seven", 40), first.read_text())
         for daemon in daemons:
             again = await scene.caller.fetch_answer(daemon, ticket)
             self.assertEqual(first.body, again.body)
 
-    def test_work_survives_the_reclaim_of_its_runner(self):
+    def test_a_request_survives_the_reclaim_of_its_runner(self):
         async def scenario(scene: scenarios.Scene) -> None:
             for zone in ("serra-a", "serra-b"):
                 await scene.world.add_engine(
@@ -48,7 +48,7 @@
                 )
             daemons = await scene.start_daemons(partners.SERRANA, 3)
             ticket = await self._accept(scene, daemons[0])
-            runner = await self._wait_running(scene, daemons[0], ticket)
+            runner = await self._wait_until_running(scene, daemons[0], ticket)
             scene.world.instances.give_notice(runner, "serra-a")
             await trio.sleep(0.2)
             scene.world.runners[runner].kill()
@@ -56,7 +56,7 @@
 
         self.run_scene(scenario)
 
-    def test_work_survives_the_death_of_its_runner_without_notice(self):
+    def test_a_request_survives_a_crash_of_its_runner(self):
         async def scenario(scene: scenarios.Scene) -> None:
             for zone in ("serra-a", "serra-b"):
                 await scene.world.add_engine(
@@ -64,31 +64,31 @@
                 )
             daemons = await scene.start_daemons(partners.SERRANA, 2)
             ticket = await self._accept(scene, daemons[0])
-            runner = await self._wait_running(scene, daemons[0], ticket)
+            runner = await self._wait_until_running(scene, daemons[0], ticket)
             scene.world.runners[runner].kill()
             await self._check_answer(scene, daemons, ticket)
 
         self.run_scene(scenario)
 
-    def test_work_survives_the_kill_of_the_daemon_that_works_on_it(self):
+    def test_a_request_survives_a_crash_of_the_daemon_that_answers_it(self):
         async def scenario(scene: scenarios.Scene) -> None:
             await scene.world.add_engine(
                 partners.SERRANA, "serra-c", "model-1", _SLOW
             )
             daemons = await scene.start_processes(partners.SERRANA, 3)
             ticket = await self._accept(scene, daemons[0])
-            await self._wait_running(scene, daemons[0], ticket)
+            await self._wait_until_running(scene, daemons[0], ticket)
             rows = await scene.list_rows(daemons[0], "show requests")
             worker = rows[0]["daemon"]
             for daemon in daemons:
                 if daemon.member == worker:
                     daemon.send_signal(signal.SIGKILL)
-            left = [d for d in daemons if d.member != worker]
-            await self._check_answer(scene, left, ticket)
+            remaining = [d for d in daemons if d.member != worker]
+            await self._check_answer(scene, remaining, ticket)
 
         self.run_scene(scenario)
 
-    def test_work_survives_a_log_outage_and_the_loss_of_a_zone(self):
+    def test_a_request_survives_a_log_outage_and_the_loss_of_a_zone(self):
         async def scenario(scene: scenarios.Scene) -> None:
             for zone in ("serra-a", "serra-b"):
                 await scene.world.add_engine(
@@ -107,15 +107,15 @@
 
         self.run_scene(scenario)
 
-    def test_work_without_a_runner_outlives_the_retention_of_the_log(self):
+    def test_a_request_without_a_runner_outlives_the_retention_of_the_log(self):
         async def scenario(scene: scenarios.Scene) -> None:
             daemons = await scene.start_daemons(partners.SERRANA, 2)
             ticket = await self._accept(scene, daemons[0])
-            shard = await self._find_stream(scene, ticket)
-            first = scene.world.log.list_records(shard)[0].offset
+            stream = await self._find_stream(scene, ticket)
+            first = scene.world.log.list_records(stream)[0].offset
 
             async def is_carried() -> bool:
-                kept = scene.world.log.list_records(shard)
+                kept = scene.world.log.list_records(stream)
                 return kept[0].offset > first if kept else False
 
             await scene.wait_until(is_carried)
@@ -124,9 +124,7 @@
 
         self.run_scene(scenario, retention_s=2.0)
 
-    def test_a_daemon_without_configuration_does_not_answer_for_want_of_it(
-        self,
-    ):
+    def test_a_daemon_without_configuration_does_not_answer_with_an_error(self):
         async def scenario(scene: scenarios.Scene) -> None:
             first = (await scene.start_daemons(partners.SERRANA, 1))[0]
             ticket = await self._accept(scene, first)
@@ -136,7 +134,8 @@
             fresh = await scene.world.start_daemon(
                 partners.SERRANA, "serra-b", "entry-fresh"
             )
-            # Time enough to adopt the request, were it allowed to.
+            # A daemon that did not wait for its configuration would answer
+            # the request with an error within this time.
             await trio.sleep(2.0)
             scene.world.log.set_faults({"refused_stream": ""})
             await scene.world.add_engine(partners.SERRANA, "serra-a", "model-1")
@@ -158,7 +157,7 @@
 
         self.run_scene(scenario)
 
-    async def _wait_running(
+    async def _wait_until_running(
         self, scene: scenarios.Scene, daemon: Any, ticket: str
     ) -> str:
         while True:
--- a/tests/test_promises/test_leaving.py
+++ b/tests/test_promises/test_leaving.py
@@ -1,4 +1,4 @@
-"""A leaving runner gets no new work; a planned stop cuts nothing off."""
+"""Reclaimed runners get no new requests; stopping daemons finish theirs."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 class LeavingRunnerTest(scenarios.ScenarioTestCase):
-    def test_a_notice_seen_by_one_daemon_reaches_the_others(self):
+    def test_a_reclaim_notice_read_by_one_daemon_reaches_the_others(self):
         async def scenario(scene: scenarios.Scene) -> None:
             await self._check_no_new_work(scene, "one sees the notice")
 
         self.run_scene(scenario, with_network=True)
 
-    def test_a_leaving_runner_is_left_out_while_the_list_shows_it_live(self):
+    def test_a_reclaimed_runner_is_avoided_while_the_list_shows_it_live(self):
         async def scenario(scene: scenarios.Scene) -> None:
             scene.world.instances.set_faults({"lag_s": 0.0})
             await self._check_no_new_work(scene, "the list shows it live")
@@ -37,12 +37,12 @@
         daemons = await scene.start_daemons(partners.SERRANA, 3)
         assert scene.world.network is not None
         if case == "one sees the notice":
-            # The other zones keep their links but lose the platform.
+            # Otherwise each daemon would read the notice from the platform.
             for zone in ("serra-b", "serra-c"):
                 scene.world.network.cut(zone, network.PLATFORM)
         scene.world.instances.give_notice("old", "serra-a")
         for daemon in daemons:
-            await scene.wait_until(self._says_leaving, scene, daemon, "old")
+            await scene.wait_until(self._lists_as_leaving, scene, daemon, "old")
         before = sum(old.runs.values())
         for number in range(30):
             reply = await scene.caller.chat(
@@ -51,7 +51,7 @@
             self.assertEqual(200, reply.status)
         self.assertEqual(before, sum(old.runs.values()))
 
-    async def _says_leaving(
+    async def _lists_as_leaving(
         self, scene: scenarios.Scene, daemon: Any, runner: str
     ) -> bool:
         rows = await scene.list_rows(daemon, "show runners")
@@ -73,18 +73,18 @@
             daemons = await scene.start_processes(partners.SERRANA, 2)
             replies: dict[str, scenarios.CallerReply] = {}
 
-            async def keep(name: str, call: Any) -> None:
+            async def store_reply(name: str, call: Any) -> None:
                 replies[name] = await call
 
             async with trio.open_nursery() as nursery:
                 caller = scene.caller
                 stream = caller.chat(daemons[0], max_tokens=60, stream=True)
-                nursery.start_soon(keep, "stream", stream)
+                nursery.start_soon(store_reply, "stream", stream)
                 nursery.start_soon(
-                    keep, "call", caller.book(daemons[0], "slot-1")
+                    store_reply, "call", caller.book(daemons[0], "slot-1")
                 )
                 status = caller.send(daemons[0], "GET", "/services/status/1")
-                nursery.start_soon(keep, "status", status)
+                nursery.start_soon(store_reply, "status", status)
                 await scene.wait_until(self._has_running, scene, daemons[0], 3)
                 daemons[0].send_signal(signal.SIGTERM)
             self.assertTrue(replies["stream"].is_unbroken())
@@ -97,9 +97,8 @@
 
         self.run_scene(scenario)
 
-    def test_signals_in_series_cut_no_request_off(self):
-        # The system's own action for a signal that nobody handles is to end
-        # the process, and the second stop signal was taken as an order to.
+    def test_repeated_signals_interrupt_no_request(self):
+        # Guards against a SIGHUP or second SIGTERM that ends the process.
         async def scenario(scene: scenarios.Scene) -> None:
             shape = engine.EngineShape(token_s=0.02)
             await scene.world.add_engine(
@@ -119,14 +118,16 @@
                 daemon.send_signal(signal.SIGHUP)
                 for _ in range(2):
                     daemon.send_signal(signal.SIGTERM)
-                    await scene.wait_until(self._has_begun, scene, daemon)
+                    await scene.wait_until(self._is_stopping, scene, daemon)
                     daemon.send_signal(signal.SIGHUP)
             self.assertTrue(replies[0].is_unbroken())
             self.assertEqual(0, await daemon.process.wait())
 
         self.run_scene(scenario)
 
-    def test_an_end_at_once_tells_that_it_cut_requests_off(self):
+    def test_an_immediate_stop_exits_with_an_error_if_it_cuts_requests_off(
+        self,
+    ):
         async def scenario(scene: scenarios.Scene) -> None:
             await self._check_cut_off(
                 scene, [signal.SIGTERM, signal.SIGINT, signal.SIGINT]
@@ -134,7 +135,7 @@
 
         self.run_scene(scenario)
 
-    def test_an_end_at_the_limit_tells_that_it_cut_requests_off(self):
+    def test_a_stop_at_the_drain_limit_exits_with_an_error(self):
         async def scenario(scene: scenarios.Scene) -> None:
             timing = {"drain_notice_s": 0.1, "drain_limit_s": 0.1}
             await self._check_cut_off(scene, [signal.SIGTERM], timing=timing)
@@ -147,7 +148,7 @@
         numbers: list[signal.Signals],
         **sections: Any,
     ) -> None:
-        """Stop a daemon amid a stream that is longer than any stop."""
+        """Stop a daemon during a stream that is longer than the drain."""
         shape = engine.EngineShape(token_s=1.0)
         await scene.world.add_engine(
             partners.SERRANA, "serra-a", "model-1", shape
@@ -165,11 +166,11 @@
             await scene.wait_until(self._has_running, scene, daemon, 1)
             for number in numbers:
                 daemon.send_signal(number)
-                await scene.wait_until(self._has_begun, scene, daemon)
+                await scene.wait_until(self._is_stopping, scene, daemon)
             self.assertEqual(1, await daemon.process.wait())
         self.assertFalse(replies[0].is_unbroken())
 
-    def test_deferrable_work_is_handed_over_at_a_stop(self):
+    def test_a_stopping_daemon_hands_its_deferrable_requests_over(self):
         async def scenario(scene: scenarios.Scene) -> None:
             shape = engine.EngineShape(token_s=0.03)
             await scene.world.add_engine(
@@ -191,40 +192,42 @@
 
         self.run_scene(scenario)
 
-    def test_replacing_every_daemon_under_load_cuts_no_request_off(self):
+    def test_a_rolling_restart_under_load_interrupts_no_request(self):
         async def scenario(scene: scenarios.Scene) -> None:
             shape = engine.EngineShape(token_s=0.005)
             for number in range(2):
                 await scene.world.add_engine(
                     partners.SERRANA, "serra-a", f"model-{number}", shape
                 )
-            balanced = list(await scene.start_processes(partners.SERRANA, 3))
+            ready_daemons = list(
+                await scene.start_processes(partners.SERRANA, 3)
+            )
             replies: list[scenarios.CallerReply] = []
             done = trio.Event()
 
-            async def call_again_and_again(number: int) -> None:
+            async def call_repeatedly(number: int) -> None:
                 while not done.is_set():
-                    # The balancer sends callers to ready daemons only.
-                    ready = balanced[number % len(balanced)]
+                    # Like a load balancer, which uses ready daemons only.
+                    daemon = ready_daemons[number % len(ready_daemons)]
                     replies.append(
                         await scene.caller.chat(
-                            ready, max_tokens=30, stream=True
+                            daemon, max_tokens=30, stream=True
                         )
                     )
 
             async with trio.open_nursery() as nursery:
                 for number in range(6):
-                    nursery.start_soon(call_again_and_again, number)
+                    nursery.start_soon(call_repeatedly, number)
                 for number in range(3):
-                    leaving = balanced[0]
+                    replaced = ready_daemons[0]
                     newer = await scene.world.start_process(
                         partners.SERRANA, "serra-a", f"entry-new-{number}"
                     )
                     await scene.wait_until(self._is_ready, scene, newer)
-                    balanced.append(newer)
-                    balanced.remove(leaving)
-                    leaving.send_signal(signal.SIGTERM)
-                    self.assertEqual(0, await leaving.process.wait())
+                    ready_daemons.append(newer)
+                    ready_daemons.remove(replaced)
+                    replaced.send_signal(signal.SIGTERM)
+                    self.assertEqual(0, await replaced.process.wait())
                 done.set()
             self.assertGreater(len(replies), 10)
             for reply in replies:
@@ -233,7 +236,7 @@
 
         self.run_scene(scenario)
 
-    def test_a_stopping_daemon_says_so_before_it_takes_no_more_callers(self):
+    def test_a_stopping_daemon_is_unready_before_it_closes_its_listener(self):
         async def scenario(scene: scenarios.Scene) -> None:
             daemons = await scene.start_daemons(
                 partners.SERRANA, 1, timing={"drain_notice_s": 1.0}
@@ -255,8 +258,8 @@
     async def _is_ready(self, scene: scenarios.Scene, daemon: Any) -> bool:
         return (await self._read_readiness(scene, daemon)) == 200
 
-    async def _has_begun(self, scene: scenarios.Scene, daemon: Any) -> bool:
-        """Tell whether a stop has begun, or the process is gone already."""
+    async def _is_stopping(self, scene: scenarios.Scene, daemon: Any) -> bool:
+        """Return whether the daemon is stopping or has exited."""
         if daemon.process.poll() is not None:
             return True
         return await self._is_unready(scene, daemon)
--- a/tests/test_promises/test_whole_answers.py
+++ b/tests/test_promises/test_whole_answers.py
@@ -1,4 +1,4 @@
-"""Each caller gets the whole answer to its own request."""
+"""Callers get complete answers despite runner failures and stream faults."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 _SLOW = engine.EngineShape(token_s=0.01)
 
 
-def _expect(prompt: str, count: int) -> str:
+def _build_text(prompt: str, count: int) -> str:
     return "".join(
         engine.make_token(f"user: {prompt}", i) for i in range(count)
     )
 
 
 class StreamTest(scenarios.ScenarioTestCase):
-    def test_late_early_repeated_and_foreign_tokens_change_no_answer(self):
+    def test_reordered_repeated_and_foreign_tokens_change_no_answer(self):
         async def scenario(scene: scenarios.Scene) -> None:
             app = await scene.world.add_engine(
                 partners.SERRANA, "serra-a", "model-1"
@@ -30,7 +30,7 @@
                 reply = await scene.caller.chat(
                     daemons[0], prompt=fault, max_tokens=21, stream=True
                 )
-                self.assertEqual(_expect(fault, 21), reply.read_text())
+                self.assertEqual(_build_text(fault, 21), reply.read_text())
                 self.assertTrue(reply.is_unbroken())
 
         self.run_scene(scenario)
@@ -59,28 +59,28 @@
                 for number in range(40):
                     nursery.start_soon(ask, number)
             for prompt, text in replies.items():
-                self.assertEqual(_expect(prompt, 15), text)
+                self.assertEqual(_build_text(prompt, 15), text)
 
         self.run_scene(scenario)
 
-    def test_a_reclaimed_runner_hands_its_stream_and_its_cache_on(self):
+    def test_a_reclaimed_runner_transfers_its_stream_and_its_cache(self):
         async def scenario(scene: scenarios.Scene) -> None:
             reply, daemon = await self._move_stream(scene, "notice")
             prompt = "long brief " * 200
-            self.assertEqual(_expect(prompt, 60), reply.read_text())
+            self.assertEqual(_build_text(prompt, 60), reply.read_text())
             self.assertTrue(reply.is_unbroken())
             recomputed = await self._count_recomputed(scene, daemon)
-            # Less than one block of the prompt and the tokens so far.
+            # Less than one block of the prompt plus the generated tokens.
             self.assertLess(recomputed["reclaimed"], 32 + 60)
             self.assertNotIn("lost", recomputed)
 
         self.run_scene(scenario)
 
-    def test_a_killed_runner_costs_tokens_read_again_but_no_answer(self):
+    def test_a_killed_runner_costs_recomputed_tokens_but_no_answer(self):
         async def scenario(scene: scenarios.Scene) -> None:
             reply, daemon = await self._move_stream(scene, "kill")
             prompt = "long brief " * 200
-            self.assertEqual(_expect(prompt, 60), reply.read_text())
+            self.assertEqual(_build_text(prompt, 60), reply.read_text())
             self.assertTrue(reply.is_unbroken())
             recomputed = await self._count_recomputed(scene, daemon)
             self.assertGreaterEqual(recomputed["lost"], 400)
@@ -105,7 +105,7 @@
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(ask)
-                await self._wait_tokens(scene, daemons[0])
+                await self._wait_for_tokens(scene, daemons[0])
                 scene.world.runners["model-1"].kill()
             self.assertIn(b"event: error", replies[0].body)
             self.assertIn(b"4003", replies[0].body)
@@ -113,7 +113,7 @@
 
         self.run_scene(scenario)
 
-    def test_a_caller_that_leaves_stops_the_work_at_the_engine(self):
+    def test_a_caller_that_disconnects_cancels_its_request_at_the_engine(self):
         async def scenario(scene: scenarios.Scene) -> None:
             await scene.world.add_engine(
                 partners.SERRANA, "serra-a", "model-1", _SLOW
@@ -128,7 +128,7 @@
                     )
 
             scope = await scene.nursery.start(ask)
-            await self._wait_tokens(scene, daemons[0])
+            await self._wait_for_tokens(scene, daemons[0])
             scope.cancel()
 
             async def is_idle() -> bool:
@@ -162,15 +162,17 @@
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(ask)
-            runner = await self._wait_tokens(scene, daemons[0])
+            runner = await self._wait_for_tokens(scene, daemons[0])
             if how == "notice":
                 scene.world.instances.give_notice(runner, "serra-a")
-                # Seconds of notice, here less: then it is gone.
+                # Time to transfer the stream before the runner ends.
                 await trio.sleep(0.3)
             scene.world.runners[runner].kill()
         return replies[0], daemons[0]
 
-    async def _wait_tokens(self, scene: scenarios.Scene, daemon: Any) -> str:
+    async def _wait_for_tokens(
+        self, scene: scenarios.Scene, daemon: Any
+    ) -> str:
         while True:
             for row in await scene.list_rows(daemon, "show requests"):
                 if row["tokens"] > 3:
--- a/tests/test_promises/test_whole_path.py
+++ b/tests/test_promises/test_whole_path.py
@@ -1,4 +1,4 @@
-"""Serve one request of each kind through daemons that read the log."""
+"""Each kind of request, valid or not, gets its answer end to end."""
 
 from __future__ import annotations
 
@@ -34,35 +34,35 @@
 
         self.run_scene(scenario)
 
-    def test_a_runner_that_answers_oddly_ends_no_daemon(self):
+    def test_a_runner_with_malformed_load_reports_ends_no_daemon(self):
         async def scenario(scene: scenarios.Scene) -> None:
             runner = await scene.world.add_engine(
                 partners.SERRANA, "serra-a", "model-1"
             )
             (daemon,) = await scene.start_processes(partners.SERRANA, 1)
             runner.set_faults({"odd_load": True})
-            enough = runner.reports + 5
+            expected_reports = runner.reports + 5
 
-            async def has_asked_or_ended() -> bool:
+            async def has_polled_or_ended() -> bool:
                 ended = daemon.process.poll() is not None
-                return ended or runner.reports >= enough
+                return ended or runner.reports >= expected_reports
 
-            await scene.wait_until(has_asked_or_ended)
+            await scene.wait_until(has_polled_or_ended)
             self.assertIsNone(daemon.process.poll())
             self.assertEqual(200, (await scene.caller.chat(daemon)).status)
 
         self.run_scene(scenario)
 
-    def test_wrong_requests_get_their_numbered_answers(self):
+    def test_invalid_requests_get_their_result_codes(self):
         async def scenario(scene: scenarios.Scene) -> None:
             daemons = await scene.start_daemons(
                 partners.SERRANA, 1, limits={"body_bytes": 1000}
             )
-            stranger = scenarios.Caller(scene.client, "nobody")
+            unknown_caller = scenarios.Caller(scene.client, "nobody")
             chat_path = "/v1/chat/completions"
             send = scene.caller.send
             replies = {
-                2003: await stranger.chat(daemons[0]),
+                2003: await unknown_caller.chat(daemons[0]),
                 2001: await send(daemons[0], "POST", chat_path, b"{not json"),
                 2002: await send(daemons[0], "POST", chat_path, b"x" * 2000),
                 2004: await scene.caller.chat(daemons[0], "nowhere"),
