--- a/tests/leaving.py
+++ b/tests/leaving.py
@@ -21,7 +21,7 @@
     "ConnectWatch",
     "DepartureLog",
     "leave",
-    "listen_deaf",
+    "listen_unread",
     "listen_hung",
     "open_connect_watch",
     "open_departure_log",
@@ -128,7 +128,7 @@
 
 
 @contextlib.contextmanager
-def listen_deaf() -> Iterator[tuple[socket.socket, str]]:
+def listen_unread() -> Iterator[tuple[socket.socket, str]]:
     """Yield a listener whose accepted connections are not read."""
     with socket.socket() as listener:
         listener.setsockopt(
--- a/tests/test_forwarding/test_departure.py
+++ b/tests/test_forwarding/test_departure.py
@@ -162,7 +162,7 @@
 class SendingTest(departures.DepartureTestCase):
     def test_a_runner_that_does_not_read(self) -> None:
         async def scenario(world: departures.World) -> None:
-            with leaving.listen_deaf() as (listener, address):
+            with leaving.listen_unread() as (listener, address):
                 world.scene.add_runner(address)
                 body = b"a" * _BEYOND_BUFFERS
                 caller = await world.call(departures.POST % len(body) + body)
