--- a/tests/leaving.py
+++ b/tests/leaving.py
@@ -22,7 +22,7 @@
     "DepartureLog",
     "leave",
     "listen_unread",
-    "listen_hung",
+    "listen_with_full_backlog",
     "open_connect_watch",
     "open_departure_log",
     "read_to_end",
@@ -117,7 +117,7 @@
 
 
 @contextlib.contextmanager
-def listen_hung() -> Iterator[tuple[socket.socket, str]]:
+def listen_with_full_backlog() -> Iterator[tuple[socket.socket, str]]:
     """Yield a listener with a full backlog: connecting to it hangs."""
     with socket.socket() as listener, socket.socket() as filler:
         listener.bind(("127.0.0.1", 0))
--- a/tests/test_forwarding/test_departure.py
+++ b/tests/test_forwarding/test_departure.py
@@ -123,7 +123,7 @@
     def test_a_connection_that_does_not_come_up(self) -> None:
         async def scenario(world: departures.World) -> None:
             with (
-                leaving.listen_hung() as (listener, address),
+                leaving.listen_with_full_backlog() as (listener, address),
                 mock.patch.object(attempt, "_CONNECT_S", departures.LONG_S),
             ):
                 world.scene.add_runner(address)
