--- a/tests/departures.py
+++ b/tests/departures.py
@@ -108,7 +108,7 @@
     ) -> None:
         """Leave; both runner and log know of it within half a second."""
         leaving.leave(caller, is_reset=self.is_reset)
-        with trio.fail_after(leaving.TOLD_S):
+        with trio.fail_after(leaving.CANCEL_LIMIT_S):
             if told is not None:
                 await told.wait()
             await self.log.written.wait()
--- a/tests/leaving.py
+++ b/tests/leaving.py
@@ -17,7 +17,7 @@
     from collections.abc import AsyncIterator, Iterator
 
 __all__ = [
-    "TOLD_S",
+    "CANCEL_LIMIT_S",
     "ConnectWatch",
     "DepartureLog",
     "leave",
@@ -28,7 +28,7 @@
     "read_to_end",
 ]
 
-TOLD_S = 0.5
+CANCEL_LIMIT_S = 0.5
 _READ_BYTES = 65_536
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 _RECEIVE_BUFFER_BYTES = 4096
--- a/tests/test_forwarding/test_departure.py
+++ b/tests/test_forwarding/test_departure.py
@@ -169,7 +169,7 @@
                 await trio.testing.wait_all_tasks_blocked(0.1)
                 runner, _ = listener.accept()
                 await world.leave(caller)
-                with trio.fail_after(leaving.TOLD_S):
+                with trio.fail_after(leaving.CANCEL_LIMIT_S):
                     size = await leaving.read_to_end(runner)
                 self.assertLess(size, len(body))
                 # A runner that is silent for long is asked whether it is
