--- a/tests/departures.py
+++ b/tests/departures.py
@@ -107,7 +107,7 @@
         self, caller: trio.SocketStream, told: trio.Event | None = None
     ) -> None:
         """Leave; both runner and log know of it within half a second."""
-        leaving.leave(caller, is_reset=self.is_reset)
+        leaving.disconnect_caller(caller, is_reset=self.is_reset)
         with trio.fail_after(leaving.CANCEL_LIMIT_S):
             if told is not None:
                 await told.wait()
--- a/tests/leaving.py
+++ b/tests/leaving.py
@@ -20,7 +20,7 @@
     "CANCEL_LIMIT_S",
     "ConnectWatch",
     "DepartureLog",
-    "leave",
+    "disconnect_caller",
     "listen_unread",
     "listen_with_full_backlog",
     "open_connect_watch",
@@ -34,7 +34,7 @@
 _RECEIVE_BUFFER_BYTES = 4096
 
 
-def leave(caller: trio.SocketStream, *, is_reset: bool) -> None:
+def disconnect_caller(caller: trio.SocketStream, *, is_reset: bool) -> None:
     """Close a caller's connection immediately, by FIN or by RST."""
     if is_reset:
         caller.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
