--- a/bench/routing/sites.py
+++ b/bench/routing/sites.py
@@ -60,7 +60,7 @@
     def __init__(self) -> None:
         self.times: list[float] = []
 
-    async def take(self, text: str) -> None:
+    async def write_token(self, text: str) -> None:
         """Note the next token."""
         del text
         self.times.append(trio.current_time())
--- a/packages/daemon/src/martenquay_daemon/callers/chat.py
+++ b/packages/daemon/src/martenquay_daemon/callers/chat.py
@@ -93,7 +93,7 @@
 class CollectingSink:
     """Take tokens and do nothing: the usage holds them already."""
 
-    async def take(self, text: str) -> None:
+    async def write_token(self, text: str) -> None:
         """Take the next token."""
 
 
@@ -126,7 +126,7 @@
         )
         self._after = '}, "finish_reason": null}]}'
 
-    async def take(self, text: str) -> None:
+    async def write_token(self, text: str) -> None:
         """Send the next token."""
         if not self.is_open:
             await self._open()
--- a/packages/daemon/src/martenquay_daemon/dispatch/model.py
+++ b/packages/daemon/src/martenquay_daemon/dispatch/model.py
@@ -273,7 +273,7 @@
             )
         usage.generated.append(text)
         self._requests.set_token_count(request.request_id, len(usage.generated))
-        await progress.sink.take(text)
+        await progress.sink.write_token(text)
 
     def _record_prefill(
         self,
--- a/packages/daemon/src/martenquay_daemon/dispatch/request_progress.py
+++ b/packages/daemon/src/martenquay_daemon/dispatch/request_progress.py
@@ -34,7 +34,7 @@
 class TokenSink(Protocol):
     """Receives the tokens of an answer in order."""
 
-    async def take(self, text: str) -> None:
+    async def write_token(self, text: str) -> None:
         """Receive the next token."""
 
 
