--- a/packages/daemon/src/martenquay_daemon/callers/chat.py
+++ b/packages/daemon/src/martenquay_daemon/callers/chat.py
@@ -93,7 +93,7 @@
 class DiscardingSink:
     """Discards tokens; the usage already collects them."""
 
-    async def take(self, text: str) -> None:
+    async def write_token(self, text: str) -> None:
         """Discard a token."""
 
 
@@ -127,7 +127,7 @@
         )
         self._chunk_suffix = '}, "finish_reason": null}]}'
 
-    async def take(self, text: str) -> None:
+    async def write_token(self, text: str) -> None:
         """Send the next token."""
         if not self.is_open:
             await self._open()
--- a/packages/daemon/src/martenquay_daemon/callers/chats.py
+++ b/packages/daemon/src/martenquay_daemon/callers/chats.py
@@ -88,7 +88,7 @@
             await self._send_completion(caller, state.answer)
 
     async def perform(
-        self, work: table.Work, body: bytes
+        self, work: table.OpenRequest, body: bytes
     ) -> Result[bytes, results.Failure]:
         """Answer an accepted deferrable request.
 
--- a/tests/test_forwarding/test_departure.py
+++ b/tests/test_forwarding/test_departure.py
@@ -123,7 +123,7 @@
     def test_a_connection_that_does_not_come_up(self) -> None:
         async def scenario(world: departures.World) -> None:
             with (
-                leaving.listen_hung() as (listener, address),
+                leaving.listen_with_full_backlog() as (listener, address),
                 mock.patch.object(attempt, "_CONNECT_S", departures.LONG_S),
             ):
                 world.scene.add_runner(address)
@@ -162,14 +162,14 @@
 class SendingTest(departures.DepartureTestCase):
     def test_a_runner_that_does_not_read(self) -> None:
         async def scenario(world: departures.World) -> None:
-            with leaving.listen_deaf() as (listener, address):
+            with leaving.listen_unread() as (listener, address):
                 world.scene.add_runner(address)
                 body = b"a" * _BEYOND_BUFFERS
                 caller = await world.call(departures.POST % len(body) + body)
                 await trio.testing.wait_all_tasks_blocked(0.1)
                 runner, _ = listener.accept()
                 await world.leave(caller)
-                with trio.fail_after(leaving.TOLD_S):
+                with trio.fail_after(leaving.CANCEL_LIMIT_S):
                     size = await leaving.read_to_end(runner)
                 self.assertLess(size, len(body))
                 # A runner that is silent for long is asked whether it is
