--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -17,8 +17,8 @@
     Mutation(
         "unmarked refusals are no promise",
         f"{DAEMON}/forwarding/attempt.py",
-        "_PROMISES = frozenset({408, 421, 429, 503})",
-        "_PROMISES = frozenset()",
+        "_NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})",
+        "_NOT_RUN_STATUSES = frozenset()",
         f"{_FORWARDER}.AtMostOnceTest",
     ),
     Mutation(
@@ -60,7 +60,7 @@
     Mutation(
         "resumption names the last event",
         f"{DAEMON}/forwarding/attempt.py",
-        "resume_after=current.last_event,",
+        "resume_after=current.last_event_id,",
         "resume_after=None,",
         f"{_FORWARDER}_streams.StreamTest",
     ),
@@ -276,7 +276,7 @@
     Mutation(
         "an answer takes strikes back",
         f"{DAEMON}/forwarding/content_guard.py",
-        "if current.strikes_seen:",
+        "if current.latest_crash_seen:",
         "if False:",
         "tests.test_forwarding.test_content_guard",
     ),
--- a/packages/daemon/src/martenquay_daemon/forwarding/answers.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/answers.py
@@ -60,7 +60,7 @@
     retry_after_s: float | None = None
 
 
-class _Body(msgspec.Struct, frozen=True):
+class _OwnAnswerBody(msgspec.Struct, frozen=True):
     code: int
     message: str
 
@@ -84,7 +84,7 @@
     answer: OwnAnswer,
 ) -> None:
     """Send the whole answer."""
-    body = msgspec.json.encode(_Body(int(answer.code), answer.message))
+    body = msgspec.json.encode(_OwnAnswerBody(int(answer.code), answer.message))
     headers = codec.encode_own_answer(call_id, answer.retry_after_s)
     headers.append((b"content-type", b"application/json"))
     await writer.start(answer.status, headers, len(body))
--- a/packages/daemon/src/martenquay_daemon/forwarding/attempt.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/attempt.py
@@ -11,12 +11,12 @@
 from martenquay_core.serving import calls, catalog, signals
 from martenquay_daemon.engines import model
 from martenquay_daemon.forwarding import (
-    begins,
     departure,
     event_stream,
     exchange,
     silence,
     silence_limits,
+    usage_entry,
 )
 from martenquay_daemon.forwarding import runner_connection as connections
 
@@ -34,19 +34,19 @@
 _OK = 200
 # Statuses that promise that a request has not run. From a runner that does
 # not confirm it they prove nothing and must not be passed on.
-_PROMISES = frozenset({408, 421, 429, 503})
+_NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 # A connection inside a region takes a few ms; one that is not up by then
 # waits for a runner without power or with a full queue of connections, or
 # lost its first packet, which is sent again after a second only.
-_CONNECT_S = 0.1
-# The runner's own word at the deadline is better than none, and needs the
+_CONNECT_TIMEOUT_S = 0.1
+# The runner's uncached_tokens word at the deadline is better than none, and needs the
 # way back.
 _ANSWER_GRACE_S = 0.08
 _MAX_URGENCY = 9
 # A prompt that takes an engine so long is told to other daemons at once: by
 # their next regular news, a quarter of a second later, it is mostly read, and
 # whoever was sent behind it meanwhile was late.
-_TELL_READ_S = 0.05
+_LONG_PREFILL_S = 0.05
 
 
 class AttemptMaker:
@@ -70,44 +70,44 @@
         self._meter = meter
         self._model = estimates
         self._streams = streams
-        self._hurry = notify_soon
+        self._notify_soon = notify_soon
 
     async def make(
         self,
         current: exchange.Exchange,
         placement: placer.Placement,
-        may_move: Callable[[], bool],
+        may_retry: Callable[[], bool],
     ) -> exchange.AttemptResult:
         """Send the request once and relay or return the answer.
 
         Args:
             current: The request.
             placement: The runner.
-            may_move: Whether it might be sent once more.
+            may_retry: Whether it might be sent once more.
         """
         runner = placement.runner
         current.stage = departure.Stage.CONNECTING
-        current.told = signals.NO_SIGNALS
+        current.reported_signals = signals.NO_SIGNALS
         self._note_demand(current, placement)
         result: exchange.AttemptResult = exchange.TimedOut()
-        limit = trio.move_on_at(current.deadline + _ANSWER_GRACE_S)
+        time_limit = trio.move_on_at(current.deadline + _ANSWER_GRACE_S)
         with (
-            limit,
+            time_limit,
             self._ledger.count(runner.id, placement.uncached_tokens) as running,
         ):
-            if placement.read_s >= _TELL_READ_S:
-                self._hurry()
+            if placement.read_s >= _LONG_PREFILL_S:
+                self._notify_soon()
             try:
                 async with connections.connect_runner(
                     runner.address,
-                    _CONNECT_S,
+                    _CONNECT_TIMEOUT_S,
                     lasts_s=current.deadline - trio.current_time(),
                 ) as connection:
-                    bounds = silence_limits.find_silence_limits(
-                        current, placement, may_move
+                    limits = silence_limits.find_silence_limits(
+                        current, placement, may_retry
                     )
-                    result = await self._talk_while_there(
-                        current, placement, connection, running, bounds
+                    result = await self._send_with_liveness_checks(
+                        current, placement, connection, running, limits
                     )
             except connections.NotConnectedError as error:
                 result = exchange.NotSent(str(error))
@@ -124,20 +124,22 @@
         connection. Counted each time, demand seemed to double, and five
         reclaimable and four on-demand runners too many were ordered.
         """
-        if not current.attempts and not current.unsent:
+        if not current.attempts and not current.uncounted_attempts:
             self._meter.note(current.service, placement.uncached_tokens)
 
-    async def _talk_while_there(
+    async def _send_with_liveness_checks(
         self,
         current: exchange.Exchange,
         placement: placer.Placement,
         connection: connections.RunnerConnection,
         running: loads.Running,
-        bounds: silence.SilenceLimits,
+        limits: silence.SilenceLimits,
     ) -> exchange.AttemptResult:
         """Talk, but give a runner up that is gone if another may take over."""
         if not current.route.may_repeat:
-            return await self._talk(current, placement, connection, running)
+            return await self._send_and_receive(
+                current, placement, connection, running
+            )
         result: exchange.AttemptResult = exchange.Broken("the runner is gone")
         failure: Exception | None = None
         async with trio.open_nursery() as nursery:
@@ -145,7 +147,7 @@
             async def watch() -> None:
                 nonlocal result
                 verdict = await silence.wait_until_gone(
-                    connection, placement, bounds
+                    connection, placement, limits
                 )
                 if verdict is silence.Verdict.SILENT:
                     result = exchange.Silent()
@@ -153,7 +155,7 @@
 
             nursery.start_soon(watch)
             try:
-                result = await self._talk(
+                result = await self._send_and_receive(
                     current, placement, connection, running
                 )
             except (
@@ -168,7 +170,7 @@
             raise failure
         return result
 
-    async def _talk(
+    async def _send_and_receive(
         self,
         current: exchange.Exchange,
         placement: placer.Placement,
@@ -187,18 +189,18 @@
         current.sent_at = trio.current_time()
         current.first_event_s = None
         is_stream = current.route.kind is catalog.CallKind.STREAM
-        with self._count_begin(current, is_counted=not is_stream) as begin:
+        with self._record_usage(current, is_counted=not is_stream) as usage:
             status, headers = await self._send(current, connection, request)
             head = self._codec.decode_answer(status, headers)
-            self._heed(current, placement.runner, head)
+            self._apply_signals(current, placement.runner, head)
             if head.did_not_run:
-                begin.take_back()
+                usage.undo()
                 return exchange.NotRun(status, head.is_wrong_runner)
         problem = _check_head(current.call, head)
         if problem:
             return exchange.Broken(problem)
         if is_stream and status == _OK:
-            result = await self._relay(
+            result = await self._relay_stream(
                 current, placement, head, connection, running
             )
         else:
@@ -206,10 +208,10 @@
             body = await connection.read_body()
             result = exchange.Whole(head, body)
         if isinstance(result, exchange.Delivered | exchange.Whole):
-            self._learn_end(current)
+            self._record_slot_time(current)
         return result
 
-    def _heed(
+    def _apply_signals(
         self,
         current: exchange.Exchange,
         runner: runners.Runner,
@@ -220,24 +222,24 @@
         Whoever else has its address, or answers late in place of another, says
         nothing of this runner.
         """
-        is_own_word = head.is_sealed or head.did_not_run
+        is_from_runner = head.is_sealed or head.did_not_run
         if (
-            is_own_word
+            is_from_runner
             and not head.is_wrong_runner
             and head.call_id in {None, current.call.id}
         ):
-            current.told = head.signals
+            current.reported_signals = head.signals
             self._gate.note_answer(runner, head, current.sent_at)
 
-    def _learn_end(self, current: exchange.Exchange) -> None:
+    def _record_slot_time(self, current: exchange.Exchange) -> None:
         # Before a first event a request may wait for a slot, which would
         # make slots look slower the longer the queue is.
-        begin_s = current.first_event_s or 0.0
-        held_s = trio.current_time() - current.sent_at - begin_s
+        first_event_s = current.first_event_s or 0.0
+        held_s = trio.current_time() - current.sent_at - first_event_s
         self._model.note_end(current.service, held_s)
         tokens = current.call.tokens_out
         if tokens and current.first_event_s is not None:
-            self._streams.note(current.service, begin_s, tokens, held_s)
+            self._streams.note(current.service, first_event_s, tokens, held_s)
 
     def _create_request(
         self, current: exchange.Exchange, placement: placer.Placement
@@ -248,7 +250,7 @@
             budget_s=max(0.0, current.deadline - trio.current_time()),
             team=current.team and current.team.name,
             urgency=_find_urgency(current),
-            resume_after=current.last_event,
+            resume_after=current.last_event_id,
         )
         return connections.RunnerRequest(
             call.method,
@@ -285,19 +287,19 @@
         return head
 
     @contextlib.contextmanager
-    def _count_begin(
+    def _record_usage(
         self, current: exchange.Exchange, *, is_counted: bool
-    ) -> Iterator[begins.Begin]:
+    ) -> Iterator[usage_entry.UsageEntry]:
         """Count a plain call as begun from its sending on.
 
         Its answer may be lost, and the work is done all the same.
         """
-        begin = begins.Begin(self._usage, current.team)
+        usage = usage_entry.UsageEntry(self._usage, current.team)
         if is_counted:
-            begin.note()
-        yield begin
+            usage.count()
+        yield usage
 
-    async def _relay(
+    async def _relay_stream(
         self,
         current: exchange.Exchange,
         placement: placer.Placement,
@@ -307,17 +309,17 @@
     ) -> exchange.AttemptResult:
         """Pass events on as they come, each whole and in its order."""
         splitter = event_stream.EventSplitter()
-        is_begun = False
-        async for piece in connection.iterate_body():
-            events = splitter.feed(piece)
-            if events and not is_begun:
-                is_begun = True
+        has_first_event = False
+        async for chunk in connection.iterate_body():
+            events = splitter.feed(chunk)
+            if events and not has_first_event:
+                has_first_event = True
                 connection.has_begun = True
                 running.note_first_event()
                 took_s = trio.current_time() - current.sent_at
-                self._learn_first_event(current, placement, took_s)
-                begins.Begin(self._usage, current.team).note()
-            problem = await self._pass_on(current, head, events)
+                self._record_first_event(current, placement, took_s)
+                usage_entry.UsageEntry(self._usage, current.team).count()
+            problem = await self._relay_events(current, head, events)
             if problem:
                 return exchange.Broken(problem)
         if splitter.rest:
@@ -327,7 +329,7 @@
         await current.writer.finish()
         return exchange.Delivered()
 
-    def _learn_first_event(
+    def _record_first_event(
         self,
         current: exchange.Exchange,
         placement: placer.Placement,
@@ -336,41 +338,41 @@
         current.first_event_s = took_s
         # A wait for a slot says nothing of reading, and a stream that goes on
         # elsewhere reads what it has already sent as well.
-        if placement.has_free_slot and current.events == 0:
-            own = placement.uncached_tokens
+        if placement.has_free_slot and current.events_delivered == 0:
+            uncached_tokens = placement.uncached_tokens
             result = model.FirstEvent(
-                own,
-                own + placement.unread_tokens,
+                uncached_tokens,
+                uncached_tokens + placement.unread_tokens,
                 took_s,
                 _find_urgency(current),
             )
             self._model.note_first_event(current.service, result)
 
-    async def _pass_on(
+    async def _relay_events(
         self,
         current: exchange.Exchange,
         head: calls.AnswerHead,
         events: list[event_stream.Event],
     ) -> str:
         """Pass on the next events; return what is wrong, or nothing."""
-        wanted = []
+        new_events = []
         for event in events:
-            last = current.last_event
+            last = current.last_event_id
             if event.id is not None and last is not None:
                 if event.id <= last:
                     continue
                 if event.id > last + 1:
                     return f"event {event.id} came after event {last}"
             if event.id is not None:
-                current.last_event = event.id
-            wanted.append(event.raw)
-        if not wanted:
+                current.last_event_id = event.id
+            new_events.append(event.raw)
+        if not new_events:
             return ""
         current.stage = departure.Stage.STREAMING
         if not current.writer.has_started:
             await current.writer.start(head.status, head.headers, None)
-        current.events += len(wanted)
-        await current.writer.write(b"".join(wanted))
+        current.events_delivered += len(new_events)
+        await current.writer.write(b"".join(new_events))
         return ""
 
 
@@ -380,7 +382,7 @@
         return f"an answer to request {head.call_id}"
     if head.status < 300 and not head.is_sealed:
         return "an answer that no runner vouches for"
-    if head.status in _PROMISES:
+    if head.status in _NOT_RUN_STATUSES:
         return f"status {head.status} without word that it did not run"
     return ""
 
--- a/packages/daemon/src/martenquay_daemon/forwarding/content_guard.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/content_guard.py
@@ -1,4 +1,4 @@
-"""Keep requests from runners if their content has crashed others."""
+"""Keep requests from runners if their digest has crashed others."""
 
 from __future__ import annotations
 
@@ -34,9 +34,9 @@
         """Return for how long the request is kept out; None if it is not."""
         if self._quarantine.is_empty:
             return None
-        content = _name_content(current)
-        current.strikes_seen = self._quarantine.find_latest(content)
-        return self._quarantine.find_hold(content)
+        digest = _find_digest(current)
+        current.latest_crash_seen = self._quarantine.find_latest(digest)
+        return self._quarantine.find_hold(digest)
 
     async def note_result(
         self,
@@ -48,8 +48,8 @@
         current.has_runner_ended = False
         match result:
             case exchange.Delivered() | exchange.Whole():
-                if current.strikes_seen:
-                    self._quarantine.note_answer(_name_content(current))
+                if current.latest_crash_seen:
+                    self._quarantine.note_answer(_find_digest(current))
             case exchange.Broken():
                 await self._note_broken(current, runner)
 
@@ -57,21 +57,23 @@
         self, current: exchange.Exchange, runner: runners.Runner
     ) -> None:
         # Named here, so that each line of a broken attempt has it.
-        content = _name_content(current)
+        digest = _find_digest(current)
         current.has_runner_ended = await self._has_ended(runner.address)
         # One that said that it leaves has ended as it was to.
-        known = self._directory.find(runner.id)
-        if not current.has_runner_ended or known is None:
+        entry = self._directory.find(runner.id)
+        if not current.has_runner_ended or entry is None:
             return
-        if self._directory.is_leaving(known):
+        if self._directory.is_leaving(entry):
             return
         crash = records.Crash(current.service, current.route.name)
         self._quarantine.note_crash(
-            content, current.strikes_seen, runner.id, crash
+            digest, current.latest_crash_seen, runner.id, crash
         )
 
 
-def _name_content(current: exchange.Exchange) -> str:
-    if not current.content:
-        current.content = contents.digest_content(current.call, current.team)
-    return current.content
+def _find_digest(current: exchange.Exchange) -> str:
+    if not current.content_digest:
+        current.content_digest = contents.digest_content(
+            current.call, current.team
+        )
+    return current.content_digest
--- a/packages/daemon/src/martenquay_daemon/forwarding/exchange.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/exchange.py
@@ -47,22 +47,22 @@
         stage: How far the present attempt has come.
         attempts: Runners that have been sent it.
         may_have_run: Some runner may have begun to work on it.
-        last_event: The last event delivered, or that the caller had before.
-        events: Events delivered.
-        unsent: Runners that could not be reached or were not ours.
+        last_event_id: The last event delivered, or that the caller had before.
+        events_delivered: Events delivered.
+        uncounted_attempts: Runners that could not be reached or were not ours.
         misdirected: Runners that were sent it and are not those meant.
-        fallback: A failed answer to give if no other comes.
-        tried: Runners not to try again.
+        fallback_answer: A failed answer to give if no other comes.
+        excluded_runners: Runners not to try again.
         sent_at: When it was last sent to a runner, in trio's time.
         first_event_s: From then to its first event; None before that.
         entries_age_ms: How old the runners' entries were that the present
             attempt's runner was chosen from.
-        tried_s: How long its caller has likely been trying before.
-        granted: On what units of its team's the request was let in.
-        content: Its content's digest; empty until it is needed.
-        strikes_seen: The latest strike known of its content when it was sent.
+        caller_elapsed_s: How long its caller has likely been trying before.
+        admission: On what units of its team's the request was let in.
+        content_digest: Its content's digest; empty until it is needed.
+        latest_crash_seen: The latest strike known of its content when it was sent.
         has_runner_ended: The runner of the present attempt ended under it.
-        told: What the runner of the present attempt said of itself.
+        reported_signals: What the runner of the present attempt said of itself.
     """
 
     call: calls.Call
@@ -75,21 +75,21 @@
     stage: departure.Stage = departure.Stage.QUEUED
     attempts: int = 0
     may_have_run: bool = False
-    last_event: int | None = None
-    events: int = 0
-    unsent: int = 0
+    last_event_id: int | None = None
+    events_delivered: int = 0
+    uncounted_attempts: int = 0
     misdirected: int = 0
-    fallback: Whole | None = None
-    tried: set[str] = dataclasses.field(default_factory=set)
+    fallback_answer: Whole | None = None
+    excluded_runners: set[str] = dataclasses.field(default_factory=set)
     sent_at: float = 0.0
     first_event_s: float | None = None
     entries_age_ms: int | None = None
-    tried_s: float = 0.0
-    granted: terms.AdmissionDecision = terms.AdmissionDecision(0.0)
-    content: str = ""
-    strikes_seen: int = 0
+    caller_elapsed_s: float = 0.0
+    admission: terms.AdmissionDecision = terms.AdmissionDecision(0.0)
+    content_digest: str = ""
+    latest_crash_seen: int = 0
     has_runner_ended: bool = False
-    told: signals.RunnerSignals = signals.NO_SIGNALS
+    reported_signals: signals.RunnerSignals = signals.NO_SIGNALS
 
     @property
     def units(self) -> float:
--- a/packages/daemon/src/martenquay_daemon/forwarding/forwarder.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/forwarder.py
@@ -15,7 +15,7 @@
     departure,
     exchange,
     own_answers,
-    request_lines,
+    request_log,
     retry_detector,
     stop_window,
 )
@@ -45,17 +45,17 @@
 
 _LOG = logs.create_log("forwarding")
 _Code = results.ResultCode
-_STARTING_RETRY_S = 0.5
+_STARTING_RETRY_AFTER_S = 0.5
 # Long waits were expected up to so many times longer than they came (p95 of the
 # worst 4 s: 1.7 s expected, 1.2 s real).
-_ESTIMATE_OFF = 1.5
+_MAX_OVERESTIMATE_FACTOR = 1.5
 # Parts of allowances are lent, and lent anew, within this time; and then there
 # has to be time for the answer.
-_PATIENCE_S = 1.5
-_PATIENT_PART = 0.4
+_MAX_QUOTA_WAIT_S = 1.5
+_MAX_QUOTA_WAIT_FRACTION = 0.4
 # Connections that do not come up are no attempts, but end somewhere.
-_MAX_UNSENT = 4
-_SERVER_ERROR = 500
+_MAX_UNCOUNTED_ATTEMPTS = 4
+_MIN_SERVER_ERROR_STATUS = 500
 
 
 @dataclasses.dataclass(frozen=True)
@@ -104,8 +104,8 @@
 
     def __init__(self, parts: ForwarderParts) -> None:
         self._parts = parts
-        self._first_tries = retry_detector.RetryDetector()
-        self._lines = request_lines.RequestLines(parts.store, parts.metrics)
+        self._retry_detector = retry_detector.RetryDetector()
+        self._request_log = request_log.RequestLog(parts.store, parts.metrics)
 
     async def handle(
         self,
@@ -118,9 +118,9 @@
         admitted = await self._admit(call, received_at, writer)
         match admitted:
             case answers.OwnAnswer():
-                await self._answer(call, writer, admitted)
+                await self._send_own_answer(call, writer, admitted)
             case exchange.Exchange():
-                await self._forward_while_wanted(admitted)
+                await self._forward_until_disconnect(admitted)
 
     async def _admit(
         self,
@@ -134,7 +134,7 @@
             return answers.create_own_answer(
                 _Code.NOT_RUN_STARTING,
                 "no configuration is known yet",
-                retry_after_s=_STARTING_RETRY_S,
+                retry_after_s=_STARTING_RETRY_AFTER_S,
             )
         route = table.find_route(call)
         if route is None:
@@ -153,20 +153,22 @@
             received_at=received_at,
             deadline=received_at + budget_s,
             writer=writer,
-            last_event=call.resume_after,
-            tried_s=self._first_tries.find_elapsed(route.name, call.budget_s),
+            last_event_id=call.resume_after,
+            caller_elapsed_s=self._retry_detector.find_elapsed(
+                route.name, call.budget_s
+            ),
         )
         # What is sent to nobody must not cost its team units.
-        left_s = self._parts.guard.find_hold(current)
-        if left_s is not None:
-            return own_answers.describe_quarantine(left_s)
+        hold_s = self._parts.guard.find_hold(current)
+        if hold_s is not None:
+            return own_answers.describe_quarantine(hold_s)
         return (
-            self._refuse_overrun(current)
-            or await self._refuse_excess(current)
+            self._refuse_if_stop_interrupts(current)
+            or await self._refuse_if_over_quota(current)
             or current
         )
 
-    def _refuse_overrun(
+    def _refuse_if_stop_interrupts(
         self, current: exchange.Exchange
     ) -> answers.OwnAnswer | None:
         request = stop_window.LastRequest(
@@ -189,33 +191,33 @@
         chosen = self._parts.rng.choices(route.destinations, weights)
         return chosen[0].service
 
-    async def _refuse_excess(
+    async def _refuse_if_over_quota(
         self, current: exchange.Exchange
     ) -> answers.OwnAnswer | None:
         team = current.team
         if team is None:
             return None
-        wish = terms.AdmissionRequest(
+        admission_request = terms.AdmissionRequest(
             current.units,
-            self._find_reserve(current),
-            current.tried_s > current.route.target_s > 0,
-            _find_patience(current),
+            self._find_priority_reserve(current),
+            current.caller_elapsed_s > current.route.target_s > 0,
+            _find_max_quota_wait(current),
         )
-        answer = await self._parts.allowances.acquire(team, wish)
-        if answer.is_admitted:
-            current.granted = answer
+        decision = await self._parts.allowances.acquire(team, admission_request)
+        if decision.is_admitted:
+            current.admission = decision
             return None
-        units = answer.units
+        quota = decision.units
         _LOG.write(
             f"Team {team.name} has no room for {current.units:.0f} units.",
             request=current.call.id,
             team=team.name,
-            kept_at=answer.kept_at,
-            there=round(units.there),
-            owed=round(units.owed),
-            part=round(units.part, 3),
-            asked=round(units.asked),
-            tried_ms=round(current.tried_s * 1000),
+            kept_at=decision.kept_at,
+            there=round(quota.there),
+            owed=round(quota.owed),
+            part=round(quota.part, 3),
+            asked=round(quota.asked),
+            tried_ms=round(current.caller_elapsed_s * 1000),
             units=current.units,
             rate=team.rate,
             burst=team.burst,
@@ -223,10 +225,10 @@
         return answers.create_own_answer(
             _Code.NOT_RUN_OVERLOADED,
             f"team {team.name} is over its allowance",
-            retry_after_s=answer.retry_s,
+            retry_after_s=decision.retry_s,
         )
 
-    def _find_reserve(self, current: exchange.Exchange) -> int:
+    def _find_priority_reserve(self, current: exchange.Exchange) -> int:
         """Return how many steps of urgency the request leaves room for.
 
         Calls of plain services cost next to nothing of an allowance that
@@ -238,71 +240,75 @@
             return 0
         return 1 + min(current.route.urgency, 1)
 
-    async def _forward_while_wanted(self, current: exchange.Exchange) -> None:
+    async def _forward_until_disconnect(
+        self, current: exchange.Exchange
+    ) -> None:
         """Forward until the answer is given or its caller has left."""
         try:
             await self._forward(current)
         except exchange.CallerLeftError:
-            self._lines.note_departure(current)
+            self._request_log.log_disconnect(current)
         except (trio.BrokenResourceError, trio.Cancelled):
             # A stop of the daemon cancels too.
             if current.writer.has_left:
-                self._lines.note_departure(current)
+                self._request_log.log_disconnect(current)
             raise
 
     async def _forward(self, current: exchange.Exchange) -> None:
         final = await self._try_runners(current)
         match final:
             case None:
-                self._lines.note_end(current, "delivered", 0)
+                self._request_log.log_end(current, "delivered", 0)
             case exchange.Whole(head=head, body=body):
                 await current.writer.start(head.status, head.headers, len(body))
                 await current.writer.write(body)
                 await current.writer.finish()
-                self._lines.note_end(current, "answered", head.status)
+                self._request_log.log_end(current, "answered", head.status)
             case answers.OwnAnswer() if current.writer.has_started:
                 current.writer.abort()
-                self._lines.note_end(current, f"cut off: {final.message}", 0)
+                self._request_log.log_end(
+                    current, f"cut off: {final.message}", 0
+                )
             case answers.OwnAnswer():
-                await self._answer(current.call, current.writer, final)
+                await self._send_own_answer(current.call, current.writer, final)
 
     async def _try_runners(
         self, current: exchange.Exchange
     ) -> exchange.Whole | answers.OwnAnswer | None:
         """Try runners until one answers; None when a stream is delivered."""
         parts = self._parts
-        parts.retries.note_request(current.service)
+        parts.retries.count_request(current.service)
         while True:
-            placement = await self._choose(current)
+            placement = await self._find_next_placement(current)
             if not isinstance(placement, placer.Placement):
                 return placement
             had_run = current.may_have_run
             result = await parts.attempts.make(
                 current,
                 placement,
-                lambda: parts.retries.has_room(current.service),
+                lambda: parts.retries.has_retry_left(current.service),
             )
             await parts.guard.note_result(current, placement.runner, result)
             parts.trials.note_result(current, placement.runner, result)
             if isinstance(result, exchange.Delivered | exchange.Whole):
                 parts.ejector.note_success(placement.runner.id)
-            self._lines.note_attempt(current, placement, result)
+            self._request_log.log_attempt(current, placement, result)
             match result:
                 case exchange.Delivered():
                     return None
                 case exchange.Whole(head=head):
-                    if not self._is_worth_repeating(current, head.status):
+                    if not self._is_retriable(current, head.status):
                         return result
-                    current.fallback = result
+                    current.fallback_answer = result
                 case exchange.NotSent():
-                    current.unsent += 1
+                    current.uncounted_attempts += 1
                 case exchange.NotRun():
                     current.may_have_run = had_run
                 case exchange.TimedOut():
                     return own_answers.describe_timeout(current)
-            self._learn(current, placement.runner.id, result)
+            self._note_failed_attempt(current, placement.runner.id, result)
 
-    async def _choose(
+    async def _find_next_placement(
         self, current: exchange.Exchange
     ) -> placer.Placement | exchange.Whole | answers.OwnAnswer:
         """Return the next runner, or the answer if there is to be none."""
@@ -310,29 +316,39 @@
         current.stage = departure.Stage.QUEUED
         current.check_caller()
         if trio.current_time() >= current.deadline:
-            return current.fallback or own_answers.describe_timeout(current)
+            return current.fallback_answer or own_answers.describe_timeout(
+                current
+            )
         is_repeat = current.attempts > 0 or current.misdirected > 0
-        if is_repeat and not self._may_try_again(current):
-            return current.fallback or own_answers.describe_failure(current)
+        if is_repeat and not self._try_spend_retry(current):
+            return current.fallback_answer or own_answers.describe_failure(
+                current
+            )
         # Else a runner that has said that it leaves may get work for as
         # long as the news of it are under way: 3.1 s with 2 to 3 allowed.
         await parts.entries.refresh()
-        left_s = parts.guard.find_hold(current)
-        if left_s is not None and not current.attempts:
-            return own_answers.describe_quarantine(left_s)
+        hold_s = parts.guard.find_hold(current)
+        if hold_s is not None and not current.attempts:
+            return own_answers.describe_quarantine(hold_s)
         # Units and entries were waited for; a stop may have begun meanwhile.
-        refusal = None if current.attempts else self._refuse_overrun(current)
+        refusal = (
+            None
+            if current.attempts
+            else self._refuse_if_stop_interrupts(current)
+        )
         if refusal is not None:
             return refusal
-        placement = self._place(current) if left_s is None else None
+        placement = self._choose_runner(current) if hold_s is None else None
         if placement is None:
-            return current.fallback or self._describe_none(current)
-        late_s = _find_lateness(current, placement)
-        if late_s > 0:
-            return own_answers.describe_overload(current, late_s)
+            return current.fallback_answer or self._describe_no_runner(current)
+        lateness_s = _find_lateness(current, placement)
+        if lateness_s > 0:
+            return own_answers.describe_overload(current, lateness_s)
         return placement
 
-    def _describe_none(self, current: exchange.Exchange) -> answers.OwnAnswer:
+    def _describe_no_runner(
+        self, current: exchange.Exchange
+    ) -> answers.OwnAnswer:
         """Return the answer if there is no runner to send to."""
         parts = self._parts
         usable = parts.directory.list_usable(current.service)
@@ -352,8 +368,10 @@
             return own_answers.describe_failure(current)
         return own_answers.describe_backpressure(current, retry_s)
 
-    def _place(self, current: exchange.Exchange) -> placer.Placement | None:
-        if current.unsent > _MAX_UNSENT:
+    def _choose_runner(
+        self, current: exchange.Exchange
+    ) -> placer.Placement | None:
+        if current.uncounted_attempts > _MAX_UNCOUNTED_ATTEMPTS:
             return None
         parts = self._parts
         services = parts.store.table.catalog.services
@@ -362,24 +380,24 @@
             services.get(current.service),
             current.service,
             current.call,
-            current.tried,
+            current.excluded_runners,
             current.route.target_s,
         )
 
-    def _learn(
+    def _note_failed_attempt(
         self,
         current: exchange.Exchange,
         runner_id: str,
         result: exchange.AttemptResult,
     ) -> None:
         """Take what an attempt without an answer says of its runner."""
-        current.tried.add(runner_id)
+        current.excluded_runners.add(runner_id)
         match result:
             case exchange.NotRun(is_wrong_runner=True):
                 # That was not the runner meant, so it is no attempt; but some
                 # runner got it, which the bound on retries counts.
                 current.misdirected += 1
-                current.unsent += 1
+                current.uncounted_attempts += 1
                 current.attempts -= 1
                 self._parts.directory.note_gone(runner_id)
             case exchange.NotSent():
@@ -387,25 +405,23 @@
             case exchange.Broken():
                 self._parts.ejector.note_failure(runner_id)
 
-    def _may_try_again(self, current: exchange.Exchange) -> bool:
+    def _try_spend_retry(self, current: exchange.Exchange) -> bool:
         """Tell whether the request may go to one more runner."""
         route = current.route
         if current.attempts >= route.max_attempts:
             return False
         if current.may_have_run and not route.may_repeat:
             return False
-        return self._parts.retries.take(current.service)
+        return self._parts.retries.try_spend(current.service)
 
-    def _is_worth_repeating(
-        self, current: exchange.Exchange, status: int
-    ) -> bool:
+    def _is_retriable(self, current: exchange.Exchange, status: int) -> bool:
         return (
-            status >= _SERVER_ERROR
+            status >= _MIN_SERVER_ERROR_STATUS
             and current.route.may_repeat
             and current.attempts < current.route.max_attempts
         )
 
-    async def _answer(
+    async def _send_own_answer(
         self,
         call: calls.Call,
         writer: answers.AnswerWriter,
@@ -424,10 +440,10 @@
         )
 
 
-def _find_patience(current: exchange.Exchange) -> float:
+def _find_max_quota_wait(current: exchange.Exchange) -> float:
     """Return how long to wait where nothing is known of a team's units."""
-    left_s = current.deadline - trio.current_time()
-    return min(_PATIENCE_S, _PATIENT_PART * left_s)
+    remaining_s = current.deadline - trio.current_time()
+    return min(_MAX_QUOTA_WAIT_S, _MAX_QUOTA_WAIT_FRACTION * remaining_s)
 
 
 def _find_lateness(
@@ -440,5 +456,7 @@
     """
     if current.attempts or not placement.is_learnt:
         return 0.0
-    left_s = current.deadline - trio.current_time()
-    return max(0.0, placement.expected_s / _ESTIMATE_OFF - left_s)
+    remaining_s = current.deadline - trio.current_time()
+    return max(
+        0.0, placement.expected_s / _MAX_OVERESTIMATE_FACTOR - remaining_s
+    )
--- a/packages/daemon/src/martenquay_daemon/forwarding/metrics.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/metrics.py
@@ -16,9 +16,9 @@
 
 __all__ = ["ForwardingMetrics", "create_metrics"]
 
-_ASKED_BUCKETS_S = [0.002, 0.005, 0.01, 0.02, 0.04, 0.08, 0.15, 0.2]
+_QUOTA_REQUEST_BUCKETS_S = [0.002, 0.005, 0.01, 0.02, 0.04, 0.08, 0.15, 0.2]
 _AGE_BUCKETS_S = [0.1, 0.25, 0.5, 1.0, 1.5, 2.0, 2.5, 3.0, 4.0, 8.0]
-_BUCKETS_S = [0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.2, 2.0, 4.0, 8.0, 16.0]
+_LATENCY_BUCKETS_S = [0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.2, 2.0, 4.0, 8.0, 16.0]
 
 
 class ForwardingMetrics:
@@ -39,20 +39,20 @@
         self._answer_s = aioprometheus.Histogram(
             "martenquay_answer_seconds",
             "From a request's first byte to its answer's end, by service.",
-            buckets=_BUCKETS_S,
+            buckets=_LATENCY_BUCKETS_S,
             registry=registry,
         )
 
         self._first_event_s = aioprometheus.Histogram(
             "martenquay_first_event_seconds",
             "From the sending of a stream's request to its first event.",
-            buckets=_BUCKETS_S,
+            buckets=_LATENCY_BUCKETS_S,
             registry=registry,
         )
-        self._estimate_off_s = aioprometheus.Histogram(
+        self._estimate_error_s = aioprometheus.Histogram(
             "martenquay_first_event_later_than_expected_seconds",
             "By how much first events came later than the estimate; 0 if not.",
-            buckets=_BUCKETS_S,
+            buckets=_LATENCY_BUCKETS_S,
             registry=registry,
         )
 
@@ -69,7 +69,7 @@
             registry=registry,
         )
 
-        self._strikes = aioprometheus.Counter(
+        self._crashes = aioprometheus.Counter(
             "martenquay_strikes_total",
             "Requests under which a runner ended without leaving.",
             registry=registry,
@@ -81,16 +81,16 @@
             registry=registry,
         )
 
-        self._units_asked_s = aioprometheus.Histogram(
+        self._quota_request_s = aioprometheus.Histogram(
             "martenquay_units_asked_seconds",
             "What it took to ask another daemon for units, by outcome.",
-            buckets=_ASKED_BUCKETS_S,
+            buckets=_QUOTA_REQUEST_BUCKETS_S,
             registry=registry,
         )
 
     def note_units_asked(self, outcome: str, took_s: float) -> None:
         """Note what became of a question for units and how long it took."""
-        self._units_asked_s.observe({"outcome": outcome}, took_s)
+        self._quota_request_s.observe({"outcome": outcome}, took_s)
 
     def count_unusable_record(self, topic: str) -> None:
         """Count a record of the log that says nothing usable."""
@@ -98,7 +98,7 @@
 
     def count_strike(self) -> None:
         """Count a request under which a runner ended."""
-        self._strikes.inc({})
+        self._crashes.inc({})
 
     def count_runner_signal(self, signal: str, source: str) -> None:
         """Count a change of what a runner says of itself."""
@@ -122,7 +122,7 @@
         """Note a stream's first event and what was expected of it."""
         labels = {"service": service}
         self._first_event_s.observe(labels, took_s)
-        self._estimate_off_s.observe(labels, max(0.0, took_s - expected_s))
+        self._estimate_error_s.observe(labels, max(0.0, took_s - expected_s))
 
     def note_copy_age(self, step: copy_age.Step, age_s: float) -> None:
         """Note how old the runners' entries were at a step."""
--- a/packages/daemon/src/martenquay_daemon/forwarding/own_answers.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/own_answers.py
@@ -23,15 +23,15 @@
 # When to come back: by then another runner may be known, the configuration
 # read, a slot free. Callers wait a third of their time at most, and plain
 # calls have 0.6 s.
-_NO_RUNNER_RETRY_S = 0.3
-_FULL_RETRY_S = 0.25
+_NO_RUNNER_RETRY_AFTER_S = 0.3
+_OVERLOADED_RETRY_AFTER_S = 0.25
 # Nobody is told to come back within a round trip.
-_LEAST_RETRY_S = 0.05
+_MIN_RETRY_AFTER_S = 0.05
 # A new connection goes to another daemon, or comes to this one again while the
 # balancer still counts it in.
-_STOPPING_RETRY_S = 0.0
-_GATEWAY_TIMEOUT = 504
-_UNAVAILABLE = 503
+_STOPPING_RETRY_AFTER_S = 0.0
+_GATEWAY_TIMEOUT_STATUS = 504
+_UNAVAILABLE_STATUS = 503
 
 
 def describe_failure(
@@ -46,13 +46,13 @@
         return answers.create_own_answer(
             _Code.NOT_RUN_OVERLOADED,
             "the runners are full",
-            status=_UNAVAILABLE,
-            retry_after_s=_FULL_RETRY_S,
+            status=_UNAVAILABLE_STATUS,
+            retry_after_s=_OVERLOADED_RETRY_AFTER_S,
         )
     return answers.create_own_answer(
         _Code.NOT_RUN_NO_RUNNER,
         f"no runner of {current.service} could be reached",
-        retry_after_s=_NO_RUNNER_RETRY_S,
+        retry_after_s=_NO_RUNNER_RETRY_AFTER_S,
     )
 
 
@@ -68,42 +68,42 @@
     return answers.create_own_answer(
         _Code.NOT_RUN_OVERLOADED,
         f"the runners of {current.service} take no request now",
-        status=_UNAVAILABLE,
-        retry_after_s=max(_LEAST_RETRY_S, retry_s),
+        status=_UNAVAILABLE_STATUS,
+        retry_after_s=max(_MIN_RETRY_AFTER_S, retry_s),
     )
 
 
 def describe_overload(
-    current: exchange.Exchange, late_s: float
+    current: exchange.Exchange, lateness_s: float
 ) -> answers.OwnAnswer:
     """Return the answer if no runner can begin before the time is over.
 
     Args:
         current: The request, sent to nobody.
-        late_s: By how much the soonest would be too late; the queues have
+        lateness_s: By how much the soonest would be too late; the queues have
             drained by that much then.
     """
     return answers.create_own_answer(
         _Code.NOT_RUN_OVERLOADED,
         f"the runners of {current.service} would answer too late",
-        status=_UNAVAILABLE,
-        retry_after_s=max(_FULL_RETRY_S, late_s),
+        status=_UNAVAILABLE_STATUS,
+        retry_after_s=max(_OVERLOADED_RETRY_AFTER_S, lateness_s),
     )
 
 
-def describe_quarantine(left_s: float) -> answers.OwnAnswer:
+def describe_quarantine(hold_s: float) -> answers.OwnAnswer:
     """Return the answer to a request that crashes its runners.
 
     The configuration allows the request, so it is not told to be a bad one;
     nor does it help to come back before the quarantine is over.
 
     Args:
-        left_s: Until it may be tried again.
+        hold_s: Until it may be tried again.
     """
     return answers.create_own_answer(
         _Code.NOT_RUN_QUARANTINED,
         "runners ended under this request again and again",
-        retry_after_s=left_s,
+        retry_after_s=hold_s,
     )
 
 
@@ -116,7 +116,7 @@
     return answers.create_own_answer(
         _Code.NOT_RUN_STOPPING,
         f"this daemon stops up to {overrun_s:.1f} s before the answer's end",
-        retry_after_s=_STOPPING_RETRY_S,
+        retry_after_s=_STOPPING_RETRY_AFTER_S,
     )
 
 
@@ -128,11 +128,11 @@
         return answers.create_own_answer(
             _Code.UNKNOWN_ANSWER_LOST,
             "the time was over before the answer came",
-            status=_GATEWAY_TIMEOUT,
+            status=_GATEWAY_TIMEOUT_STATUS,
         )
     return answers.create_own_answer(
         _Code.NOT_RUN_DEADLINE,
         "the time was over before a runner took it",
-        status=_UNAVAILABLE,
-        retry_after_s=_NO_RUNNER_RETRY_S,
+        status=_UNAVAILABLE_STATUS,
+        retry_after_s=_NO_RUNNER_RETRY_AFTER_S,
     )
--- a/packages/daemon/src/martenquay_daemon/forwarding/request_lines.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/request_log.py
@@ -14,12 +14,12 @@
     from martenquay_daemon.engines import placer
     from martenquay_daemon.forwarding import metrics
 
-__all__ = ["RequestLines"]
+__all__ = ["RequestLog"]
 
 _LOG = logs.create_log("forwarding")
 
 
-class RequestLines:
+class RequestLog:
     """The lines and counts of one daemon's requests."""
 
     def __init__(
@@ -30,7 +30,7 @@
         self._store = store
         self._metrics = counts
 
-    def note_attempt(
+    def log_attempt(
         self,
         current: exchange.Exchange,
         placement: placer.Placement,
@@ -56,17 +56,17 @@
             unread=placement.unread_tokens,
             has_free_slot=placement.has_free_slot,
             entries_age_ms=current.entries_age_ms,
-            events=current.events,
+            events=current.events_delivered,
             detail=getattr(result, "reason", None)
             or getattr(result, "status", None),
-            content=current.content or None,
+            content=current.content_digest or None,
             has_runner_ended=current.has_runner_ended,
-            runner_limit_per_s=current.told.limit_per_s,
-            runner_leaves=current.told.is_leaving or None,
-            runner_rest_s=current.told.rest_s,
+            runner_limit_per_s=current.reported_signals.limit_per_s,
+            runner_leaves=current.reported_signals.is_leaving or None,
+            runner_rest_s=current.reported_signals.rest_s,
         )
 
-    def note_departure(self, current: exchange.Exchange) -> None:
+    def log_disconnect(self, current: exchange.Exchange) -> None:
         """Note that the caller has left."""
         departure.log_departure(
             current.call.id,
@@ -75,10 +75,10 @@
             route=current.route.name,
             team=current.team and current.team.name,
             attempts=current.attempts,
-            events=current.events,
+            events=current.events_delivered,
         )
 
-    def note_end(
+    def log_end(
         self, current: exchange.Exchange, outcome: str, status: int
     ) -> None:
         """Note how the request ended."""
@@ -91,11 +91,11 @@
             team=current.team and current.team.name,
             status=status,
             units=current.units,
-            kept_at=current.granted.kept_at,
-            there=round(current.granted.units.there),
-            owed=round(current.granted.units.owed),
+            kept_at=current.admission.kept_at,
+            there=round(current.admission.units.there),
+            owed=round(current.admission.units.owed),
             attempts=current.attempts,
-            events=current.events,
+            events=current.events_delivered,
             elapsed_ms=round(elapsed_s * 1000, 1),
             version=self._store.version,
         )
--- a/packages/daemon/src/martenquay_daemon/forwarding/retry_detector.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/retry_detector.py
@@ -8,7 +8,7 @@
 
 # The longest time of a route's callers is learnt anew after so long, for
 # operators may shorten it.
-_MEMORY_S = 60.0
+_RELEARN_AFTER_S = 60.0
 
 
 class RetryDetector:
@@ -19,21 +19,21 @@
     """
 
     def __init__(self) -> None:
-        self._longest: dict[str, tuple[float, float]] = {}
+        self._max_budgets: dict[str, tuple[float, float]] = {}
 
-    def find_elapsed(self, route: str, left_s: float | None) -> float:
+    def find_elapsed(self, route: str, remaining_s: float | None) -> float:
         """Return for how long a caller has likely been trying, in seconds.
 
         Args:
             route: The request's route.
-            left_s: The time that the caller says it will wait; None if it
+            remaining_s: The time that the caller says it will wait; None if it
                 does not say.
         """
-        if left_s is None:
+        if remaining_s is None:
             return 0.0
         now = trio.current_time()
-        longest_s, noted_at = self._longest.get(route, (0.0, now))
-        if left_s >= longest_s or now - noted_at > _MEMORY_S:
-            longest_s = left_s
-            self._longest[route] = (left_s, now)
-        return max(0.0, longest_s - left_s)
+        max_budget_s, noted_at = self._max_budgets.get(route, (0.0, now))
+        if remaining_s >= max_budget_s or now - noted_at > _RELEARN_AFTER_S:
+            max_budget_s = remaining_s
+            self._max_budgets[route] = (remaining_s, now)
+        return max(0.0, max_budget_s - remaining_s)
--- a/packages/daemon/src/martenquay_daemon/forwarding/retry_window.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/retry_window.py
@@ -15,7 +15,7 @@
 
 # Kept free for what this daemon cannot see: requests that arrived late, and
 # daemons that start anew and forget what they have spent.
-_SAFETY = 0.6
+_USABLE_FRACTION = 0.6
 
 
 @dataclasses.dataclass(frozen=True)
@@ -36,11 +36,11 @@
 @dataclasses.dataclass
 class _Counts:
     requests: collections.deque[float]
-    repeats: collections.deque[float]
+    retries: collections.deque[float]
 
 
 class RetryWindow:
-    """Count requests and repeats by service in a sliding window.
+    """Count requests and retries by service in a sliding window.
 
     Attributes:
         bounds: How much may be sent again; may be replaced.
@@ -53,32 +53,34 @@
         self._count_daemons = count_daemons
         self._services: dict[str, _Counts] = {}
 
-    def note_request(self, service: str) -> None:
+    def count_request(self, service: str) -> None:
         """Note the first time that a request is sent."""
-        self._find(service).requests.append(trio.current_time())
+        self._find_counts(service).requests.append(trio.current_time())
 
-    def has_room(self, service: str) -> bool:
+    def has_retry_left(self, service: str) -> bool:
         """Tell whether the budget has a repeat, without spending it."""
-        counts = self._find(service)
+        counts = self._find_counts(service)
         bounds = self.bounds
         share = bounds.slack / max(1, self._count_daemons())
-        allowed = _SAFETY * (bounds.ratio * len(counts.requests) + share)
-        return len(counts.repeats) + 1 <= allowed
+        allowed = _USABLE_FRACTION * (
+            bounds.ratio * len(counts.requests) + share
+        )
+        return len(counts.retries) + 1 <= allowed
 
-    def take(self, service: str) -> bool:
+    def try_spend(self, service: str) -> bool:
         """Spend one repeat if the budget has one."""
-        if not self.has_room(service):
+        if not self.has_retry_left(service):
             return False
-        self._find(service).repeats.append(trio.current_time())
+        self._find_counts(service).retries.append(trio.current_time())
         return True
 
-    def _find(self, service: str) -> _Counts:
+    def _find_counts(self, service: str) -> _Counts:
         counts = self._services.get(service)
         if counts is None:
             counts = _Counts(collections.deque(), collections.deque())
             self._services[service] = counts
         oldest = trio.current_time() - self.bounds.window_s
-        for times in (counts.requests, counts.repeats):
+        for times in (counts.requests, counts.retries):
             while times and times[0] < oldest:
                 times.popleft()
         return counts
--- a/packages/daemon/src/martenquay_daemon/forwarding/silence.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/silence.py
@@ -53,7 +53,7 @@
         next_s: After that, and after each time that it was there.
         longest_s: However live it is, before a stream has begun.
         longest_pause_s: The same between a stream's events.
-        may_move: Asked when the last two are over: whether another runner
+        may_retry: Asked when the last two are over: whether another runner
             may take the request now. If not, silence is no reason to end it.
     """
 
@@ -61,7 +61,7 @@
     next_s: float
     longest_s: float = math.inf
     longest_pause_s: float = math.inf
-    may_move: Callable[[], bool] = _move_never
+    may_retry: Callable[[], bool] = _move_never
 
 
 async def wait_until_gone(
@@ -74,7 +74,7 @@
     while True:
         now = trio.current_time()
         end = connection.heard_at + _find_longest(connection, patience)
-        if now >= end and patience.may_move():
+        if now >= end and patience.may_retry():
             _note(placement, connection, "is silent for too long")
             return Verdict.SILENT
         quiet_s = (
--- a/packages/daemon/src/martenquay_daemon/forwarding/trial_notes.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/trial_notes.py
@@ -14,7 +14,7 @@
 
 __all__ = ["TrialNotes"]
 
-_SERVER_ERROR = 500
+_MIN_SERVER_ERROR_STATUS = 500
 
 
 class TrialNotes:
@@ -43,18 +43,18 @@
             return
         if not self._chooser.has_begun(current.service, rollout.offset):
             return
-        if not _tells_of_version(current, result):
+        if not _counts_for_version(current, result):
             return
         self._trials.note(
             current.service,
             rollout.offset,
             current.route.name,
-            _find_time(current, result),
+            _find_latency(current, result),
             is_new=runner.software == rollout.order.version,
         )
 
 
-def _tells_of_version(
+def _counts_for_version(
     current: exchange.Exchange, result: exchange.AttemptResult
 ) -> bool:
     match result:
@@ -68,14 +68,16 @@
             return current.sent_at > 0
 
 
-def _find_time(
+def _find_latency(
     current: exchange.Exchange, result: exchange.AttemptResult
 ) -> float | None:
     """Return how long a good answer took; None for a failure."""
     match result:
         case exchange.Delivered():
             return current.first_event_s
-        case exchange.Whole(head=head) if head.status < _SERVER_ERROR:
+        case exchange.Whole(head=head) if (
+            head.status < _MIN_SERVER_ERROR_STATUS
+        ):
             return trio.current_time() - current.sent_at
         case _:
             return None
--- a/packages/daemon/src/martenquay_daemon/forwarding/begins.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/usage_entry.py
@@ -8,10 +8,10 @@
     from martenquay_core.serving import catalog
     from martenquay_daemon.duties import usage_counts
 
-__all__ = ["Begin"]
+__all__ = ["UsageEntry"]
 
 
-class Begin:
+class UsageEntry:
     """A request counted as begun."""
 
     def __init__(
@@ -21,12 +21,12 @@
         self._team = team
         self._window: int | None = None
 
-    def note(self) -> None:
+    def count(self) -> None:
         """Count it."""
         if self._team is not None:
             self._window = self._usage.note_begin(self._team.name)
 
-    def take_back(self) -> None:
+    def undo(self) -> None:
         """Take it back if it was counted."""
         if self._team is not None and self._window is not None:
             self._usage.take_back(self._team.name, self._window)
--- a/tests/test_forwarding/test_departure.py
+++ b/tests/test_forwarding/test_departure.py
@@ -124,7 +124,9 @@
         async def scenario(world: departures.World) -> None:
             with (
                 leaving.listen_hung() as (listener, address),
-                mock.patch.object(attempt, "_CONNECT_S", departures.LONG_S),
+                mock.patch.object(
+                    attempt, "_CONNECT_TIMEOUT_S", departures.LONG_S
+                ),
             ):
                 world.scene.add_runner(address)
                 caller = await world.call()
@@ -144,7 +146,7 @@
             # Else a test that is held up for 0.15 s has the first runner asked
             # whether it lives, and that connection is the one that hangs.
             with mock.patch.object(
-                silence_limits, "_QUIET_CALL_S", departures.LONG_S
+                silence_limits, "_CALL_PROBE_AFTER_S", departures.LONG_S
             ):
                 caller = await world.call()
                 first = world.scene.runners[0]
--- a/tests/test_forwarding/test_retry_window.py
+++ b/tests/test_forwarding/test_retry_window.py
@@ -21,7 +21,7 @@
 
     def _take_all(self, window: retry_window.RetryWindow) -> int:
         count = 0
-        while count < _FAR_TOO_MANY and window.take("desk"):
+        while count < _FAR_TOO_MANY and window.try_spend("desk"):
             count += 1
         return count
 
@@ -38,10 +38,10 @@
         async def scenario() -> None:
             asked = retry_window.RetryWindow(_BOUNDS, lambda: _DAEMONS)
             for _ in range(_FAR_TOO_MANY):
-                self.assertTrue(asked.has_room("desk"))
+                self.assertTrue(asked.has_retry_left("desk"))
             other = retry_window.RetryWindow(_BOUNDS, lambda: _DAEMONS)
             self.assertEqual(self._take_all(other), self._take_all(asked))
-            self.assertFalse(asked.has_room("desk"))
+            self.assertFalse(asked.has_retry_left("desk"))
 
         self._run(scenario)
 
@@ -50,7 +50,7 @@
             window = retry_window.RetryWindow(_BOUNDS, lambda: _DAEMONS)
             few = self._take_all(window)
             for _ in range(100):
-                window.note_request("desk")
+                window.count_request("desk")
             more = self._take_all(window)
             self.assertGreater(more, few)
             allowed = _BOUNDS.ratio * 100 + _BOUNDS.slack / _DAEMONS
@@ -73,6 +73,6 @@
         async def scenario() -> None:
             window = retry_window.RetryWindow(_BOUNDS, lambda: _DAEMONS)
             self._take_all(window)
-            self.assertTrue(window.take("model"))
+            self.assertTrue(window.try_spend("model"))
 
         self._run(scenario)
--- a/tests/test_promises/test_suspension.py
+++ b/tests/test_promises/test_suspension.py
@@ -90,10 +90,10 @@
         async def scenario() -> None:
             bounds = retry_window.RetryBounds(0.0, _SLEEP_S - 1.0, 2.0)
             window = retry_window.RetryWindow(bounds, lambda: 1)
-            self.assertTrue(window.take("desk"))
-            self.assertFalse(window.take("desk"))
+            self.assertTrue(window.try_spend("desk"))
+            self.assertFalse(window.try_spend("desk"))
             self.clock.jump(_SLEEP_S)
-            self.assertTrue(window.take("desk"))
+            self.assertTrue(window.try_spend("desk"))
 
         self._run(scenario)
 
