--- a/packages/daemon/src/martenquay_daemon/forwarding/answers.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/answers.py
@@ -1,4 +1,4 @@
-"""Give callers the answers that no runner gave."""
+"""Answers that the daemon itself gives, and the writer for all answers."""
 
 from __future__ import annotations
 
@@ -16,42 +16,46 @@
 
 
 class AnswerWriter(Protocol):
-    """Where one request's answer goes.
+    """Writes one answer to its caller.
 
     Attributes:
-        has_started: Whether the caller has been sent a head.
+        has_started: Whether status and headers were sent.
     """
 
     has_started: bool
 
     @property
     def has_left(self) -> bool:
-        """Ask now; the close may have arrived without being read."""
+        """Whether the caller has closed the connection by now.
+
+        Asks the kernel: the close may have arrived without being read.
+        """
 
     async def start(
         self, status: int, headers: calls.Headers, length: int | None
     ) -> None:
-        """Send the head; without a length the body ends by its framing."""
+        """Send status and headers; `length` is None if not known yet."""
 
     async def write(self, data: bytes) -> None:
-        """Send a piece of the body."""
+        """Send a part of the body."""
 
     async def finish(self) -> None:
-        """End the answer as complete."""
+        """Mark the answer as complete."""
 
     def abort(self) -> None:
-        """Have the connection closed, so that the answer is incomplete."""
+        """Close the connection, so that the caller sees a truncated answer."""
 
 
 @dataclasses.dataclass(frozen=True)
 class OwnAnswer:
-    """An answer of the daemon itself.
+    """An answer that the daemon gives itself, without a runner.
 
     Attributes:
         status: The HTTP status.
-        code: The numbered result.
-        message: One sentence for a person.
-        retry_after_s: When to come back; only for what has not run.
+        code: The result code in the body.
+        message: The error message in the body.
+        retry_after_s: When the caller may retry; None if the request may
+            have run.
     """
 
     status: int
@@ -72,7 +76,14 @@
     status: int | None = None,
     retry_after_s: float | None = None,
 ) -> OwnAnswer:
-    """Return an answer with the code's HTTP status, or with another one."""
+    """Return an answer with a result code.
+
+    Args:
+        code: The result code.
+        message: The error message.
+        status: The HTTP status; the code's own by default.
+        retry_after_s: When the caller may retry, in seconds.
+    """
     info = results.describe_result(code)
     return OwnAnswer(status or info.http_status, code, message, retry_after_s)
 
@@ -83,7 +94,7 @@
     call_id: str,
     answer: OwnAnswer,
 ) -> None:
-    """Send the whole answer."""
+    """Write an answer of the daemon itself as JSON, to its end."""
     body = msgspec.json.encode(_OwnAnswerBody(int(answer.code), answer.message))
     headers = codec.encode_own_answer(call_id, answer.retry_after_s)
     headers.append((b"content-type", b"application/json"))
--- a/packages/daemon/src/martenquay_daemon/forwarding/attempt.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/attempt.py
@@ -1,4 +1,4 @@
-"""Send a request to one runner and take its answer."""
+"""Send a request to one runner and relay or return its answer."""
 
 from __future__ import annotations
 
@@ -32,25 +32,22 @@
 
 _LOG = logs.create_log("forwarding")
 _OK = 200
-# Statuses that promise that a request has not run. From a runner that does
-# not confirm it they prove nothing and must not be passed on.
+# Callers take these statuses as a promise that the request has not run, so
+# they are not relayed unless the runner confirms it.
 _NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
-# A connection inside a region takes a few ms; one that is not up by then
-# waits for a runner without power or with a full queue of connections, or
-# lost its first packet, which is sent again after a second only.
+# Shorter than TCP's first retransmission, so that a lost SYN moves the request
+# to another runner.
 _CONNECT_TIMEOUT_S = 0.1
-# The runner's uncached_tokens word at the deadline is better than none, and needs the
-# way back.
+# Lets the runner's own answer at the deadline arrive.
 _ANSWER_GRACE_S = 0.08
 _MAX_URGENCY = 9
-# A prompt that takes an engine so long is told to other daemons at once: by
-# their next regular news, a quarter of a second later, it is mostly read, and
-# whoever was sent behind it meanwhile was late.
+# Prompts that take at least this long to prefill are gossiped at once; by the
+# next regular digest other daemons would have sent requests behind them.
 _LONG_PREFILL_S = 0.05
 
 
 class AttemptMaker:
-    """Make attempts at runners."""
+    """Sends requests to runners, one attempt at a call."""
 
     def __init__(
         self,
@@ -78,12 +75,19 @@
         placement: placer.Placement,
         may_retry: Callable[[], bool],
     ) -> exchange.AttemptResult:
-        """Send the request once and relay or return the answer.
+        """Send the request to one runner and relay or return its answer.
 
         Args:
-            current: The request.
-            placement: The runner.
-            may_retry: Whether it might be sent once more.
+            current: The request; its progress is updated.
+            placement: The chosen runner and its load estimate.
+            may_retry: Whether the retry budget allows one more attempt.
+
+        Returns:
+            The outcome. A stream that begins is written to the caller; all
+            other answers are returned.
+
+        Raises:
+            CallerLeftError: The caller disconnected.
         """
         runner = placement.runner
         current.stage = departure.Stage.CONNECTING
@@ -118,11 +122,10 @@
     def _note_demand(
         self, current: exchange.Exchange, placement: placer.Placement
     ) -> None:
-        """Note what the request asks of engines, once.
+        """Count the request's tokens as demand, at its first attempt only.
 
-        With a zone cut off a request tries several runners that take no
-        connection. Counted each time, demand seemed to double, and five
-        reclaimable and four on-demand runners too many were ordered.
+        Counting each attempt would order too many runners while part of them
+        cannot be reached.
         """
         if not current.attempts and not current.uncounted_attempts:
             self._meter.note(current.service, placement.uncached_tokens)
@@ -135,12 +138,18 @@
         running: loads.Running,
         limits: silence.SilenceLimits,
     ) -> exchange.AttemptResult:
-        """Talk, but give a runner up that is gone if another may take over."""
+        """Send and receive; give up on a dead or silent runner if safe.
+
+        A request that may not be repeated waits until its deadline, because
+        no other runner may take it over.
+        """
         if not current.route.may_repeat:
             return await self._send_and_receive(
                 current, placement, connection, running
             )
-        result: exchange.AttemptResult = exchange.Broken("the runner is gone")
+        result: exchange.AttemptResult = exchange.Broken(
+            "the runner is silent and takes no connection"
+        )
         failure: Exception | None = None
         async with trio.open_nursery() as nursery:
 
@@ -178,7 +187,7 @@
         running: loads.Running,
     ) -> exchange.AttemptResult:
         current.check_caller()
-        # The runner may have spoken since it was chosen.
+        # The runner may have reported a limit or a drain since it was chosen.
         problem = self._gate.try_admit(placement.runner)
         if problem:
             return exchange.Withheld(problem)
@@ -217,10 +226,10 @@
         runner: runners.Runner,
         head: calls.AnswerHead,
     ) -> None:
-        """Take what the runner says of itself, if it is the one meant.
+        """Apply the runner's signals if the answer is from this runner.
 
-        Whoever else has its address, or answers late in place of another, says
-        nothing of this runner.
+        Another process at its address, or an answer to another request, tells
+        nothing about the runner.
         """
         is_from_runner = head.is_sealed or head.did_not_run
         if (
@@ -232,8 +241,8 @@
             self._gate.note_answer(runner, head, current.sent_at)
 
     def _record_slot_time(self, current: exchange.Exchange) -> None:
-        # Before a first event a request may wait for a slot, which would
-        # make slots look slower the longer the queue is.
+        # Time before the first event is left out: it includes the wait for a
+        # slot, so a queue would make the slots look slower.
         first_event_s = current.first_event_s or 0.0
         held_s = trio.current_time() - current.sent_at - first_event_s
         self._model.note_end(current.service, held_s)
@@ -265,12 +274,15 @@
         connection: connections.RunnerConnection,
         request: connections.RunnerRequest,
     ) -> tuple[int, calls.Headers]:
-        """Send while reading: a runner may answer before it has it all."""
+        """Send the request and read the answer's head concurrently.
+
+        A runner may answer before it has read the whole request.
+        """
         async with trio.open_nursery() as nursery:
             failure: list[connections.BrokenAnswerError] = []
 
             async def send() -> None:
-                # A runner that has answered need not read the rest.
+                # The runner may stop reading once it has answered.
                 with contextlib.suppress(connections.BrokenAnswerError):
                     await connection.send_request(request)
                     current.stage = departure.Stage.WAITING
@@ -290,9 +302,9 @@
     def _record_usage(
         self, current: exchange.Exchange, *, is_counted: bool
     ) -> Iterator[usage_entry.UsageEntry]:
-        """Count a plain call as begun from its sending on.
+        """Count a plain call in the usage report from its sending on.
 
-        Its answer may be lost, and the work is done all the same.
+        The runner does the work even if its answer is lost.
         """
         usage = usage_entry.UsageEntry(self._usage, current.team)
         if is_counted:
@@ -307,7 +319,7 @@
         connection: connections.RunnerConnection,
         running: loads.Running,
     ) -> exchange.AttemptResult:
-        """Pass events on as they come, each whole and in its order."""
+        """Relay events to the caller as they come, each complete."""
         splitter = event_stream.EventSplitter()
         has_first_event = False
         async for chunk in connection.iterate_body():
@@ -323,9 +335,9 @@
             if problem:
                 return exchange.Broken(problem)
         if splitter.rest:
-            return exchange.Broken("ended in the middle of an event")
+            return exchange.Broken("the stream ended in the middle of an event")
         if not current.writer.has_started:
-            return exchange.Broken("ended without an event")
+            return exchange.Broken("the stream ended without an event")
         await current.writer.finish()
         return exchange.Delivered()
 
@@ -336,8 +348,8 @@
         took_s: float,
     ) -> None:
         current.first_event_s = took_s
-        # A wait for a slot says nothing of reading, and a stream that goes on
-        # elsewhere reads what it has already sent as well.
+        # The estimate of the prefill speed excludes waits for a slot, and
+        # resumed streams, which prefill their earlier output as well.
         if placement.has_free_slot and current.events_delivered == 0:
             uncached_tokens = placement.uncached_tokens
             result = model.FirstEvent(
@@ -354,7 +366,7 @@
         head: calls.AnswerHead,
         events: list[event_stream.Event],
     ) -> str:
-        """Pass on the next events; return what is wrong, or nothing."""
+        """Write new events to the caller; return a problem, or ""."""
         new_events = []
         for event in events:
             last = current.last_event_id
@@ -362,7 +374,9 @@
                 if event.id <= last:
                     continue
                 if event.id > last + 1:
-                    return f"event {event.id} came after event {last}"
+                    return (
+                        f"event {event.id} follows event {last}; some are lost"
+                    )
             if event.id is not None:
                 current.last_event_id = event.id
             new_events.append(event.raw)
@@ -377,13 +391,13 @@
 
 
 def _check_head(call: calls.Call, head: calls.AnswerHead) -> str:
-    """Return why an answer cannot be used, or nothing."""
+    """Return why an answer must not be relayed, or ""."""
     if head.call_id is not None and head.call_id != call.id:
-        return f"an answer to request {head.call_id}"
+        return f"the answer belongs to request {head.call_id}"
     if head.status < 300 and not head.is_sealed:
-        return "an answer that no runner vouches for"
+        return "the answer lacks the runner's seal"
     if head.status in _NOT_RUN_STATUSES:
-        return f"status {head.status} without word that it did not run"
+        return f"status {head.status}, but not confirmed that it did not run"
     return ""
 
 
--- a/packages/daemon/src/martenquay_daemon/forwarding/content_guard.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/content_guard.py
@@ -1,4 +1,4 @@
-"""Keep requests from runners if their digest has crashed others."""
+"""Quarantine check before each attempt, and crash reports after it."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ContentGuard:
-    """Ask the quarantine before each attempt, and tell it what came of it."""
+    """Rejects requests whose content crashes runners, and reports crashes."""
 
     def __init__(
         self,
@@ -31,7 +31,11 @@
         self._has_ended = has_ended
 
     def find_hold(self, current: exchange.Exchange) -> float | None:
-        """Return for how long the request is kept out; None if it is not."""
+        """Return how long the content stays in quarantine, in seconds.
+
+        None if the request may be sent. Stores the number of the latest known
+        crash in the exchange, for a later crash report.
+        """
         if self._quarantine.is_empty:
             return None
         digest = _find_digest(current)
@@ -44,7 +48,7 @@
         runner: runners.Runner,
         result: exchange.AttemptResult,
     ) -> None:
-        """Learn from an attempt at a runner."""
+        """Report a crash, or clear the content's crash records on an answer."""
         current.has_runner_ended = False
         match result:
             case exchange.Delivered() | exchange.Whole():
@@ -56,10 +60,10 @@
     async def _note_broken(
         self, current: exchange.Exchange, runner: runners.Runner
     ) -> None:
-        # Named here, so that each line of a broken attempt has it.
+        # Computed here so that the log line of the attempt includes it.
         digest = _find_digest(current)
         current.has_runner_ended = await self._has_ended(runner.address)
-        # One that said that it leaves has ended as it was to.
+        # A draining runner ends as planned, which is no crash.
         entry = self._directory.find(runner.id)
         if not current.has_runner_ended or entry is None:
             return
--- a/packages/daemon/src/martenquay_daemon/forwarding/departure.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/departure.py
@@ -1,7 +1,7 @@
-"""Notice that a caller has closed its connection.
+"""Detect and log that a caller has closed its connection.
 
-Reading finds a close only behind all that the caller sent before it. The
-kernel knows of it as soon as it has arrived, and can be asked.
+Reading returns the end of the stream only after all bytes sent before it; the
+kernel reports the close as soon as it arrives.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class Stage(enum.Enum):
-    """How far a request has come."""
+    """Progress of a request; the values are logged."""
 
     READING = "reading"
     QUEUED = "queued"
@@ -34,15 +34,15 @@
 
 
 def has_left(sock: SocketType) -> bool:
-    """Tell whether the other side has closed or reset the connection."""
+    """Tell whether the peer has closed or reset the connection."""
     kernel = select.poll()
     kernel.register(sock, select.POLLRDHUP)
     return bool(kernel.poll(0))
 
 
 async def wait_until_left(sock: SocketType) -> None:
-    """Return when the other side has closed or reset the connection."""
-    # trio waits for bytes only, which may be there long before the close.
+    """Wait until the peer has closed or reset the connection."""
+    # trio can wait for readability only, which unread bytes cause as well.
     with select.epoll() as kernel:
         kernel.register(sock, select.EPOLLRDHUP)
         await trio.lowlevel.wait_readable(kernel.fileno())
@@ -51,13 +51,13 @@
 def log_departure(
     call_id: str, stage: Stage, received_at: float, **fields: object
 ) -> None:
-    """Log that a caller left before its answer was whole.
+    """Log that a caller disconnected before its answer was complete.
 
     Args:
-        call_id: The request; empty if it was not read that far.
-        stage: How far it had come.
-        received_at: When its first byte came, in trio's time.
-        **fields: What else is known of it.
+        call_id: The request's id; empty if its head was not yet read.
+        stage: Progress of the request.
+        received_at: When its first byte arrived, on trio's clock.
+        **fields: Further fields of the log line.
     """
     elapsed_s = trio.current_time() - received_at
     _LOG.write(
--- a/packages/daemon/src/martenquay_daemon/forwarding/exchange.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/exchange.py
@@ -1,4 +1,4 @@
-"""What is known of one request while it is being forwarded."""
+"""State of one request while it is forwarded, and outcomes of attempts."""
 
 from __future__ import annotations
 
@@ -29,40 +29,50 @@
 
 
 class CallerLeftError(Exception):
-    """The caller has closed its connection."""
+    """The caller disconnected before its answer was complete."""
 
 
 @dataclasses.dataclass
 class Exchange:
-    """One request and how far it has come.
+    """State of one request over all attempts to forward it.
+
+    Times are in seconds on trio's clock.
 
     Attributes:
         call: The request.
-        route: Its route.
-        team: Whose key it carries; None on routes without keys.
-        service: The service that it goes to.
-        received_at: When its first byte came, in trio's time.
-        deadline: When it has to be over, in trio's time.
-        writer: Where the answer goes.
-        stage: How far the present attempt has come.
-        attempts: Runners that have been sent it.
-        may_have_run: Some runner may have begun to work on it.
-        last_event_id: The last event delivered, or that the caller had before.
-        events_delivered: Events delivered.
-        uncounted_attempts: Runners that could not be reached or were not ours.
-        misdirected: Runners that were sent it and are not those meant.
-        fallback_answer: A failed answer to give if no other comes.
-        excluded_runners: Runners not to try again.
-        sent_at: When it was last sent to a runner, in trio's time.
-        first_event_s: From then to its first event; None before that.
-        entries_age_ms: How old the runners' entries were that the present
-            attempt's runner was chosen from.
-        caller_elapsed_s: How long its caller has likely been trying before.
-        admission: On what units of its team's the request was let in.
-        content_digest: Its content's digest; empty until it is needed.
-        latest_crash_seen: The latest strike known of its content when it was sent.
-        has_runner_ended: The runner of the present attempt ended under it.
-        reported_signals: What the runner of the present attempt said of itself.
+        route: The route that the request matched.
+        team: The team of the request's key; None on routes without keys.
+        service: The service that the request is forwarded to.
+        received_at: When the first byte of the request arrived.
+        deadline: When the answer has to be complete.
+        writer: Writes the answer to the caller.
+        stage: Progress of the current attempt, for the log.
+        attempts: Attempts that count against the route's `max_attempts`.
+        may_have_run: Whether a runner may have executed the request.
+        last_event_id: Id of the last event that the caller has, from this
+            exchange or from an earlier one that it resumes.
+        events_delivered: Events written to the caller.
+        uncounted_attempts: Attempts that do not count against
+            `max_attempts`: no connection, or another runner at the address.
+        misdirected: Uncounted attempts that another runner received.
+        fallback_answer: A runner's server error, returned to the caller if
+            no later attempt succeeds.
+        excluded_runners: Ids of runners that no later attempt uses.
+        sent_at: When the request was last sent to a runner.
+        first_event_s: Seconds from `sent_at` to the first event; None before
+            that event.
+        entries_age_ms: Age of the runner entries that the current runner was
+            chosen from.
+        caller_elapsed_s: Estimated time that the caller has spent on earlier
+            attempts of the same request.
+        admission: The decision by which the team's quota was spent.
+        content_digest: Digest of the request's content; empty until needed.
+        latest_crash_seen: Number of the latest crash record of the content
+            that was known when the request was sent; 0 for none.
+        has_runner_ended: Whether the runner's process ended during the
+            current attempt.
+        reported_signals: What the current runner reported about itself in
+            its answer: limit, drain, backoff.
     """
 
     call: calls.Call
@@ -93,7 +103,7 @@
 
     @property
     def units(self) -> float:
-        """What the request costs its team's allowance."""
+        """Quota units that the request costs: tokens, or 1 a request."""
         team = self.team
         if team is None or not team.counts_tokens:
             return 1.0
@@ -102,13 +112,13 @@
         return float(self.call.tokens_in + (self.call.tokens_out or 0))
 
     def check_caller(self) -> None:
-        """Make sure that somebody waits for the answer.
+        """Check that the caller is still connected.
 
-        A daemon that comes late to its events may meet a runner's first and
-        would send on what nobody waits for.
+        The cancellation by a disconnect may be scheduled after the task that
+        is about to send to a runner.
 
         Raises:
-            CallerLeftError: Nobody does.
+            CallerLeftError: The caller has disconnected.
         """
         if self.writer.has_left:
             raise CallerLeftError
@@ -116,25 +126,25 @@
 
 @dataclasses.dataclass(frozen=True)
 class NotSent:
-    """No connection came up; the runner knows nothing of the request."""
+    """No connection to the runner could be opened; nothing was sent."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True)
 class Withheld:
-    """The runner was not sent it, for it has said that it takes none now."""
+    """Nothing was sent: the runner has reported that it accepts no request."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True)
 class NotRun:
-    """The runner says that it did not run the request.
+    """The runner confirmed that it did not execute the request.
 
     Attributes:
-        status: The HTTP status it said so with.
-        is_wrong_runner: Another runner has the address.
+        status: The HTTP status of its answer.
+        is_wrong_runner: Whether another runner listens at the address.
     """
 
     status: int
@@ -143,11 +153,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Whole:
-    """A whole answer, not yet sent to the caller.
+    """A complete answer that is not yet written to the caller.
 
     Attributes:
-        head: Its head.
-        body: Its body.
+        head: Status and headers.
+        body: The complete body.
     """
 
     head: calls.AnswerHead
@@ -156,26 +166,26 @@
 
 @dataclasses.dataclass(frozen=True)
 class Delivered:
-    """A stream that went to the caller to its end."""
+    """A stream that was relayed to the caller to its end."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Broken:
-    """The runner broke off or its answer cannot be used; it may have run."""
+    """The answer broke off or is invalid; the request may have run."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True)
 class Silent:
-    """The runner is there and says nothing; it may have run."""
+    """The runner is up but sent nothing; the request may have run."""
 
-    reason: str = "silent for too long"
+    reason: str = "no data from the runner for too long"
 
 
 @dataclasses.dataclass(frozen=True)
 class TimedOut:
-    """The time was over before the answer was."""
+    """The deadline passed before the answer was complete."""
 
 
 AttemptResult = (
--- a/packages/daemon/src/martenquay_daemon/forwarding/forwarder.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/forwarder.py
@@ -1,4 +1,4 @@
-"""Answer a request: find its route, let it in, send it to runners."""
+"""Handle a request: match its route, admit it, forward it with retries."""
 
 from __future__ import annotations
 
@@ -46,39 +46,41 @@
 _LOG = logs.create_log("forwarding")
 _Code = results.ResultCode
 _STARTING_RETRY_AFTER_S = 0.5
-# Long waits were expected up to so many times longer than they came (p95 of the
-# worst 4 s: 1.7 s expected, 1.2 s real).
+# Estimates of long waits may be too high by up to this factor, so a request is
+# rejected as late only beyond it.
 _MAX_OVERESTIMATE_FACTOR = 1.5
-# Parts of allowances are lent, and lent anew, within this time; and then there
-# has to be time for the answer.
+# Enough for a delegation of a rate share to arrive; the rest of the request's
+# time is left for its answer.
 _MAX_QUOTA_WAIT_S = 1.5
 _MAX_QUOTA_WAIT_FRACTION = 0.4
-# Connections that do not come up are no attempts, but end somewhere.
+# Bounds the attempts that `max_attempts` does not count, else a request would
+# go on to each unreachable runner until its deadline.
 _MAX_UNCOUNTED_ATTEMPTS = 4
 _MIN_SERVER_ERROR_STATUS = 500
 
 
 @dataclasses.dataclass(frozen=True)
 class ForwarderParts:
-    """What a forwarder decides with.
+    """Dependencies of the forwarder.
 
     Attributes:
-        store: The catalog in force.
-        directory: The runners.
-        entries: Has what is known of the runners read if it is too old.
-        allowances: What teams may still spend.
-        placer: Chooses runners.
-        attempts: Sends to them.
-        retries: Bounds what is sent again.
-        ejector: Keeps failing runners out.
-        runner_gate: Knows what runners say that they take.
-        guard: Keeps requests out that crash their runners.
-        stop: Keeps requests out that a stop would cut off.
-        trials: Notes what versions on trial answer.
-        metrics: Counts.
-        codec: Names headers.
-        rng: Chooses among the destinations of a route.
-        wait_until_read: Returns when enough is known to decide.
+        store: Holds the current catalog.
+        directory: The known runners.
+        entries: Refreshes runner entries that are too old.
+        allowances: Admits requests by their team's quota.
+        placer: Chooses the runner of an attempt.
+        attempts: Sends a request to a runner.
+        retries: Retry budget by service.
+        ejector: Ejects failing runners.
+        runner_gate: Limits, backoffs and drains that runners reported.
+        guard: Rejects requests whose content crashes runners.
+        stop: Rejects requests that the daemon's stop would cut off.
+        trials: Records results of canary trials.
+        metrics: Prometheus metrics.
+        codec: Encodes and decodes headers.
+        rng: Chooses among a route's weighted destinations.
+        wait_until_read: Returns once catalog and runners have been read, or
+            after a limit.
     """
 
     store: catalog_store.CatalogStore
@@ -100,7 +102,10 @@
 
 
 class Forwarder:
-    """Implement `caller_connection.CallHandler`."""
+    """Admits requests and forwards them to runners, with retries.
+
+    Implements `caller_connection.CallHandler`.
+    """
 
     def __init__(self, parts: ForwarderParts) -> None:
         self._parts = parts
@@ -113,7 +118,13 @@
         received_at: float,
         writer: answers.AnswerWriter,
     ) -> None:
-        """Answer one request."""
+        """Answer one request.
+
+        Args:
+            call: The request.
+            received_at: When its first byte arrived, on trio's clock.
+            writer: Writes the answer to the caller.
+        """
         await self._parts.wait_until_read()
         admitted = await self._admit(call, received_at, writer)
         match admitted:
@@ -158,7 +169,7 @@
                 route.name, call.budget_s
             ),
         )
-        # What is sent to nobody must not cost its team units.
+        # Checked before the quota, so that a rejected request costs none.
         hold_s = self._parts.guard.find_hold(current)
         if hold_s is not None:
             return own_answers.describe_quarantine(hold_s)
@@ -209,7 +220,7 @@
             return None
         quota = decision.units
         _LOG.write(
-            f"Team {team.name} has no room for {current.units:.0f} units.",
+            f"Team {team.name} lacks quota for {current.units:.0f} units.",
             request=current.call.id,
             team=team.name,
             kept_at=decision.kept_at,
@@ -229,10 +240,10 @@
         )
 
     def _find_priority_reserve(self, current: exchange.Exchange) -> int:
-        """Return how many steps of urgency the request leaves room for.
+        """Return how many levels of urgency to reserve quota for.
 
-        Calls of plain services cost next to nothing of an allowance that
-        counts tokens, so they come first.
+        Calls of plain services reserve none: they cost next to nothing of a
+        quota that counts tokens.
         """
         services = self._parts.store.table.catalog.services
         service = services.get(current.service)
@@ -243,13 +254,13 @@
     async def _forward_until_disconnect(
         self, current: exchange.Exchange
     ) -> None:
-        """Forward until the answer is given or its caller has left."""
+        """Forward until the answer is complete or the caller disconnects."""
         try:
             await self._forward(current)
         except exchange.CallerLeftError:
             self._request_log.log_disconnect(current)
         except (trio.BrokenResourceError, trio.Cancelled):
-            # A stop of the daemon cancels too.
+            # The daemon's stop cancels as well, while callers are connected.
             if current.writer.has_left:
                 self._request_log.log_disconnect(current)
             raise
@@ -275,7 +286,11 @@
     async def _try_runners(
         self, current: exchange.Exchange
     ) -> exchange.Whole | answers.OwnAnswer | None:
-        """Try runners until one answers; None when a stream is delivered."""
+        """Try runners until one answers.
+
+        Returns:
+            The answer to send; None if a stream was already relayed.
+        """
         parts = self._parts
         parts.retries.count_request(current.service)
         while True:
@@ -311,7 +326,7 @@
     async def _find_next_placement(
         self, current: exchange.Exchange
     ) -> placer.Placement | exchange.Whole | answers.OwnAnswer:
-        """Return the next runner, or the answer if there is to be none."""
+        """Return the next runner, or the final answer if there is none."""
         parts = self._parts
         current.stage = departure.Stage.QUEUED
         current.check_caller()
@@ -324,13 +339,12 @@
             return current.fallback_answer or own_answers.describe_failure(
                 current
             )
-        # Else a runner that has said that it leaves may get work for as
-        # long as the news of it are under way: 3.1 s with 2 to 3 allowed.
+        # Outdated entries would send requests to runners that drain.
         await parts.entries.refresh()
         hold_s = parts.guard.find_hold(current)
         if hold_s is not None and not current.attempts:
             return own_answers.describe_quarantine(hold_s)
-        # Units and entries were waited for; a stop may have begun meanwhile.
+        # The stop may have begun during the waits for quota and entries.
         refusal = (
             None
             if current.attempts
@@ -349,14 +363,14 @@
     def _describe_no_runner(
         self, current: exchange.Exchange
     ) -> answers.OwnAnswer:
-        """Return the answer if there is no runner to send to."""
+        """Return the answer if no runner accepts the request."""
         parts = self._parts
         usable = parts.directory.list_usable(current.service)
         retry_s = parts.runner_gate.find_retry_s(usable)
         known = parts.directory.list_all(current.service)
         closed = parts.runner_gate.count_closed(known)
         _LOG.write(
-            f"No runner of {current.service} is left to send to.",
+            f"No runner of {current.service} accepts the request.",
             request=current.call.id,
             known=len(known),
             leaving=closed.leaving,
@@ -390,12 +404,12 @@
         runner_id: str,
         result: exchange.AttemptResult,
     ) -> None:
-        """Take what an attempt without an answer says of its runner."""
+        """Exclude the runner and report the failure to its health checks."""
         current.excluded_runners.add(runner_id)
         match result:
             case exchange.NotRun(is_wrong_runner=True):
-                # That was not the runner meant, so it is no attempt; but some
-                # runner got it, which the bound on retries counts.
+                # Not counted against `max_attempts`, as the chosen runner was
+                # not reached; `misdirected` makes the next one a retry.
                 current.misdirected += 1
                 current.uncounted_attempts += 1
                 current.attempts -= 1
@@ -406,7 +420,7 @@
                 self._parts.ejector.note_failure(runner_id)
 
     def _try_spend_retry(self, current: exchange.Exchange) -> bool:
-        """Tell whether the request may go to one more runner."""
+        """Spend a retry if the route and the retry budget allow one."""
         route = current.route
         if current.attempts >= route.max_attempts:
             return False
@@ -441,7 +455,7 @@
 
 
 def _find_max_quota_wait(current: exchange.Exchange) -> float:
-    """Return how long to wait where nothing is known of a team's units."""
+    """Return how long to wait for quota while none is known, in seconds."""
     remaining_s = current.deadline - trio.current_time()
     return min(_MAX_QUOTA_WAIT_S, _MAX_QUOTA_WAIT_FRACTION * remaining_s)
 
@@ -449,10 +463,12 @@
 def _find_lateness(
     current: exchange.Exchange, placement: placer.Placement
 ) -> float:
-    """Return by how much a first event is sure to come too late; 0 if not.
+    """Return by how much even an early first event misses the deadline.
+
+    A caller that is rejected at once can retry within its own deadline.
 
-    The best runner there is was chosen. A caller that is told at once may come
-    back in time; one that is held until its deadline cannot.
+    Returns:
+        Seconds; 0 if the first event may come in time.
     """
     if current.attempts or not placement.is_learnt:
         return 0.0
--- a/packages/daemon/src/martenquay_daemon/forwarding/metrics.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/metrics.py
@@ -1,6 +1,6 @@
-"""Count and time what is forwarded, for Prometheus.
+"""Prometheus metrics of the forwarding path.
 
-Labels stay few and bounded: services, outcomes and result codes.
+Labels have few values: services, outcomes, result codes, topics.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class ForwardingMetrics:
-    """The metrics of one daemon's forwarding."""
+    """Counters and histograms of one daemon."""
 
     def __init__(self, registry: aioprometheus.Registry) -> None:
         self._registry = registry
@@ -89,51 +89,51 @@
         )
 
     def note_units_asked(self, outcome: str, took_s: float) -> None:
-        """Note what became of a question for units and how long it took."""
+        """Observe a quota request to another daemon: outcome and duration."""
         self._quota_request_s.observe({"outcome": outcome}, took_s)
 
     def count_unusable_record(self, topic: str) -> None:
-        """Count a record of the log that says nothing usable."""
+        """Count a log record that could not be decoded or applied."""
         self._unusable_records.inc({"topic": topic})
 
     def count_strike(self) -> None:
-        """Count a request under which a runner ended."""
+        """Count a request during which its runner crashed."""
         self._crashes.inc({})
 
     def count_runner_signal(self, signal: str, source: str) -> None:
-        """Count a change of what a runner says of itself."""
+        """Count a change of a signal that a runner reports about itself."""
         self._runner_signals.inc({"signal": signal, "source": source})
 
     def count_own_answer(self, code: results.ResultCode) -> None:
-        """Count an answer of the daemon itself."""
+        """Count an answer that the daemon gave itself, by result code."""
         self._own_answers.inc({"code": str(int(code))})
 
     def count_attempt(self, service: str, outcome: str) -> None:
-        """Count an attempt at a runner."""
+        """Count an attempt at a runner, by outcome."""
         self._attempts.inc({"service": service, "outcome": outcome})
 
     def note_answer(self, service: str, elapsed_s: float) -> None:
-        """Note how long an answer took."""
+        """Observe the time from a request's first byte to its answer's end."""
         self._answer_s.observe({"service": service}, elapsed_s)
 
     def note_first_event(
         self, service: str, expected_s: float, took_s: float
     ) -> None:
-        """Note a stream's first event and what was expected of it."""
+        """Observe the time to a stream's first event and its estimate."""
         labels = {"service": service}
         self._first_event_s.observe(labels, took_s)
         self._estimate_error_s.observe(labels, max(0.0, took_s - expected_s))
 
     def note_copy_age(self, step: copy_age.Step, age_s: float) -> None:
-        """Note how old the runners' entries were at a step."""
+        """Observe the age of the runner entries at a propagation step."""
         self._copy_age_s.observe({"step": step.value}, age_s)
 
     def render(self) -> bytes:
-        """Return all metrics in Prometheus' text form."""
+        """Return all metrics in the Prometheus text format."""
         content, _ = renderer.render(self._registry, [])
         return content
 
 
 def create_metrics() -> ForwardingMetrics:
-    """Return metrics in a registry of their own."""
+    """Return metrics in a new registry."""
     return ForwardingMetrics(aioprometheus.Registry())
--- a/packages/daemon/src/martenquay_daemon/forwarding/own_answers.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/own_answers.py
@@ -1,4 +1,4 @@
-"""Say what is true of a request that no runner answered."""
+"""Answers to requests that no runner answered, by reason."""
 
 from __future__ import annotations
 
@@ -20,15 +20,12 @@
 ]
 
 _Code = results.ResultCode
-# When to come back: by then another runner may be known, the configuration
-# read, a slot free. Callers wait a third of their time at most, and plain
-# calls have 0.6 s.
+# Short enough for a retry within the budget of a plain call.
 _NO_RUNNER_RETRY_AFTER_S = 0.3
 _OVERLOADED_RETRY_AFTER_S = 0.25
-# Nobody is told to come back within a round trip.
+# At least one round trip.
 _MIN_RETRY_AFTER_S = 0.05
-# A new connection goes to another daemon, or comes to this one again while the
-# balancer still counts it in.
+# A retry over a new connection usually reaches another daemon.
 _STOPPING_RETRY_AFTER_S = 0.0
 _GATEWAY_TIMEOUT_STATUS = 504
 _UNAVAILABLE_STATUS = 503
@@ -37,7 +34,7 @@
 def describe_failure(
     current: exchange.Exchange,
 ) -> answers.OwnAnswer:
-    """Return the answer if no runner is left to try."""
+    """Return the answer if all attempts failed or no runner is known."""
     if current.may_have_run:
         return answers.create_own_answer(
             _Code.UNKNOWN_ANSWER_LOST, "the runner's answer was lost"
@@ -59,11 +56,11 @@
 def describe_backpressure(
     current: exchange.Exchange, retry_s: float
 ) -> answers.OwnAnswer:
-    """Return the answer if all runners have said that they take none now.
+    """Return the answer if all runners have reported that they accept none.
 
     Args:
-        current: The request; nobody has run it.
-        retry_s: Until one of them takes a request.
+        current: The request; no runner has executed it.
+        retry_s: Seconds until one of them accepts a request.
     """
     return answers.create_own_answer(
         _Code.NOT_RUN_OVERLOADED,
@@ -76,12 +73,12 @@
 def describe_overload(
     current: exchange.Exchange, lateness_s: float
 ) -> answers.OwnAnswer:
-    """Return the answer if no runner can begin before the time is over.
+    """Return the answer if no runner can begin before the deadline.
 
     Args:
-        current: The request, sent to nobody.
-        lateness_s: By how much the soonest would be too late; the queues have
-            drained by that much then.
+        current: The request; no runner has received it.
+        lateness_s: Seconds by which the soonest runner misses the deadline;
+            after this time the queues are shorter by as much.
     """
     return answers.create_own_answer(
         _Code.NOT_RUN_OVERLOADED,
@@ -92,13 +89,10 @@
 
 
 def describe_quarantine(hold_s: float) -> answers.OwnAnswer:
-    """Return the answer to a request that crashes its runners.
-
-    The configuration allows the request, so it is not told to be a bad one;
-    nor does it help to come back before the quarantine is over.
+    """Return the answer to a request whose content is quarantined.
 
     Args:
-        hold_s: Until it may be tried again.
+        hold_s: Seconds until the quarantine ends.
     """
     return answers.create_own_answer(
         _Code.NOT_RUN_QUARANTINED,
@@ -111,7 +105,7 @@
     """Return the answer to a request that this daemon's stop would cut off.
 
     Args:
-        overrun_s: By how much it may outlast the stop.
+        overrun_s: Seconds by which its answer may end after the stop.
     """
     return answers.create_own_answer(
         _Code.NOT_RUN_STOPPING,
@@ -123,7 +117,7 @@
 def describe_timeout(
     current: exchange.Exchange,
 ) -> answers.OwnAnswer:
-    """Return the answer if the time is over."""
+    """Return the answer if the deadline has passed."""
     if current.may_have_run:
         return answers.create_own_answer(
             _Code.UNKNOWN_ANSWER_LOST,
--- a/packages/daemon/src/martenquay_daemon/forwarding/request_log.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/request_log.py
@@ -1,4 +1,4 @@
-"""Write what became of a request, and of each attempt at it."""
+"""Log lines and metrics of each request and each attempt at it."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class RequestLog:
-    """The lines and counts of one daemon's requests."""
+    """Logs and counts the outcomes of requests and their attempts."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         placement: placer.Placement,
         result: exchange.AttemptResult,
     ) -> None:
-        """Note an attempt, what decided it and what came of it."""
+        """Log an attempt: its runner, the reasons for it and its outcome."""
         outcome = type(result).__name__
         self._metrics.count_attempt(current.service, outcome)
         first_event_s = current.first_event_s
@@ -67,7 +67,7 @@
         )
 
     def log_disconnect(self, current: exchange.Exchange) -> None:
-        """Note that the caller has left."""
+        """Log that the caller disconnected before its answer was complete."""
         departure.log_departure(
             current.call.id,
             current.stage,
@@ -81,7 +81,14 @@
     def log_end(
         self, current: exchange.Exchange, outcome: str, status: int
     ) -> None:
-        """Note how the request ended."""
+        """Log the end of a request.
+
+        Args:
+            current: The request.
+            outcome: How it ended, for the text of the line.
+            status: The HTTP status of a runner's answer; 0 for a stream,
+                complete or cut off.
+        """
         elapsed_s = trio.current_time() - current.received_at
         self._metrics.note_answer(current.service, elapsed_s)
         _LOG.write(
--- a/packages/daemon/src/martenquay_daemon/forwarding/retry_detector.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/retry_detector.py
@@ -1,4 +1,4 @@
-"""Tell which requests come for the second time, by the time they have left."""
+"""Estimate how long callers have been retrying, by their time budgets."""
 
 from __future__ import annotations
 
@@ -6,28 +6,26 @@
 
 __all__ = ["RetryDetector"]
 
-# The longest time of a route's callers is learnt anew after so long, for
-# operators may shorten it.
+# Callers' budgets may be shortened, so the maximum of a route expires.
 _RELEARN_AFTER_S = 60.0
 
 
 class RetryDetector:
-    """How long the callers of each route wait in all.
+    """Remembers the largest time budget of each route's callers.
 
-    Each attempt of a caller has an id of its own, but the time that it says it
-    will wait grows less.
+    A caller sends each retry under a new id, but with the rest of its original
+    budget, so a smaller budget shows for how long it has been trying.
     """
 
     def __init__(self) -> None:
         self._max_budgets: dict[str, tuple[float, float]] = {}
 
     def find_elapsed(self, route: str, remaining_s: float | None) -> float:
-        """Return for how long a caller has likely been trying, in seconds.
+        """Return the estimated time since a caller's first try, in seconds.
 
         Args:
-            route: The request's route.
-            remaining_s: The time that the caller says it will wait; None if it
-                does not say.
+            route: Name of the request's route.
+            remaining_s: The time budget in the request; None if it has none.
         """
         if remaining_s is None:
             return 0.0
--- a/packages/daemon/src/martenquay_daemon/forwarding/retry_window.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/retry_window.py
@@ -1,4 +1,4 @@
-"""Bound what is sent again to a service, over all daemons together."""
+"""Retry budget by service, shared evenly among all daemons."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 __all__ = ["RetryBounds", "RetryWindow"]
 
-# Kept free for what this daemon cannot see: requests that arrived late, and
-# daemons that start anew and forget what they have spent.
+# The rest covers requests that arrive late, and restarted daemons that have
+# lost their counts.
 _USABLE_FRACTION = 0.6
 
 
 @dataclasses.dataclass(frozen=True)
 class RetryBounds:
-    """How much may be sent again.
+    """Size of the retry budget of each service.
 
     Attributes:
-        ratio: Of the requests of the same time.
-        window_s: The time over which both are counted.
-        slack: Beyond the ratio, for all daemons together.
+        ratio: Retries allowed per request within the window.
+        window_s: Length of the sliding window.
+        slack: Retries allowed beyond the ratio, over all daemons together.
     """
 
     ratio: float
@@ -40,10 +40,10 @@
 
 
 class RetryWindow:
-    """Count requests and retries by service in a sliding window.
+    """Counts requests and retries by service in a sliding window.
 
     Attributes:
-        bounds: How much may be sent again; may be replaced.
+        bounds: Size of the budget; may be replaced at any time.
     """
 
     def __init__(
@@ -54,11 +54,11 @@
         self._services: dict[str, _Counts] = {}
 
     def count_request(self, service: str) -> None:
-        """Note the first time that a request is sent."""
+        """Count a request, once for all its attempts."""
         self._find_counts(service).requests.append(trio.current_time())
 
     def has_retry_left(self, service: str) -> bool:
-        """Tell whether the budget has a repeat, without spending it."""
+        """Tell whether the budget allows a retry, without spending it."""
         counts = self._find_counts(service)
         bounds = self.bounds
         share = bounds.slack / max(1, self._count_daemons())
@@ -68,7 +68,7 @@
         return len(counts.retries) + 1 <= allowed
 
     def try_spend(self, service: str) -> bool:
-        """Spend one repeat if the budget has one."""
+        """Spend one retry if the budget allows it; tell whether it did."""
         if not self.has_retry_left(service):
             return False
         self._find_counts(service).retries.append(trio.current_time())
--- a/packages/daemon/src/martenquay_daemon/forwarding/routes.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/routes.py
@@ -1,4 +1,4 @@
-"""Find the route and the team of a request."""
+"""Match requests to routes and API keys to teams."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class RouteTable:
-    """The lookups of one version of the catalog.
+    """Lookup tables for one version of the catalog.
 
     Attributes:
-        catalog: What the lookups are made from.
+        catalog: The catalog that the tables are built from.
     """
 
     def __init__(self, content: catalog.Catalog) -> None:
@@ -29,7 +29,7 @@
         }
 
     def find_route(self, call: calls.Call) -> catalog.Route | None:
-        """Return the route with the longest prefix of the call's path."""
+        """Return the route whose prefix of the path is longest, if any."""
         path = call.path
         for route in self._by_host.get(call.host, []):
             if path.startswith(route.prefix):
@@ -37,14 +37,14 @@
         return None
 
     def find_team(self, key: str | None) -> catalog.Team | None:
-        """Return the team that holds a key."""
+        """Return the team that a key belongs to, if any."""
         return None if key is None else self._by_key.get(key)
 
     def needs_key(self, route: catalog.Route) -> bool:
-        """Tell whether requests of the route have to carry a key."""
+        """Tell whether requests of the route must carry a key."""
         return bool(self.catalog.teams) and not route.is_public
 
 
 def create_table(content: catalog.Catalog) -> RouteTable:
-    """Return the lookups of a catalog."""
+    """Return the lookup tables of a catalog."""
     return RouteTable(content)
--- a/packages/daemon/src/martenquay_daemon/forwarding/silence_limits.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/silence_limits.py
@@ -1,4 +1,4 @@
-"""Say how long a runner may be silent, by what a request allows."""
+"""Choose how long a runner may be silent during one attempt."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 __all__ = ["find_silence_limits"]
 
-# Events of a busy engine are up to 0.2 s apart, and a pause of 0.5 s makes an
-# answer late; a runner that is gone has to be found out in between.
+# Above the gap between events of a busy engine, below the pause that makes a
+# stream late.
 _STREAM_PROBE_AFTER_S = 0.25
-# Longer than nearly all plain calls work (22 ms on average, 110 ms at most).
+# Longer than nearly all plain calls take.
 _CALL_PROBE_AFTER_S = 0.15
-# A connection may be silent for good while its runner takes others. Events of
-# a runner eight times slower than a busy one are up to 1.6 s apart.
+# Above the gap between events of a very slow engine. A connection may be stuck
+# though its runner accepts others.
 _MAX_EVENT_GAP_S = 2.0
-# Before the answer has begun a runner may be silent for good reasons, so most
-# of the time is waited; what is left is enough for another to do the work.
+# Of the remaining time, before the first event; the rest is left for another
+# runner to do the work.
 _MAX_SILENCE_FRACTION = 2 / 3
 
 
@@ -36,17 +36,17 @@
     placement: placer.Placement,
     may_retry: Callable[[], bool],
 ) -> silence.SilenceLimits:
-    """Return the bounds for one attempt.
+    """Return the limits for one attempt.
 
     Args:
         current: The request.
-        placement: The runner.
-        may_retry: Whether it might be sent once more.
+        placement: The chosen runner.
+        may_retry: Whether the retry budget allows one more attempt.
     """
     max_silence_s = max_event_gap_s = math.inf
     has_next = current.attempts + 1 < current.route.max_attempts
     if has_next and placement.considered > 1:
-        # Another runner may do what this one seems not to.
+        # Without another runner to retry at, waiting is all that helps.
         max_silence_s = _MAX_SILENCE_FRACTION * (
             current.deadline - trio.current_time()
         )
--- a/packages/daemon/src/martenquay_daemon/forwarding/trial_notes.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/trial_notes.py
@@ -1,4 +1,4 @@
-"""Note what runners of a version on trial answer, and what the others do."""
+"""Record outcomes of attempts during a rollout, by old and new version."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class TrialNotes:
-    """Count attempts while an order is open."""
+    """Adds attempts to the tallies of a canary trial while it is open."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         runner: runners.Runner,
         result: exchange.AttemptResult,
     ) -> None:
-        """Count an attempt at a runner, if it says anything of its version."""
+        """Count an attempt at a runner if it reflects the runner's version."""
         rollout = self._orders.find(current.service)
         if rollout is None or rollout.phase.is_final:
             self._trials.forget(current.service)
@@ -61,8 +61,8 @@
         case exchange.NotSent() | exchange.NotRun():
             return False
         case exchange.Broken():
-            # All that a crashed runner had breaks off at once, and any version
-            # may lose its instance.
+            # A crash breaks all requests of a runner at once, and a runner of
+            # either version may lose its machine.
             return not current.has_runner_ended
         case _:
             return current.sent_at > 0
@@ -71,7 +71,7 @@
 def _find_latency(
     current: exchange.Exchange, result: exchange.AttemptResult
 ) -> float | None:
-    """Return how long a good answer took; None for a failure."""
+    """Return the latency of a successful answer in seconds, else None."""
     match result:
         case exchange.Delivered():
             return current.first_event_s
--- a/packages/daemon/src/martenquay_daemon/forwarding/usage_entry.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/usage_entry.py
@@ -1,4 +1,4 @@
-"""Count a request as begun, and take that back if it was not."""
+"""Count a request in the usage report, and undo that if it did not run."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class UsageEntry:
-    """A request counted as begun."""
+    """One request in the usage counts of its team."""
 
     def __init__(
         self, usage: usage_counts.UsageCounts, team: catalog.Team | None
@@ -22,11 +22,11 @@
         self._window: int | None = None
 
     def count(self) -> None:
-        """Count it."""
+        """Count the request in the current window."""
         if self._team is not None:
             self._window = self._usage.note_begin(self._team.name)
 
     def undo(self) -> None:
-        """Take it back if it was counted."""
+        """Remove the request from its window, if it was counted."""
         if self._team is not None and self._window is not None:
             self._usage.take_back(self._team.name, self._window)
