--- a/tests/departures.py
+++ b/tests/departures.py
@@ -1,4 +1,4 @@
-"""Play scenes in which callers leave: by a close and by a reset."""
+"""Test case: callers disconnect, each scenario by close and by reset."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 ]
 
 _HANG_S = 30.0
-# Far beyond the test's end: only the caller's leaving can end the work.
+# Longer than the test, so that only the disconnect can end the work.
 LONG_S = 600.0
 CALL_HEADERS = (
     b"host: desk.example\r\nattempt-id: call-1\r\ndeadline-ms: 600000\r\n"
@@ -57,13 +57,13 @@
 
 
 def build_event(number: int, filling: bytes = b"") -> bytes:
-    """Return an event of a stream as the chunk that carries it."""
+    """Return an event of a stream as an HTTP chunk."""
     raw = b"id: %d\ndata: token %d%s\n\n" % (number, number, filling)
     return b"%x\r\n%s\r\n" % (len(raw), raw)
 
 
 async def read_until(caller: trio.SocketStream, wanted: bytes) -> None:
-    """Read an answer until the bytes have come."""
+    """Read an answer until it contains the bytes."""
     whole = b""
     while wanted not in whole:
         data = await caller.receive_some(65_536)
@@ -74,14 +74,14 @@
 
 @dataclasses.dataclass
 class World:
-    """What a scenario works with.
+    """The environment of one scenario.
 
     Attributes:
         scene: The daemon and its runners.
-        log: What it wrote of callers that left.
+        log: The daemon's log lines of callers that left.
         connects: Its connections to runners.
-        is_reset: Callers leave by reset.
-        nursery: For runners that come later.
+        is_reset: Whether callers reset the connection instead of closing it.
+        nursery: Runs the runners that are added later.
     """
 
     scene: serving_scene.Scene
@@ -97,7 +97,7 @@
         return caller
 
     async def add_runner(self, script: Script) -> scripted.ScriptedRunner:
-        """Start one more runner and make it known."""
+        """Start one more runner and add it to the directory."""
         runner = scripted.ScriptedRunner([script])
         await self.nursery.start(runner.run)
         self.scene.add_runner(runner.address)
@@ -106,7 +106,7 @@
     async def leave(
         self, caller: trio.SocketStream, told: trio.Event | None = None
     ) -> None:
-        """Leave; both runner and log know of it within half a second."""
+        """Disconnect; expect runner and log to notice within half a second."""
         leaving.leave(caller, is_reset=self.is_reset)
         with trio.fail_after(leaving.TOLD_S):
             if told is not None:
@@ -116,7 +116,7 @@
 
 
 class DepartureTestCase(testtools.TestCase):
-    """Each scenario is played with callers that close and that reset."""
+    """Plays each scenario with a close and with a reset."""
 
     def play(
         self,
@@ -152,7 +152,7 @@
                 nursery.cancel_scope.cancel()
 
     def assert_told(self, world: World, stage: str, connects: int) -> None:
-        """Check the log line, and that nothing else went out."""
+        """Check the one log line and the number of connections to runners."""
         self.assertEqual(1, len(world.log.lines), world.log.lines)
         line = world.log.lines[0]
         self.assertEqual(("call-1", stage), (line["request"], line["stage"]))
--- a/tests/forwarder_case.py
+++ b/tests/forwarder_case.py
@@ -1,4 +1,4 @@
-"""Ask one daemon's forwarder before scripted runners."""
+"""Test case: one daemon that forwards requests to scripted runners."""
 
 from __future__ import annotations
 
@@ -87,7 +87,7 @@
         budget_ms: int = 5000,
         content: catalog.Catalog | None = None,
     ) -> tuple[serving_scene.Reply, list[list[bytes]]]:
-        """Return the reply and what each runner was sent."""
+        """Send one request; return the reply and each runner's requests."""
         found = []
 
         async def scenario(scene: serving_scene.Scene) -> None:
--- a/tests/test_forwarding/test_content_guard.py
+++ b/tests/test_forwarding/test_content_guard.py
@@ -1,4 +1,4 @@
-"""Only a runner that has crashed strikes what it was working on."""
+"""Only a crash of a runner is recorded against the content it served."""
 
 from __future__ import annotations
 
@@ -60,12 +60,12 @@
     def test_what_many_ask_for_is_served_after_all_its_runners_end(
         self,
     ) -> None:
-        # Six runners end at once under one content; nothing is at fault in it.
+        # Runners that end at the same time are no evidence against a content.
         async def scenario(scene: serving_scene.Scene) -> None:
             replies = await self._lose_runners(scene, _SAME, 60)
             for reply in replies:
                 self.assertNotIn(b"3007", reply.body)
-            # Asked for the last time when all others had their answers.
+            # Sent after all others were answered, which clears the records.
             self.assertEqual(200, replies[-1].status)
             self.assertTrue(scene.quarantine.is_empty)
 
@@ -74,7 +74,7 @@
     async def _lose_runners(
         self, scene: serving_scene.Scene, requests: bytes, count: int
     ) -> list[serving_scene.Reply]:
-        """Ask, have all runners crash at once and a good one be there."""
+        """Send requests, crash all their runners at once, add a good one."""
         replies: list[serving_scene.Reply] = []
 
         async def ask(number: int) -> None:
--- a/tests/test_forwarding/test_departure.py
+++ b/tests/test_forwarding/test_departure.py
@@ -1,4 +1,4 @@
-"""A caller that leaves before its runner has its request."""
+"""Callers that disconnect before a runner has their whole request."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from martenquay_core.serving import calls
 
-# More than the daemon and both ends of a connection hold back.
+# More than the socket buffers and the daemon hold.
 _BEYOND_BUFFERS = 3_000_000
 
 
@@ -54,7 +54,7 @@
     def test_a_request_that_is_read_after_its_caller_left(self) -> None:
         async def scenario(world: departures.World) -> None:
             host, _, port = world.scene.address.rpartition(":")
-            # Without a checkpoint, so the daemon reads it only afterwards.
+            # No checkpoint in between, so the daemon reads it after the close.
             sock = socket.create_connection((host, int(port)))
             sock.sendall(departures.CALL)
             stream = trio.SocketStream(trio.socket.from_stdlib_socket(sock))
@@ -134,7 +134,7 @@
                 self.assertEqual([address], world.connects.addresses)
                 await world.leave(caller)
                 self.assert_told(world, "connecting", connects=1)
-                # Only what filled the queue is in it.
+                # The accept queue holds only the connection that filled it.
                 listener.accept()[0].close()
                 self.assertRaises(BlockingIOError, listener.accept)
 
@@ -143,8 +143,8 @@
     def test_the_second_runners_connection(self) -> None:
         async def scenario(world: departures.World) -> None:
             world.connects.hangs_from = 1
-            # Else a test that is held up for 0.15 s has the first runner asked
-            # whether it lives, and that connection is the one that hangs.
+            # A slow test run would probe the first runner, and the probe would
+            # be the connection that hangs.
             with mock.patch.object(
                 silence_limits, "_CALL_PROBE_AFTER_S", departures.LONG_S
             ):
@@ -174,8 +174,7 @@
                 with trio.fail_after(leaving.TOLD_S):
                     size = await leaving.read_to_end(runner)
                 self.assertLess(size, len(body))
-                # A runner that is silent for long is asked whether it is
-                # there, which sends nothing.
+                # Probes of the silent runner connect but send nothing.
                 asked = len(world.connects.addresses) - 1
                 for _ in range(asked):
                     probe, _ = listener.accept()
@@ -186,12 +185,12 @@
 
 
 class _GoneWriter:
-    """The answer of a caller whose close has arrived, but nobody read it."""
+    """Writer of a caller whose close has arrived but was not read yet."""
 
     has_started = False
 
     def __init__(self, stays: int = 0) -> None:
-        """Take how often the caller is still found there."""
+        """Set how many checks still find the caller connected."""
         self._stays = stays
 
     @property
--- a/tests/test_forwarding/test_departure_answers.py
+++ b/tests/test_forwarding/test_departure_answers.py
@@ -1,4 +1,4 @@
-"""A caller that leaves while its answer is waited for or under way."""
+"""Callers that disconnect while their answer is awaited or streamed."""
 
 from __future__ import annotations
 
@@ -55,8 +55,8 @@
 
     def test_more_behind_the_request_than_is_read_ahead(self) -> None:
         async def scenario(world: departures.World) -> None:
-            # A close waits behind what the connection's window has no room
-            # for; a reset does not.
+            # A close is sent after all data, so that has to fit the receive
+            # window; a reset is sent at once.
             size = 200_000 if world.is_reset else 100_000
             ahead = departures.POST % size + b"a" * size
             caller = await world.call(departures.CALL + ahead)
@@ -110,7 +110,7 @@
         self.play(scenario, script, kind=catalog.CallKind.STREAM)
 
     def _play_resumed(self, second: Script, stage: str) -> None:
-        """Leave while the second runner of a stream has it."""
+        """Disconnect while the second runner serves the stream."""
 
         async def scenario(world: departures.World) -> None:
             caller = await world.call()
@@ -186,7 +186,7 @@
             held.append(await world.call())
             await world.scene.runners[0].heard.wait()
 
-        # A caller's connection that nobody holds would be closed.
+        # Keeps a reference, else the connection would be closed.
         held: list[trio.SocketStream] = []
         with leaving.open_departure_log() as log:
             self.play(scenario, departures.SILENT)
--- a/tests/test_forwarding/test_forwarder.py
+++ b/tests/test_forwarding/test_forwarder.py
@@ -1,4 +1,4 @@
-"""What a caller is told is true, whatever the runners do."""
+"""Answers to callers are true, whatever the runners do."""
 
 from __future__ import annotations
 
@@ -161,12 +161,10 @@
     def test_a_request_that_met_another_runner_counts_as_sent_again(
         self,
     ) -> None:
-        """Each runner that a request reaches counts against the retries.
+        """Guards against retries past the budget.
 
-        With runners that had started again at each other's addresses, one
-        request reached three that turned it away before the one that served
-        it, and none of the three was counted: 598 arrivals beyond the first
-        of their request came in 10 s where 536 are borne.
+        Runners restarted at each other's addresses reject a request each, and
+        each of these sends has to count as a retry.
         """
         moved = Script((case.build_answer(421),))
 
--- a/tests/test_forwarding/test_forwarder_streams.py
+++ b/tests/test_forwarding/test_forwarder_streams.py
@@ -1,4 +1,4 @@
-"""A stream is whole, goes on elsewhere, or is seen to be cut."""
+"""Streams arrive complete, resume at another runner, or end visibly cut."""
 
 from __future__ import annotations
 
@@ -144,12 +144,14 @@
             self.build_content(is_resumable=True), services=services
         )
 
-        async def count_hurries(scene: serving_scene.Scene, own: int) -> int:
-            prompt = b"prefix-hash: aa:500,bb:%d\r\n" % own
-            counts = b"token-counts: %d,80\r\n\r\n" % (500 + own)
+        async def count_early_digests(
+            scene: serving_scene.Scene, uncached: int
+        ) -> int:
+            prompt = b"prefix-hash: aa:500,bb:%d\r\n" % uncached
+            counts = b"token-counts: %d,80\r\n\r\n" % (500 + uncached)
             call = (case.CALL % (b"GET /lookup/7", 5000))[:-2]
             before = scene.hurries
-            # Whoever leaves at once may go before it is counted.
+            # Closing at once could cancel the request before it is counted.
             async with await scene.open_caller() as stream:
                 await stream.send_all(call + prompt + counts)
                 await serving_scene.read_reply(stream)
@@ -157,8 +159,8 @@
             return scene.hurries - before
 
         async def scenario(scene: serving_scene.Scene) -> None:
-            self.assertEqual(0, await count_hurries(scene, 100))
-            self.assertEqual(1, await count_hurries(scene, 12_000))
+            self.assertEqual(0, await count_early_digests(scene, 100))
+            self.assertEqual(1, await count_early_digests(scene, 12_000))
             counted = b'first_event_seconds_count{service="desk"} 2'
             self.assertIn(counted, scene.parts.metrics.render())
 
@@ -178,7 +180,7 @@
             scene.add_runner("127.0.0.1:1", id="gone-1")
             scene.add_runner("127.0.0.1:2", id="gone-2")
             prompt = b"prefix-hash: bb:8000\r\ntoken-counts: 8000,80\r\n\r\n"
-            # The two that are gone look better than the one that serves.
+            # The load makes the placer try the two dead runners first.
             real = scene.directory.list_all("desk")[0].id
             with scene.ledger.count(real, 90_000):
                 reply = await scene.ask(
@@ -186,7 +188,7 @@
                 )
             self.assertEqual(_event(1), reply.body)
             rate = scene.meter.list_rates()["desk"]
-            # 8,000 tokens over the meter's 8 s.
+            # 8,000 tokens over the meter's 8 s: counted once, not per try.
             self.assertLess(rate, 1001.0)
             self.assertGreater(rate, 900.0)
 
@@ -205,11 +207,13 @@
             real = scene.directory.list_all("desk")[0]
             call = case.CALL % (b"GET /lookup/7", 1000)
             for number in range(60):
-                own = 100 * number
-                result = model.FirstEvent(own, own, 0.05 + own / 50_000)
+                tokens = 100 * number
+                result = model.FirstEvent(
+                    tokens, tokens, 0.05 + tokens / 50_000
+                )
                 scene.estimates.note_first_event("desk", result)
                 scene.estimates.note_end("desk", 2.0)
-            # Each waits for the end of one before it: 30 of 6 slots' 2 s.
+            # 30 requests queue for 6 slots of 2 s each: about 10 s.
             others = {real.id: loads.RunnerLoad(real.slots + 30)}
             scene.ledger.replace_source("entry-2.aa", others)
             started = trio.current_time()
--- a/tests/test_forwarding/test_old_entries.py
+++ b/tests/test_forwarding/test_old_entries.py
@@ -1,11 +1,7 @@
-"""No request goes to a leaving runner because of entries that are too old.
-
-In a fleet of 77 daemons a request reached a runner 3.11 s after the log had
-taken that it leaves; 3.0 s are allowed. The daemon that sent it left the
-reading of the log to a hub, and nothing noted how far the hub's reading had
-come: an entry was used at any age. On a day played with ages in the lines a hub
-that the log had turned away until 24.5 s chose at 28.3 s by entries 3.96 s old,
-while its other reads had been answered since 25.9 s.
+"""Outdated entries are refreshed before use, so draining runners get nothing.
+
+A daemon that leaves reading the log to a hub must notice how old the hub's
+copy is, else it sends requests to a runner that drains.
 """
 
 from __future__ import annotations
@@ -22,7 +18,7 @@
     (b"HTTP/1.1 200 OK\r\nserver-seal: s1\r\ncontent-length: 2\r\n\r\nok",)
 )
 _ASKS = 12
-# Older than any bound on leaving runners allows.
+# Older than entries may be when they are used.
 _OLD_S = 2.6
 
 
--- a/tests/test_forwarding/test_retry_detector.py
+++ b/tests/test_forwarding/test_retry_detector.py
@@ -1,4 +1,4 @@
-"""Callers that come back are known by the time they have left."""
+"""Retries are recognized by the smaller time budget that they carry."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from tests import clocked
 
 
-class FirstTriesTest(clocked.ClockedTestCase):
+class RetryDetectorTest(clocked.ClockedTestCase):
     def test_who_waits_as_long_as_any_comes_for_the_first_time(self) -> None:
         async def scenario() -> None:
             tries = retry_detector.RetryDetector()
--- a/tests/test_forwarding/test_retry_window.py
+++ b/tests/test_forwarding/test_retry_window.py
@@ -1,4 +1,4 @@
-"""Repeats stay a share of the requests, over all daemons."""
+"""Retries stay within a share of the requests, over all daemons."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 _BOUNDS = retry_window.RetryBounds(ratio=0.2, window_s=10.0, slack=40.0)
 _DAEMONS = 8
-# A window without bounds would give repeats for ever.
-_FAR_TOO_MANY = 1000
+# Ends the loop if the window allows retries without bound.
+_MAX_RETRIES = 1000
 
 
 class RetryWindowTest(testtools.TestCase):
@@ -21,7 +21,7 @@
 
     def _take_all(self, window: retry_window.RetryWindow) -> int:
         count = 0
-        while count < _FAR_TOO_MANY and window.try_spend("desk"):
+        while count < _MAX_RETRIES and window.try_spend("desk"):
             count += 1
         return count
 
@@ -37,7 +37,7 @@
     def test_asking_for_room_spends_nothing(self) -> None:
         async def scenario() -> None:
             asked = retry_window.RetryWindow(_BOUNDS, lambda: _DAEMONS)
-            for _ in range(_FAR_TOO_MANY):
+            for _ in range(_MAX_RETRIES):
                 self.assertTrue(asked.has_retry_left("desk"))
             other = retry_window.RetryWindow(_BOUNDS, lambda: _DAEMONS)
             self.assertEqual(self._take_all(other), self._take_all(asked))
--- a/tests/test_forwarding/test_routes.py
+++ b/tests/test_forwarding/test_routes.py
@@ -1,4 +1,4 @@
-"""Requests find the route with the longest prefix, and their team."""
+"""Requests match the route with the longest prefix, and keys their team."""
 
 from __future__ import annotations
 
