--- a/packages/daemon/src/martenquay_daemon/forwarding/forwarder.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/forwarder.py
@@ -37,7 +37,7 @@
         content_guard,
         metrics,
         retry_window,
-        trial_notes,
+        trial_recorder,
     )
     from martenquay_daemon.limits import ejection
 
@@ -94,7 +94,7 @@
     runner_gate: runner_gate.RunnerAdmission
     guard: content_guard.ContentGuard
     stop: stop_window.StopWindow
-    trials: trial_notes.TrialNotes
+    trials: trial_recorder.TrialRecorder
     metrics: metrics.ForwardingMetrics
     codec: ports.CallCodec
     rng: random.Random
--- a/packages/daemon/src/martenquay_daemon/forwarding/trial_notes.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/trial_recorder.py
@@ -12,12 +12,12 @@
     from martenquay_core.serving import runners
     from martenquay_daemon.rollouts import registry, tallies, versions
 
-__all__ = ["TrialNotes"]
+__all__ = ["TrialRecorder"]
 
 _MIN_SERVER_ERROR_STATUS = 500
 
 
-class TrialNotes:
+class TrialRecorder:
     """Adds attempts to the tallies of a canary trial while it is open."""
 
     def __init__(
--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -49,7 +49,7 @@
     metrics,
     retry_window,
     stop_window,
-    trial_notes,
+    trial_recorder,
 )
 from martenquay_daemon.limits import ejection
 from martenquay_daemon.quarantine import manager
@@ -480,7 +480,7 @@
             runner_gate=self._backpressure.gate,
             guard=content_guard.ContentGuard(self._quarantine, self._directory),
             stop=self._stop_window,
-            trials=trial_notes.TrialNotes(
+            trials=trial_recorder.TrialRecorder(
                 self._rollouts.orders,
                 self._rollouts.trials,
                 self._rollouts.versions,
--- a/tests/serving_scene.py
+++ b/tests/serving_scene.py
@@ -29,7 +29,7 @@
     metrics,
     retry_window,
     stop_window,
-    trial_notes,
+    trial_recorder,
 )
 from martenquay_daemon.limits import ejection
 from martenquay_daemon.quarantine import manager
@@ -175,7 +175,7 @@
                 self.quarantine, self.directory, self._has_ended
             ),
             stop=self.stop,
-            trials=trial_notes.TrialNotes(
+            trials=trial_recorder.TrialRecorder(
                 orders,
                 tallies.TallyTable(),
                 versions.VersionChooser(orders, rng, lambda: 1),
