--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -275,10 +275,10 @@
     ),
     Mutation(
         "an answer takes strikes back",
-        f"{DAEMON}/forwarding/content_guard.py",
+        f"{DAEMON}/forwarding/quarantine_filter.py",
         "if current.latest_crash_seen:",
         "if False:",
-        "tests.test_forwarding.test_content_guard",
+        "tests.test_forwarding.test_quarantine_filter",
     ),
     Mutation(
         "a limit has few holders",
--- a/packages/daemon/src/martenquay_daemon/forwarding/forwarder.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/forwarder.py
@@ -34,8 +34,8 @@
     )
     from martenquay_daemon.forwarding import (
         attempt,
-        content_guard,
         metrics,
+        quarantine_filter,
         retry_window,
         trial_recorder,
     )
@@ -73,7 +73,7 @@
         retries: Retry budget by service.
         ejector: Ejects failing runners.
         runner_gate: Limits, backoffs and drains that runners reported.
-        guard: Rejects requests whose content crashes runners.
+        quarantine: Rejects requests whose content crashes runners.
         stop: Rejects requests that the daemon's stop would cut off.
         trials: Records results of canary trials.
         metrics: Prometheus metrics.
@@ -92,7 +92,7 @@
     retries: retry_window.RetryWindow
     ejector: ejection.Ejector
     runner_gate: runner_gate.RunnerAdmission
-    guard: content_guard.ContentGuard
+    quarantine: quarantine_filter.QuarantineFilter
     stop: stop_window.StopWindow
     trials: trial_recorder.TrialRecorder
     metrics: metrics.ForwardingMetrics
@@ -170,7 +170,7 @@
             ),
         )
         # Checked before the quota, so that a rejected request costs none.
-        hold_s = self._parts.guard.find_hold(current)
+        hold_s = self._parts.quarantine.find_hold(current)
         if hold_s is not None:
             return own_answers.describe_quarantine(hold_s)
         return (
@@ -303,7 +303,9 @@
                 placement,
                 lambda: parts.retries.has_retry_left(current.service),
             )
-            await parts.guard.note_result(current, placement.runner, result)
+            await parts.quarantine.note_result(
+                current, placement.runner, result
+            )
             parts.trials.note_result(current, placement.runner, result)
             if isinstance(result, exchange.Delivered | exchange.Whole):
                 parts.ejector.note_success(placement.runner.id)
@@ -341,7 +343,7 @@
             )
         # Outdated entries would send requests to runners that drain.
         await parts.entries.refresh()
-        hold_s = parts.guard.find_hold(current)
+        hold_s = parts.quarantine.find_hold(current)
         if hold_s is not None and not current.attempts:
             return own_answers.describe_quarantine(hold_s)
         # The stop may have begun during the waits for quota and entries.
--- a/packages/daemon/src/martenquay_daemon/forwarding/content_guard.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/quarantine_filter.py
@@ -14,10 +14,10 @@
     from martenquay_daemon.discovery import runner_directory
     from martenquay_daemon.quarantine import manager
 
-__all__ = ["ContentGuard"]
+__all__ = ["QuarantineFilter"]
 
 
-class ContentGuard:
+class QuarantineFilter:
     """Rejects requests whose content crashes runners, and reports crashes."""
 
     def __init__(
--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -43,10 +43,10 @@
 )
 from martenquay_daemon.forwarding import (
     attempt,
-    content_guard,
     forwarder,
     listener,
     metrics,
+    quarantine_filter,
     retry_window,
     stop_window,
     trial_recorder,
@@ -478,7 +478,9 @@
             retries=self._retries,
             ejector=self._ejector,
             runner_gate=self._backpressure.gate,
-            guard=content_guard.ContentGuard(self._quarantine, self._directory),
+            quarantine=quarantine_filter.QuarantineFilter(
+                self._quarantine, self._directory
+            ),
             stop=self._stop_window,
             trials=trial_recorder.TrialRecorder(
                 self._rollouts.orders,
--- a/tests/serving_scene.py
+++ b/tests/serving_scene.py
@@ -23,10 +23,10 @@
 from martenquay_daemon.engines import demand, lengths, loads, model, placer
 from martenquay_daemon.forwarding import (
     attempt,
-    content_guard,
     forwarder,
     listener,
     metrics,
+    quarantine_filter,
     retry_window,
     stop_window,
     trial_recorder,
@@ -171,7 +171,7 @@
             retries=retry_window.RetryWindow(bounds, lambda: 1),
             ejector=ejector,
             runner_gate=self.runner_gate,
-            guard=content_guard.ContentGuard(
+            quarantine=quarantine_filter.QuarantineFilter(
                 self.quarantine, self.directory, self._has_ended
             ),
             stop=self.stop,
--- a/tests/test_forwarding/test_content_guard.py
+++ b/tests/test_forwarding/test_quarantine_filter.py
@@ -28,7 +28,7 @@
 _RESET = scripted.Script(is_reset=True)
 
 
-class ContentGuardTest(testtools.TestCase):
+class QuarantineFilterTest(testtools.TestCase):
     def test_a_runner_that_spoils_answers_strikes_nothing(self) -> None:
         async def scenario(scene: serving_scene.Scene) -> None:
             for number in range(5):
