--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -89,17 +89,18 @@
     Mutation(
         "a caller's close is seen behind what it sent ahead",
         f"{DAEMON}/forwarding/caller_connection.py",
-        "        await departure.wait_until_left(self._stream.socket)\n"
+        "        await disconnects.wait_until_disconnected("
+        "self._stream.socket)\n"
         "        scope.cancel()\n",
         "",
-        "tests.test_forwarding.test_departure_answers.WaitingTest",
+        "tests.test_forwarding.test_disconnects_answers.WaitingTest",
     ),
     Mutation(
         "nothing is sent for a caller that is gone",
         f"{DAEMON}/forwarding/exchange.py",
-        "        if self.writer.has_left:\n",
+        "        if self.writer.has_disconnected:\n",
         "        if False:\n",
-        "tests.test_forwarding.test_departure",
+        "tests.test_forwarding.test_disconnects",
     ),
     Mutation(
         "calls that were given up are reset",
--- a/packages/daemon/src/martenquay_daemon/forwarding/answers.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/answers.py
@@ -25,7 +25,7 @@
     has_started: bool
 
     @property
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the caller has closed the connection by now.
 
         Asks the kernel: the close may have arrived without being read.
--- a/packages/daemon/src/martenquay_daemon/forwarding/attempt.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/attempt.py
@@ -11,7 +11,7 @@
 from martenquay_core.serving import calls, catalog, signals
 from martenquay_daemon.engines import model
 from martenquay_daemon.forwarding import (
-    departure,
+    disconnects,
     event_stream,
     exchange,
     silence,
@@ -87,10 +87,10 @@
             other answers are returned.
 
         Raises:
-            CallerLeftError: The caller disconnected.
+            CallerDisconnectedError: The caller disconnected.
         """
         runner = placement.runner
-        current.stage = departure.Stage.CONNECTING
+        current.stage = disconnects.Stage.CONNECTING
         current.reported_signals = signals.NO_SIGNALS
         self._note_demand(current, placement)
         result: exchange.AttemptResult = exchange.TimedOut()
@@ -168,7 +168,7 @@
                     current, placement, connection, running
                 )
             except (
-                exchange.CallerLeftError,
+                exchange.CallerDisconnectedError,
                 connections.BrokenAnswerError,
                 trio.BrokenResourceError,
                 trio.ClosedResourceError,
@@ -191,7 +191,7 @@
         problem = self._gate.try_admit(placement.runner)
         if problem:
             return exchange.Withheld(problem)
-        current.stage = departure.Stage.SENDING
+        current.stage = disconnects.Stage.SENDING
         request = self._create_request(current, placement)
         current.attempts += 1
         current.may_have_run = True
@@ -285,7 +285,7 @@
                 # The runner may stop reading once it has answered.
                 with contextlib.suppress(connections.BrokenAnswerError):
                     await connection.send_request(request)
-                    current.stage = departure.Stage.WAITING
+                    current.stage = disconnects.Stage.WAITING
 
             nursery.start_soon(send)
             try:
@@ -295,7 +295,7 @@
             nursery.cancel_scope.cancel()
         if failure:
             raise failure[0]
-        current.stage = departure.Stage.WAITING
+        current.stage = disconnects.Stage.WAITING
         return head
 
     @contextlib.contextmanager
@@ -382,7 +382,7 @@
             new_events.append(event.raw)
         if not new_events:
             return ""
-        current.stage = departure.Stage.STREAMING
+        current.stage = disconnects.Stage.STREAMING
         if not current.writer.has_started:
             await current.writer.start(head.status, head.headers, None)
         current.events_delivered += len(new_events)
--- a/packages/daemon/src/martenquay_daemon/forwarding/caller_connection.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/caller_connection.py
@@ -16,7 +16,7 @@
 import trio
 
 from martenquay_core import logs, results
-from martenquay_daemon.forwarding import answers, departure
+from martenquay_daemon.forwarding import answers, disconnects
 
 if TYPE_CHECKING:
     from martenquay_core.serving import calls, catalog, ports
@@ -89,9 +89,9 @@
         self._connection = connection
 
     @property
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the caller has closed its connection."""
-        return self._connection.has_left
+        return self._connection.has_disconnected
 
     async def start(
         self, status: int, headers: calls.Headers, length: int | None
@@ -144,9 +144,9 @@
         self._idle_scope: trio.CancelScope | None = None
 
     @property
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the caller has closed its connection."""
-        return departure.has_left(self._stream.socket)
+        return disconnects.has_disconnected(self._stream.socket)
 
     async def serve(self) -> None:
         """Serve requests until either side closes."""
@@ -154,8 +154,8 @@
             while await self._serve_one():
                 self._http.start_next_cycle()
         except _CallerGoneError:
-            departure.log_departure(
-                self._call_id, departure.Stage.READING, self._received_at
+            disconnects.log_disconnect(
+                self._call_id, disconnects.Stage.READING, self._received_at
             )
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             # The caller left; what that means was decided where it matters.
@@ -280,7 +280,7 @@
             ahead += len(data)
             self._http.receive_data(data)
         # The rest has to wait for its turn, and the close stands behind it.
-        await departure.wait_until_left(self._stream.socket)
+        await disconnects.wait_until_disconnected(self._stream.socket)
         scope.cancel()
 
     async def _read_call(self) -> calls.Call | None:
--- a/packages/daemon/src/martenquay_daemon/forwarding/departure.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/disconnects.py
@@ -17,7 +17,12 @@
 if TYPE_CHECKING:
     from trio.socket import SocketType
 
-__all__ = ["Stage", "has_left", "log_departure", "wait_until_left"]
+__all__ = [
+    "Stage",
+    "has_disconnected",
+    "log_disconnect",
+    "wait_until_disconnected",
+]
 
 _LOG = logs.create_log("callers")
 
@@ -33,14 +38,14 @@
     STREAMING = "streaming"
 
 
-def has_left(sock: SocketType) -> bool:
+def has_disconnected(sock: SocketType) -> bool:
     """Tell whether the peer has closed or reset the connection."""
     kernel = select.poll()
     kernel.register(sock, select.POLLRDHUP)
     return bool(kernel.poll(0))
 
 
-async def wait_until_left(sock: SocketType) -> None:
+async def wait_until_disconnected(sock: SocketType) -> None:
     """Wait until the peer has closed or reset the connection."""
     # trio can wait for readability only, which unread bytes cause as well.
     with select.epoll() as kernel:
@@ -48,7 +53,7 @@
         await trio.lowlevel.wait_readable(kernel.fileno())
 
 
-def log_departure(
+def log_disconnect(
     call_id: str, stage: Stage, received_at: float, **fields: object
 ) -> None:
     """Log that a caller disconnected before its answer was complete.
--- a/packages/daemon/src/martenquay_daemon/forwarding/exchange.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/exchange.py
@@ -7,7 +7,7 @@
 
 from martenquay_core.serving import signals
 from martenquay_daemon.allowances import terms
-from martenquay_daemon.forwarding import departure
+from martenquay_daemon.forwarding import disconnects
 
 if TYPE_CHECKING:
     from martenquay_core.serving import calls, catalog
@@ -16,7 +16,7 @@
 __all__ = [
     "AttemptResult",
     "Broken",
-    "CallerLeftError",
+    "CallerDisconnectedError",
     "Delivered",
     "Exchange",
     "NotRun",
@@ -28,7 +28,7 @@
 ]
 
 
-class CallerLeftError(Exception):
+class CallerDisconnectedError(Exception):
     """The caller disconnected before its answer was complete."""
 
 
@@ -82,7 +82,7 @@
     received_at: float
     deadline: float
     writer: answers.AnswerWriter
-    stage: departure.Stage = departure.Stage.QUEUED
+    stage: disconnects.Stage = disconnects.Stage.QUEUED
     attempts: int = 0
     may_have_run: bool = False
     last_event_id: int | None = None
@@ -118,10 +118,10 @@
         is about to send to a runner.
 
         Raises:
-            CallerLeftError: The caller has disconnected.
+            CallerDisconnectedError: The caller has disconnected.
         """
-        if self.writer.has_left:
-            raise CallerLeftError
+        if self.writer.has_disconnected:
+            raise CallerDisconnectedError
 
 
 @dataclasses.dataclass(frozen=True)
--- a/packages/daemon/src/martenquay_daemon/forwarding/forwarder.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/forwarder.py
@@ -12,7 +12,7 @@
 from martenquay_daemon.engines import placer
 from martenquay_daemon.forwarding import (
     answers,
-    departure,
+    disconnects,
     exchange,
     own_answers,
     request_log,
@@ -257,11 +257,11 @@
         """Forward until the answer is complete or the caller disconnects."""
         try:
             await self._forward(current)
-        except exchange.CallerLeftError:
+        except exchange.CallerDisconnectedError:
             self._request_log.log_disconnect(current)
         except (trio.BrokenResourceError, trio.Cancelled):
             # The daemon's stop cancels as well, while callers are connected.
-            if current.writer.has_left:
+            if current.writer.has_disconnected:
                 self._request_log.log_disconnect(current)
             raise
 
@@ -330,7 +330,7 @@
     ) -> placer.Placement | exchange.Whole | answers.OwnAnswer:
         """Return the next runner, or the final answer if there is none."""
         parts = self._parts
-        current.stage = departure.Stage.QUEUED
+        current.stage = disconnects.Stage.QUEUED
         current.check_caller()
         if trio.current_time() >= current.deadline:
             return current.fallback_answer or own_answers.describe_timeout(
--- a/packages/daemon/src/martenquay_daemon/forwarding/request_log.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/request_log.py
@@ -7,7 +7,7 @@
 import trio
 
 from martenquay_core import logs
-from martenquay_daemon.forwarding import departure, exchange
+from martenquay_daemon.forwarding import disconnects, exchange
 
 if TYPE_CHECKING:
     from martenquay_daemon.discovery import catalog_store
@@ -68,7 +68,7 @@
 
     def log_disconnect(self, current: exchange.Exchange) -> None:
         """Log that the caller disconnected before its answer was complete."""
-        departure.log_departure(
+        disconnects.log_disconnect(
             current.call.id,
             current.stage,
             current.received_at,
--- a/tests/departures.py
+++ b/tests/disconnects.py
@@ -28,7 +28,7 @@
     "POST",
     "SILENT",
     "STREAM_HEAD",
-    "DepartureTestCase",
+    "DisconnectTestCase",
     "World",
     "build_event",
     "read_until",
@@ -115,7 +115,7 @@
         await trio.testing.wait_all_tasks_blocked()
 
 
-class DepartureTestCase(testtools.TestCase):
+class DisconnectTestCase(testtools.TestCase):
     """Plays each scenario with a close and with a reset."""
 
     def play(
--- a/tests/test_forwarding/test_departure.py
+++ b/tests/test_forwarding/test_disconnects.py
@@ -10,7 +10,7 @@
 import trio.testing
 
 from martenquay_daemon.forwarding import attempt, forwarder, silence_limits
-from tests import departures, leaving
+from tests import disconnects, leaving
 from tests import serving_builders as builders
 
 if TYPE_CHECKING:
@@ -20,63 +20,63 @@
 _BEYOND_BUFFERS = 3_000_000
 
 
-class UnreadTest(departures.DepartureTestCase):
+class UnreadTest(disconnects.DisconnectTestCase):
     def test_half_a_head(self) -> None:
-        async def scenario(world: departures.World) -> None:
-            caller = await world.call(departures.CALL[:-2])
+        async def scenario(world: disconnects.World) -> None:
+            caller = await world.call(disconnects.CALL[:-2])
             await trio.testing.wait_all_tasks_blocked()
             await world.leave(caller)
             self.assertEqual("reading", world.log.lines[0]["stage"])
             self.assertEqual([], world.connects.addresses)
 
-        self.play(scenario, departures.GOOD)
+        self.play(scenario, disconnects.GOOD)
 
     def test_half_a_body(self) -> None:
-        async def scenario(world: departures.World) -> None:
-            caller = await world.call(departures.POST % 1000 + b"a" * 500)
+        async def scenario(world: disconnects.World) -> None:
+            caller = await world.call(disconnects.POST % 1000 + b"a" * 500)
             await trio.testing.wait_all_tasks_blocked()
             await world.leave(caller)
             self.assert_told(world, "reading", connects=0)
 
-        self.play(scenario, departures.GOOD)
+        self.play(scenario, disconnects.GOOD)
 
     def test_half_a_chunked_body(self) -> None:
-        async def scenario(world: departures.World) -> None:
-            head = b"POST /lookup/7 HTTP/1.1\r\n" + departures.CALL_HEADERS
+        async def scenario(world: disconnects.World) -> None:
+            head = b"POST /lookup/7 HTTP/1.1\r\n" + disconnects.CALL_HEADERS
             raw = head + b"transfer-encoding: chunked\r\n\r\n1f4\r\naaa"
             caller = await world.call(raw)
             await trio.testing.wait_all_tasks_blocked()
             await world.leave(caller)
             self.assert_told(world, "reading", connects=0)
 
-        self.play(scenario, departures.GOOD)
+        self.play(scenario, disconnects.GOOD)
 
     def test_a_request_that_is_read_after_its_caller_left(self) -> None:
-        async def scenario(world: departures.World) -> None:
+        async def scenario(world: disconnects.World) -> None:
             host, _, port = world.scene.address.rpartition(":")
             # No checkpoint in between, so the daemon reads it after the close.
             sock = socket.create_connection((host, int(port)))
-            sock.sendall(departures.CALL)
+            sock.sendall(disconnects.CALL)
             stream = trio.SocketStream(trio.socket.from_stdlib_socket(sock))
             await world.leave(stream)
             self.assert_told(world, "queued", connects=0)
 
-        self.play(scenario, departures.GOOD)
+        self.play(scenario, disconnects.GOOD)
 
     def test_a_request_behind_one_whose_caller_left(self) -> None:
-        async def scenario(world: departures.World) -> None:
-            caller = await world.call(departures.CALL + departures.CALL)
+        async def scenario(world: disconnects.World) -> None:
+            caller = await world.call(disconnects.CALL + disconnects.CALL)
             runner = world.scene.runners[0]
             await runner.heard.wait()
             await world.leave(caller, runner.closed)
             self.assert_told(world, "waiting", connects=1)
 
-        self.play(scenario, departures.SILENT)
+        self.play(scenario, disconnects.SILENT)
 
 
-class QueuedTest(departures.DepartureTestCase):
+class QueuedTest(disconnects.DisconnectTestCase):
     def test_a_request_that_waits_its_turn(self) -> None:
-        async def scenario(world: departures.World) -> None:
+        async def scenario(world: disconnects.World) -> None:
             waits, ended = trio.Event(), trio.Event()
 
             async def wait_turn(*_: object) -> None:
@@ -94,22 +94,22 @@
                 await world.leave(caller, ended)
             self.assert_told(world, "queued", connects=0)
 
-        self.play(scenario, departures.GOOD)
+        self.play(scenario, disconnects.GOOD)
 
     def test_nothing_is_tried_for_a_caller_that_is_gone(self) -> None:
-        async def scenario(world: departures.World) -> None:
+        async def scenario(world: disconnects.World) -> None:
             writer = _GoneWriter()
             handler = forwarder.Forwarder(world.scene.parts)
             call = builders.build_call()
             await handler.handle(call, trio.current_time(), writer)
             self.assert_told(world, "queued", connects=0)
 
-        self.play(scenario, departures.GOOD)
+        self.play(scenario, disconnects.GOOD)
 
 
-class ConnectingTest(departures.DepartureTestCase):
+class ConnectingTest(disconnects.DisconnectTestCase):
     def test_a_close_that_came_while_a_connection_came_up(self) -> None:
-        async def scenario(world: departures.World) -> None:
+        async def scenario(world: disconnects.World) -> None:
             handler = forwarder.Forwarder(world.scene.parts)
             call = builders.build_call()
             writer = _GoneWriter(stays=1)
@@ -118,14 +118,14 @@
             self.assert_told(world, "connecting", connects=1)
             self.assertEqual([b""], world.scene.runners[0].requests)
 
-        self.play(scenario, departures.GOOD)
+        self.play(scenario, disconnects.GOOD)
 
     def test_a_connection_that_does_not_come_up(self) -> None:
-        async def scenario(world: departures.World) -> None:
+        async def scenario(world: disconnects.World) -> None:
             with (
                 leaving.listen_hung() as (listener, address),
                 mock.patch.object(
-                    attempt, "_CONNECT_TIMEOUT_S", departures.LONG_S
+                    attempt, "_CONNECT_TIMEOUT_S", disconnects.LONG_S
                 ),
             ):
                 world.scene.add_runner(address)
@@ -141,33 +141,33 @@
         self.play(scenario)
 
     def test_the_second_runners_connection(self) -> None:
-        async def scenario(world: departures.World) -> None:
+        async def scenario(world: disconnects.World) -> None:
             world.connects.hangs_from = 1
             # A slow test run would probe the first runner, and the probe would
             # be the connection that hangs.
             with mock.patch.object(
-                silence_limits, "_CALL_PROBE_AFTER_S", departures.LONG_S
+                silence_limits, "_CALL_PROBE_AFTER_S", disconnects.LONG_S
             ):
                 caller = await world.call()
                 first = world.scene.runners[0]
                 await first.heard.wait()
-                second = await world.add_runner(departures.GOOD)
+                second = await world.add_runner(disconnects.GOOD)
                 first.break_off()
                 await world.connects.hung.wait()
                 await world.leave(caller, world.connects.ended)
             self.assert_told(world, "connecting", connects=2)
             self.assertEqual([], second.requests)
 
-        self.play(scenario, departures.SILENT)
+        self.play(scenario, disconnects.SILENT)
 
 
-class SendingTest(departures.DepartureTestCase):
+class SendingTest(disconnects.DisconnectTestCase):
     def test_a_runner_that_does_not_read(self) -> None:
-        async def scenario(world: departures.World) -> None:
+        async def scenario(world: disconnects.World) -> None:
             with leaving.listen_deaf() as (listener, address):
                 world.scene.add_runner(address)
                 body = b"a" * _BEYOND_BUFFERS
-                caller = await world.call(departures.POST % len(body) + body)
+                caller = await world.call(disconnects.POST % len(body) + body)
                 await trio.testing.wait_all_tasks_blocked(0.1)
                 runner, _ = listener.accept()
                 await world.leave(caller)
@@ -194,7 +194,7 @@
         self._stays = stays
 
     @property
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         self._stays -= 1
         return self._stays < 0
 
--- a/tests/test_forwarding/test_departure_answers.py
+++ b/tests/test_forwarding/test_disconnects_answers.py
@@ -7,22 +7,22 @@
 
 from martenquay_core.serving import catalog
 from martenquay_standins.ports.runner import Script
-from tests import departures, leaving
+from tests import disconnects, leaving
 
 _BEGUN = Script(
-    (departures.STREAM_HEAD + departures.build_event(1),), is_held=True
+    (disconnects.STREAM_HEAD + disconnects.build_event(1),), is_held=True
 )
 
 
-class WaitingTest(departures.DepartureTestCase):
+class WaitingTest(disconnects.DisconnectTestCase):
     def _play_held(
         self, script: Script, kind: catalog.CallKind, ahead: bytes = b""
     ) -> None:
-        async def scenario(world: departures.World) -> None:
-            caller = await world.call(departures.CALL + ahead)
+        async def scenario(world: disconnects.World) -> None:
+            caller = await world.call(disconnects.CALL + ahead)
             runner = world.scene.runners[0]
             await runner.heard.wait()
-            spare = await world.add_runner(departures.GOOD)
+            spare = await world.add_runner(disconnects.GOOD)
             await trio.testing.wait_all_tasks_blocked()
             await world.leave(caller, runner.closed)
             self.assert_told(world, "waiting", connects=1)
@@ -31,10 +31,10 @@
         self.play(scenario, script, kind=kind)
 
     def test_an_answer_that_does_not_come(self) -> None:
-        self._play_held(departures.SILENT, catalog.CallKind.IDEMPOTENT)
+        self._play_held(disconnects.SILENT, catalog.CallKind.IDEMPOTENT)
 
     def test_an_answer_to_what_may_not_be_repeated(self) -> None:
-        self._play_held(departures.SILENT, catalog.CallKind.NON_IDEMPOTENT)
+        self._play_held(disconnects.SILENT, catalog.CallKind.NON_IDEMPOTENT)
 
     def test_half_a_plain_answer(self) -> None:
         half = (
@@ -44,32 +44,32 @@
         self._play_held(script, catalog.CallKind.IDEMPOTENT)
 
     def test_a_stream_without_a_head(self) -> None:
-        self._play_held(departures.SILENT, catalog.CallKind.STREAM)
+        self._play_held(disconnects.SILENT, catalog.CallKind.STREAM)
 
     def test_a_stream_without_an_event(self) -> None:
-        script = Script((departures.STREAM_HEAD,), is_held=True)
+        script = Script((disconnects.STREAM_HEAD,), is_held=True)
         self._play_held(script, catalog.CallKind.STREAM)
 
     def test_a_byte_behind_the_request(self) -> None:
-        self._play_held(departures.SILENT, catalog.CallKind.IDEMPOTENT, b"G")
+        self._play_held(disconnects.SILENT, catalog.CallKind.IDEMPOTENT, b"G")
 
     def test_more_behind_the_request_than_is_read_ahead(self) -> None:
-        async def scenario(world: departures.World) -> None:
+        async def scenario(world: disconnects.World) -> None:
             # A close is sent after all data, so that has to fit the receive
             # window; a reset is sent at once.
             size = 200_000 if world.is_reset else 100_000
-            ahead = departures.POST % size + b"a" * size
-            caller = await world.call(departures.CALL + ahead)
+            ahead = disconnects.POST % size + b"a" * size
+            caller = await world.call(disconnects.CALL + ahead)
             runner = world.scene.runners[0]
             await runner.heard.wait()
             await trio.testing.wait_all_tasks_blocked()
             await world.leave(caller, runner.closed)
             self.assert_told(world, "waiting", connects=1)
 
-        self.play(scenario, departures.SILENT)
+        self.play(scenario, disconnects.SILENT)
 
     def test_the_question_whether_a_runner_is_there(self) -> None:
-        async def scenario(world: departures.World) -> None:
+        async def scenario(world: disconnects.World) -> None:
             world.connects.hangs_from = 1
             caller = await world.call()
             runner = world.scene.runners[0]
@@ -78,15 +78,15 @@
             await world.connects.ended.wait()
             self.assert_told(world, "waiting", connects=2)
 
-        self.play(scenario, departures.SILENT)
+        self.play(scenario, disconnects.SILENT)
 
 
-class StreamingTest(departures.DepartureTestCase):
+class StreamingTest(disconnects.DisconnectTestCase):
     def test_a_stream_that_has_begun(self) -> None:
-        async def scenario(world: departures.World) -> None:
+        async def scenario(world: disconnects.World) -> None:
             caller = await world.call()
-            await departures.read_until(caller, b"token 1")
-            spare = await world.add_runner(departures.GOOD)
+            await disconnects.read_until(caller, b"token 1")
+            spare = await world.add_runner(disconnects.GOOD)
             await world.leave(caller, world.scene.runners[0].closed)
             self.assert_told(world, "streaming", connects=1)
             self.assertEqual([], spare.requests)
@@ -95,11 +95,11 @@
 
     def test_a_caller_that_has_stopped_reading(self) -> None:
         big = [
-            departures.build_event(n, b"a" * 1_000_000) for n in range(1, 40)
+            disconnects.build_event(n, b"a" * 1_000_000) for n in range(1, 40)
         ]
-        script = Script((departures.STREAM_HEAD, *big), is_held=True)
+        script = Script((disconnects.STREAM_HEAD, *big), is_held=True)
 
-        async def scenario(world: departures.World) -> None:
+        async def scenario(world: disconnects.World) -> None:
             caller = await world.call()
             runner = world.scene.runners[0]
             await runner.heard.wait()
@@ -112,17 +112,17 @@
     def _play_resumed(self, second: Script, stage: str) -> None:
         """Disconnect while the second runner serves the stream."""
 
-        async def scenario(world: departures.World) -> None:
+        async def scenario(world: disconnects.World) -> None:
             caller = await world.call()
             first = world.scene.runners[0]
-            await departures.read_until(caller, b"token 1")
+            await disconnects.read_until(caller, b"token 1")
             runner = await world.add_runner(second)
             first.break_off()
             await runner.heard.wait()
             if stage == "streaming":
-                await departures.read_until(caller, b"token 2")
+                await disconnects.read_until(caller, b"token 2")
             await trio.testing.wait_all_tasks_blocked()
-            spare = await world.add_runner(departures.GOOD)
+            spare = await world.add_runner(disconnects.GOOD)
             await world.leave(caller, runner.closed)
             self.assert_told(world, stage, connects=2)
             self.assertEqual([], spare.requests)
@@ -130,20 +130,21 @@
         self.play(scenario, _BEGUN, kind=catalog.CallKind.STREAM)
 
     def test_a_second_runner_that_has_said_nothing(self) -> None:
-        self._play_resumed(departures.SILENT, "waiting")
+        self._play_resumed(disconnects.SILENT, "waiting")
 
     def test_a_second_runner_in_mid_stream(self) -> None:
         rest = Script(
-            (departures.STREAM_HEAD + departures.build_event(2),), is_held=True
+            (disconnects.STREAM_HEAD + disconnects.build_event(2),),
+            is_held=True,
         )
         self._play_resumed(rest, "streaming")
 
     def test_a_stream_between_its_two_runners(self) -> None:
-        async def scenario(world: departures.World) -> None:
+        async def scenario(world: disconnects.World) -> None:
             world.connects.hangs_from = 1
             caller = await world.call()
-            await departures.read_until(caller, b"token 1")
-            second = await world.add_runner(departures.GOOD)
+            await disconnects.read_until(caller, b"token 1")
+            second = await world.add_runner(disconnects.GOOD)
             world.scene.runners[0].break_off()
             await world.connects.hung.wait()
             await world.leave(caller, world.connects.ended)
@@ -154,10 +155,10 @@
         self.play(scenario, _BEGUN, kind=catalog.CallKind.STREAM)
 
     def test_a_break_at_the_moment_of_leaving(self) -> None:
-        async def scenario(world: departures.World) -> None:
+        async def scenario(world: disconnects.World) -> None:
             caller = await world.call()
-            await departures.read_until(caller, b"token 1")
-            second = await world.add_runner(departures.GOOD)
+            await disconnects.read_until(caller, b"token 1")
+            second = await world.add_runner(disconnects.GOOD)
             world.scene.runners[0].break_off()
             await world.leave(caller)
             self.assertEqual(1, len(world.log.lines))
@@ -166,28 +167,28 @@
         self.play(scenario, _BEGUN, kind=catalog.CallKind.STREAM)
 
 
-class StayingTest(departures.DepartureTestCase):
+class StayingTest(disconnects.DisconnectTestCase):
     def test_a_caller_that_stays_is_not_taken_as_gone(self) -> None:
-        async def scenario(world: departures.World) -> None:
-            ahead = departures.POST % 200_000 + b"a" * 200_000
-            caller = await world.call(departures.CALL)
+        async def scenario(world: disconnects.World) -> None:
+            ahead = disconnects.POST % 200_000 + b"a" * 200_000
+            caller = await world.call(disconnects.CALL)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(caller.send_all, ahead)
                 for _ in range(2):
-                    await departures.read_until(caller, b"fine")
+                    await disconnects.read_until(caller, b"fine")
             self.assertEqual([], world.log.lines)
 
-        self.play(scenario, departures.GOOD)
+        self.play(scenario, disconnects.GOOD)
 
     def test_a_daemon_that_stops_does_not_say_that_its_caller_left(
         self,
     ) -> None:
-        async def scenario(world: departures.World) -> None:
+        async def scenario(world: disconnects.World) -> None:
             held.append(await world.call())
             await world.scene.runners[0].heard.wait()
 
         # Keeps a reference, else the connection would be closed.
         held: list[trio.SocketStream] = []
         with leaving.open_departure_log() as log:
-            self.play(scenario, departures.SILENT)
+            self.play(scenario, disconnects.SILENT)
             self.assertEqual([], log.lines)
