--- a/packages/daemon/src/martenquay_daemon/forwarding/metrics.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/metrics.py
@@ -88,7 +88,7 @@
             registry=registry,
         )
 
-    def note_units_asked(self, outcome: str, took_s: float) -> None:
+    def observe_quota_request(self, outcome: str, took_s: float) -> None:
         """Observe a quota request to another daemon: outcome and duration."""
         self._quota_request_s.observe({"outcome": outcome}, took_s)
 
@@ -96,7 +96,7 @@
         """Count a log record that could not be decoded or applied."""
         self._unusable_records.inc({"topic": topic})
 
-    def count_strike(self) -> None:
+    def count_crash(self) -> None:
         """Count a request during which its runner crashed."""
         self._crashes.inc({})
 
--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -390,7 +390,7 @@
             ),
             self.links.notify_quota_soon,
         )
-        self.links.quota_client.observe = self.metrics.note_units_asked
+        self.links.quota_client.observe = self.metrics.observe_quota_request
         self._gate = gate.create_gate(self._units, self.links.quota_client)
         self._unit_news = quota_exchange.QuotaExchange(
             self.member,
@@ -410,7 +410,7 @@
         self._quarantine = manager.create_quarantine_manager(
             self._ports.log, topic
         )
-        self._quarantine.on_strike = self.metrics.count_strike
+        self._quarantine.on_strike = self.metrics.count_crash
         self._quarantine.may_tidy = self._is_lease_held
         self._strike_follower = keyed_follower.KeyedFollower(
             self._ports.log,
