--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -17,8 +17,8 @@
     Mutation(
         "unmarked refusals are no promise",
         f"{DAEMON}/forwarding/attempt.py",
-        "_PROMISES = frozenset({408, 421, 429, 503})",
-        "_PROMISES = frozenset()",
+        "_NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})",
+        "_NOT_RUN_STATUSES = frozenset()",
         f"{_FORWARDER}.AtMostOnceTest",
     ),
     Mutation(
@@ -60,7 +60,7 @@
     Mutation(
         "resumption names the last event",
         f"{DAEMON}/forwarding/attempt.py",
-        "resume_after=current.last_event,",
+        "resume_after=current.last_event_id,",
         "resume_after=None,",
         f"{_FORWARDER}_streams.StreamTest",
     ),
@@ -90,17 +90,18 @@
     Mutation(
         "a caller's close is seen behind what it sent ahead",
         f"{DAEMON}/forwarding/caller_connection.py",
-        "        await departure.wait_until_left(self._stream.socket)\n"
+        "        await disconnects.wait_until_disconnected("
+        "self._stream.socket)\n"
         "        scope.cancel()\n",
         "",
-        "tests.test_forwarding.test_departure_answers.WaitingTest",
+        "tests.test_forwarding.test_disconnects_answers.WaitingTest",
     ),
     Mutation(
         "nothing is sent for a caller that is gone",
         f"{DAEMON}/forwarding/exchange.py",
-        "        if self.writer.has_left:\n",
+        "        if self.writer.has_disconnected:\n",
         "        if False:\n",
-        "tests.test_forwarding.test_departure",
+        "tests.test_forwarding.test_disconnects",
     ),
     Mutation(
         "calls that were given up are reset",
@@ -277,10 +278,10 @@
     ),
     Mutation(
         "an answer takes strikes back",
-        f"{DAEMON}/forwarding/content_guard.py",
-        "if current.strikes_seen:",
+        f"{DAEMON}/forwarding/quarantine_filter.py",
+        "if current.latest_crash_seen:",
         "if False:",
-        "tests.test_forwarding.test_content_guard",
+        "tests.test_forwarding.test_quarantine_filter",
     ),
     Mutation(
         "a limit has few holders",
--- a/packages/daemon/src/martenquay_daemon/forwarding/content_guard.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/quarantine_filter.py
@@ -1,4 +1,4 @@
-"""Keep requests from runners if their content has crashed others."""
+"""Quarantine check before each attempt, and crash reports after it."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
     from martenquay_daemon.discovery import runner_directory
     from martenquay_daemon.quarantine import manager
 
-__all__ = ["ContentGuard"]
+__all__ = ["QuarantineFilter"]
 
 
-class ContentGuard:
-    """Ask the quarantine before each attempt, and tell it what came of it."""
+class QuarantineFilter:
+    """Rejects requests whose content crashes runners, and reports crashes."""
 
     def __init__(
         self,
@@ -31,12 +31,16 @@
         self._has_ended = has_ended
 
     def find_quarantine_s(self, current: exchange.Exchange) -> float | None:
-        """Return for how long the request is kept out; None if it is not."""
+        """Return how long the content stays in quarantine, in seconds.
+
+        None if the request may be sent. Stores the number of the latest known
+        crash in the exchange, for a later crash report.
+        """
         if self._quarantine.is_empty:
             return None
-        content = _name_content(current)
-        current.strikes_seen = self._quarantine.find_latest(content)
-        return self._quarantine.find_quarantine_s(content)
+        digest = _find_digest(current)
+        current.latest_crash_seen = self._quarantine.find_latest(digest)
+        return self._quarantine.find_quarantine_s(digest)
 
     async def note_result(
         self,
@@ -44,34 +48,36 @@
         runner: runners.Runner,
         result: exchange.AttemptResult,
     ) -> None:
-        """Learn from an attempt at a runner."""
+        """Report a crash, or clear the content's crash records on an answer."""
         current.has_runner_ended = False
         match result:
             case exchange.Delivered() | exchange.Whole():
-                if current.strikes_seen:
-                    self._quarantine.note_answer(_name_content(current))
+                if current.latest_crash_seen:
+                    self._quarantine.note_answer(_find_digest(current))
             case exchange.Broken():
                 await self._note_broken(current, runner)
 
     async def _note_broken(
         self, current: exchange.Exchange, runner: runners.Runner
     ) -> None:
-        # Named here, so that each line of a broken attempt has it.
-        content = _name_content(current)
+        # Computed here so that the log line of the attempt includes it.
+        digest = _find_digest(current)
         current.has_runner_ended = await self._has_ended(runner.address)
-        # One that said that it leaves has ended as it was to.
-        known = self._directory.find(runner.id)
-        if not current.has_runner_ended or known is None:
+        # A draining runner ends as planned, which is no crash.
+        entry = self._directory.find(runner.id)
+        if not current.has_runner_ended or entry is None:
             return
-        if self._directory.is_leaving(known):
+        if self._directory.is_leaving(entry):
             return
         crash = records.CrashDetails(current.service, current.route.name)
         self._quarantine.note_crash(
-            content, current.strikes_seen, runner.id, crash
+            digest, current.latest_crash_seen, runner.id, crash
         )
 
 
-def _name_content(current: exchange.Exchange) -> str:
-    if not current.content:
-        current.content = contents.digest_content(current.call, current.team)
-    return current.content
+def _find_digest(current: exchange.Exchange) -> str:
+    if not current.content_digest:
+        current.content_digest = contents.digest_content(
+            current.call, current.team
+        )
+    return current.content_digest
--- a/packages/daemon/src/martenquay_daemon/forwarding/silence.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/silence.py
@@ -57,7 +57,7 @@
         max_silence_s: Silence before the attempt is abandoned even if
             the runner is reachable, until the first event of a stream.
         max_pause_s: The same after the first event of a stream.
-        may_move: Returns whether another runner may get the request now.
+        may_retry: Returns whether another runner may get the request now.
             While it may not, silence alone doesn't end the attempt.
     """
 
@@ -65,7 +65,7 @@
     next_probe_s: float
     max_silence_s: float = math.inf
     max_pause_s: float = math.inf
-    may_move: Callable[[], bool] = _never_move
+    may_retry: Callable[[], bool] = _never_move
 
 
 async def wait_until_gone(
@@ -89,7 +89,7 @@
         abandon_at = connection.last_activity_at + _find_max_silence(
             connection, limits
         )
-        if now >= abandon_at and limits.may_move():
+        if now >= abandon_at and limits.may_retry():
             _log_unresponsive(
                 placement,
                 connection,
--- a/packages/daemon/src/martenquay_daemon/forwarding/trial_notes.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/trial_recorder.py
@@ -1,4 +1,4 @@
-"""Note what runners of a version on trial answer, and what the others do."""
+"""Record outcomes of attempts during a rollout, by old and new version."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
     from martenquay_core.serving import runners
     from martenquay_daemon.rollouts import registry, tallies, versions
 
-__all__ = ["TrialNotes"]
+__all__ = ["TrialRecorder"]
 
-_SERVER_ERROR = 500
+_MIN_SERVER_ERROR_STATUS = 500
 
 
-class TrialNotes:
-    """Count attempts while an order is open."""
+class TrialRecorder:
+    """Adds attempts to the tallies of a canary trial while it is open."""
 
     def __init__(
         self,
@@ -36,46 +36,48 @@
         runner: runners.Runner,
         result: exchange.AttemptResult,
     ) -> None:
-        """Count an attempt at a runner, if it says anything of its version."""
+        """Count an attempt at a runner if it reflects the runner's version."""
         rollout = self._orders.find(current.service)
         if rollout is None or rollout.phase.is_final:
             self._trials.forget(current.service)
             return
         if not self._chooser.has_seen_canary(current.service, rollout.offset):
             return
-        if not _tells_of_version(current, result):
+        if not _counts_for_version(current, result):
             return
         self._trials.note(
             current.service,
             rollout.offset,
             current.route.name,
-            _find_time(current, result),
+            _find_latency(current, result),
             is_new=runner.software == rollout.order.version,
         )
 
 
-def _tells_of_version(
+def _counts_for_version(
     current: exchange.Exchange, result: exchange.AttemptResult
 ) -> bool:
     match result:
         case exchange.NotSent() | exchange.NotRun():
             return False
         case exchange.Broken():
-            # All that a crashed runner had breaks off at once, and any version
-            # may lose its instance.
+            # A crash breaks all requests of a runner at once, and a runner of
+            # either version may lose its machine.
             return not current.has_runner_ended
         case _:
             return current.sent_at > 0
 
 
-def _find_time(
+def _find_latency(
     current: exchange.Exchange, result: exchange.AttemptResult
 ) -> float | None:
-    """Return how long a good answer took; None for a failure."""
+    """Return the latency of a successful answer in seconds, else None."""
     match result:
         case exchange.Delivered():
             return current.first_event_s
-        case exchange.Whole(head=head) if head.status < _SERVER_ERROR:
+        case exchange.Whole(head=head) if (
+            head.status < _MIN_SERVER_ERROR_STATUS
+        ):
             return trio.current_time() - current.sent_at
         case _:
             return None
--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -43,13 +43,13 @@
 )
 from martenquay_daemon.forwarding import (
     attempt,
-    content_guard,
     forwarder,
     listener,
     metrics,
+    quarantine_filter,
     retry_window,
     stop_window,
-    trial_notes,
+    trial_recorder,
 )
 from martenquay_daemon.limits import ejection
 from martenquay_daemon.quarantine import manager
@@ -390,7 +390,7 @@
             ),
             self.links.notify_quota_soon,
         )
-        self.links.quota_client.observe = self.metrics.note_units_asked
+        self.links.quota_client.observe = self.metrics.observe_quota_request
         self._gate = gate.create_gate(self._units, self.links.quota_client)
         self._unit_news = quota_exchange.QuotaExchange(
             self.member,
@@ -410,7 +410,7 @@
         self._quarantine = manager.create_quarantine_manager(
             self._ports.log, topic
         )
-        self._quarantine.on_strike = self.metrics.count_strike
+        self._quarantine.on_strike = self.metrics.count_crash
         self._quarantine.may_tidy = self._is_lease_held
         self._strike_follower = keyed_follower.KeyedFollower(
             self._ports.log,
@@ -478,9 +478,11 @@
             retries=self._retries,
             ejector=self._ejector,
             runner_admission=self._backpressure.admission,
-            guard=content_guard.ContentGuard(self._quarantine, self._directory),
+            quarantine=quarantine_filter.QuarantineFilter(
+                self._quarantine, self._directory
+            ),
             stop=self._stop_window,
-            trials=trial_notes.TrialNotes(
+            trials=trial_recorder.TrialRecorder(
                 self._rollouts.orders,
                 self._rollouts.trials,
                 self._rollouts.versions,
--- a/tests/serving_scene.py
+++ b/tests/serving_scene.py
@@ -23,13 +23,13 @@
 from martenquay_daemon.engines import demand, durations, loads, model, placer
 from martenquay_daemon.forwarding import (
     attempt,
-    content_guard,
     forwarder,
     listener,
     metrics,
+    quarantine_filter,
     retry_window,
     stop_window,
-    trial_notes,
+    trial_recorder,
 )
 from martenquay_daemon.limits import ejection
 from martenquay_daemon.quarantine import manager
@@ -171,11 +171,11 @@
             retries=retry_window.RetryWindow(bounds, lambda: 1),
             ejector=ejector,
             runner_admission=self.runner_admission,
-            guard=content_guard.ContentGuard(
+            quarantine=quarantine_filter.QuarantineFilter(
                 self.quarantine, self.directory, self._has_ended
             ),
             stop=self.stop,
-            trials=trial_notes.TrialNotes(
+            trials=trial_recorder.TrialRecorder(
                 orders,
                 tallies.TallyTable(),
                 versions.VersionChooser(orders, rng, lambda: 1),
