--- a/packages/daemon/src/martenquay_daemon/fleet/hub.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/hub.py
@@ -15,7 +15,7 @@
 __all__ = ["HubFacts", "ZoneHub"]
 
 # A daemon that has not told anything for so long is not reported to.
-_SUBSCRIBED_S = 3.0
+_SUBSCRIPTION_TIMEOUT_S = 3.0
 
 
 @dataclasses.dataclass(frozen=True)
@@ -49,38 +49,38 @@
 class ZoneHub:
     """What this daemon knows and tells if it is a hub."""
 
-    def __init__(self, table: zones.ZoneTable) -> None:
-        self._table = table
-        self._sum = zone_aggregator.ZoneAggregator()
+    def __init__(self, known_zones: zones.ZoneTable) -> None:
+        self._zones = known_zones
+        self._aggregator = zone_aggregator.ZoneAggregator()
         self._subscribers: dict[str, _Subscriber] = {}
-        self._own: messages.Digest | None = None
-        self._number = 0
-        self._rounds = 0
+        self._own_digest: messages.Digest | None = None
+        self._summary_number = 0
+        self._report_round = 0
 
     def take(self, digest: messages.Digest, now: float) -> bool:
         """Take a digest of a daemon of this zone; tell whether it is news."""
-        if not self._sum.take(digest, now):
+        if not self._aggregator.take(digest, now):
             return False
         self._subscribers[digest.address] = _Subscriber(digest, now)
         return True
 
     def set_own_digest(self, digest: messages.Digest, now: float) -> None:
         """Take this daemon's own digest."""
-        self._own = digest
-        self._sum.take(digest, now)
+        self._own_digest = digest
+        self._aggregator.take(digest, now)
 
     def list_subscribers(self, now: float) -> dict[str, messages.Digest]:
         """Return the newest digests of those to report to, by address."""
-        oldest = now - _SUBSCRIBED_S
+        oldest = now - _SUBSCRIPTION_TIMEOUT_S
         return {
-            address: one.digest
-            for address, one in self._subscribers.items()
-            if one.heard_at >= oldest
+            address: subscriber.digest
+            for address, subscriber in self._subscribers.items()
+            if subscriber.heard_at >= oldest
         }
 
     def forget_old(self, now: float) -> None:
         """Drop daemons that are long gone."""
-        self._sum.forget_old(now)
+        self._aggregator.forget_old(now)
         kept = self.list_subscribers(now)
         for address in set(self._subscribers) - set(kept):
             del self._subscribers[address]
@@ -89,95 +89,97 @@
         self, facts: HubFacts, now: float, silent_s: float
     ) -> messages.ZoneExchange:
         """Return what to tell the hubs of other zones."""
-        part = self._sum.add_up(now, silent_s)
+        totals = self._aggregator.add_up(now, silent_s)
         return messages.ZoneExchange(
-            self._summarize(part, facts), part.loads, facts.runner_reports
+            self._summarize(totals, facts), totals.loads, facts.runner_reports
         )
 
     def create_reports(
         self, facts: HubFacts, now: float, silent_s: float
     ) -> dict[str, messages.FleetReport]:
         """Return what to tell each subscriber, by address, and itself."""
-        assert self._own is not None, "its own digest comes first"
-        total = self._sum.add_up(now, silent_s)
+        assert self._own_digest is not None, "its own digest comes first"
+        total = self._aggregator.add_up(now, silent_s)
         others = [
             known
-            for known in self._table.list_active()
-            if known.summary.zone != self._own.zone
+            for known in self._zones.list_active()
+            if known.summary.zone != self._own_digest.zone
         ]
         receivers = self.list_subscribers(now)
-        receivers[self._own.address] = self._own
-        self._rounds += 1
+        receivers[self._own_digest.address] = self._own_digest
+        self._report_round += 1
         reports = {}
         for address, digest in receivers.items():
-            part = self._sum.leave_out(total, digest.member, now, silent_s)
+            totals = self._aggregator.leave_out(
+                total, digest.member, now, silent_s
+            )
             # Duties are candidates' work, and those are hubs.
-            is_full = digest.lease is not None or digest is self._own
+            is_full = digest.lease is not None or digest is self._own_digest
             reports[address] = self._create_report(
-                part, others, facts, digest.number, is_full=is_full
+                totals, others, facts, digest.number, is_full=is_full
             )
         return reports
 
     def _create_report(
         self,
-        part: zone_aggregator.ZoneTotals,
+        totals: zone_aggregator.ZoneTotals,
         others: list[zones.KnownSummary],
         facts: HubFacts,
-        heard: int,
+        digest_number: int,
         *,
         is_full: bool,
     ) -> messages.FleetReport:
-        assert self._own is not None, "its own digest comes first"
-        summaries = [self._summarize(part, facts)]
+        assert self._own_digest is not None, "its own digest comes first"
+        summaries = [self._summarize(totals, facts)]
         summaries += [known.summary for known in others]
-        loads = dict(part.loads)
-        reading = dict(part.reading)
+        loads = dict(totals.loads)
+        prefill = dict(totals.reading)
         for known in others:
             zone_aggregator.add_loads(loads, known.loads, 1)
-            zone_aggregator.add_reading(reading, known.summary.reading, 1)
+            zone_aggregator.add_reading(prefill, known.summary.reading, 1)
         if not is_full:
-            summaries = [_shorten(summary) for summary in summaries]
+            summaries = [_strip_duty_fields(summary) for summary in summaries]
         return messages.FleetReport(
-            self._own.member,
+            self._own_digest.member,
             summaries,
             loads,
-            heard,
-            self._rounds,
-            reading,
-            self._own.orders,
+            digest_number,
+            self._report_round,
+            prefill,
+            self._own_digest.orders,
             facts.runner_reports,
         )
 
     def _summarize(
-        self, part: zone_aggregator.ZoneTotals, facts: HubFacts
+        self, totals: zone_aggregator.ZoneTotals, facts: HubFacts
     ) -> messages.ZoneSummary:
-        own = self._own
+        own = self._own_digest
         assert own is not None, "its own digest comes first"
-        self._number += 1
+        self._summary_number += 1
         return messages.ZoneSummary(
             zone=own.zone,
             hub=own.member,
             instance=own.instance,
             address=own.address,
-            number=self._number,
-            daemons=part.daemons,
+            number=self._summary_number,
+            daemons=totals.daemons,
             catalog_version=facts.catalog_version,
             runners_changed=facts.runners_changed,
             runners_age_ms=facts.runners_age_ms,
             log_age_ms=facts.log_age_ms,
-            lease=part.lease,
-            lease_member=part.lease_member,
-            leaving=part.leaving,
-            window=own.window if part.window is None else part.window,
+            lease=totals.lease,
+            lease_member=totals.lease_member,
+            leaving=totals.leaving,
+            window=own.window if totals.window is None else totals.window,
             members_end=facts.members_end,
-            begun=part.begun,
-            demand=part.demand,
-            reading=part.reading,
-            trials=trial_entries.encode_trials(part.trials),
+            begun=totals.begun,
+            demand=totals.demand,
+            reading=totals.reading,
+            trials=trial_entries.encode_trials(totals.trials),
         )
 
 
-def _shorten(summary: messages.ZoneSummary) -> messages.ZoneSummary:
+def _strip_duty_fields(summary: messages.ZoneSummary) -> messages.ZoneSummary:
     """Return a summary without what only holders of duties need.
 
     How fast engines read is told once, for all zones together. Who takes the
--- a/packages/daemon/src/martenquay_daemon/fleet/members.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/members.py
@@ -18,7 +18,7 @@
 
 _LOG = logs.create_log("fleet")
 # Usage counts of a daemon that ended are kept until they are reported.
-_KEEP_COUNTS_S = 40.0
+_FORGET_AFTER_S = 40.0
 
 
 @dataclasses.dataclass
@@ -42,7 +42,7 @@
     def __init__(self, instance: str) -> None:
         self._instance = instance
         self._members: dict[str, KnownMember] = {}
-        self._silent: set[str] = set()
+        self._silent_members: set[str] = set()
         self._end_listeners: list[Callable[[str], None]] = []
 
     def listen_for_ends(self, listener: Callable[[str], None]) -> None:
@@ -57,9 +57,9 @@
         if known is not None and digest.number <= known.digest.number:
             return False
         if known is None:
-            self._note_new(digest)
-        elif digest.member in self._silent:
-            self._silent.discard(digest.member)
+            self._add_process(digest)
+        elif digest.member in self._silent_members:
+            self._silent_members.discard(digest.member)
             away_s = trio.current_time() - known.heard_at
             _LOG.write(
                 f"Daemon {digest.member} is heard again.",
@@ -73,12 +73,12 @@
         now = trio.current_time()
         forgotten = set()
         for member, known in list(self._members.items()):
-            quiet_s = now - known.heard_at
-            if quiet_s > silent_s and member not in self._silent:
-                self._silent.add(member)
+            unheard_s = now - known.heard_at
+            if unheard_s > silent_s and member not in self._silent_members:
+                self._silent_members.add(member)
                 if not known.is_replaced:
                     _LOG.write(f"Daemon {member} is silent.", member=member)
-            if quiet_s > _KEEP_COUNTS_S:
+            if unheard_s > _FORGET_AFTER_S:
                 self._forget(member)
                 forgotten.add(known.digest.instance)
         return forgotten
@@ -96,11 +96,11 @@
         oldest = trio.current_time() - silent_s
         return [m for m in self.list_current() if m.heard_at >= oldest]
 
-    def _note_new(self, digest: messages.Digest) -> None:
+    def _add_process(self, digest: messages.Digest) -> None:
         for other in self._members.values():
             if other.digest.instance == digest.instance:
                 other.is_replaced = True
-                self._end(other.digest.member)
+                self._notify_end(other.digest.member)
         _LOG.write(
             f"Daemon {digest.member} is heard.",
             zone=digest.zone,
@@ -109,10 +109,10 @@
 
     def _forget(self, member: str) -> None:
         known = self._members.pop(member)
-        self._silent.discard(member)
+        self._silent_members.discard(member)
         if not known.is_replaced:
-            self._end(member)
+            self._notify_end(member)
 
-    def _end(self, member: str) -> None:
+    def _notify_end(self, member: str) -> None:
         for listener in self._end_listeners:
             listener(member)
--- a/packages/daemon/src/martenquay_daemon/fleet/roster.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/roster.py
@@ -39,8 +39,8 @@
         self._instance = instance
         self._listed: set[str] = set()
         self._zones: dict[str, str] = {}
-        self._told: dict[str, int] = {}
-        self._zones_told: dict[str, int] = {}
+        self._read_ends: dict[str, int] = {}
+        self._zone_read_ends: dict[str, int] = {}
         self._heard_at: dict[str, float] = {}
         # Others have to have read up to here to reckon with this instance.
         self._needed_end: int | None = None
@@ -87,7 +87,7 @@
         """Note that an instance was taken off the list."""
         self.changes += 1
         self._listed.discard(instance)
-        self._told.pop(instance, None)
+        self._read_ends.pop(instance, None)
         self._heard_at.pop(instance, None)
         if instance == self._instance:
             self.counted = trio.Event()
@@ -98,12 +98,12 @@
 
     def note_read_end(self, instance: str, end: int) -> None:
         """Note how far another daemon has read the announcements."""
-        self._told[instance] = max(end, self._told.get(instance, 0))
+        self._read_ends[instance] = max(end, self._read_ends.get(instance, 0))
         self._heard_at[instance] = trio.current_time()
 
     def note_zone_read_end(self, zone: str, end: int) -> None:
         """Note how far all listed daemons of a zone have read."""
-        self._zones_told[zone] = max(end, self._zones_told.get(zone, 0))
+        self._zone_read_ends[zone] = max(end, self._zone_read_ends.get(zone, 0))
 
     def find_zone_end(self, zone: str, own_end: int) -> int:
         """Return how far all listed daemons of a zone have read.
@@ -113,7 +113,7 @@
             own_end: How far this daemon has.
         """
         others = [
-            self._told.get(one, 0)
+            self._read_ends.get(one, 0)
             for one in self._listed - {self._instance}
             if self._zones[one] == zone
         ]
@@ -141,7 +141,9 @@
         """Return this daemon's part; 0 while others do not reckon with it."""
         if self._needed_end is None:
             return 0.0
-        if not self.counted.is_set() and self._is_read(self._needed_end):
+        if not self.counted.is_set() and self._have_others_read(
+            self._needed_end
+        ):
             self.share_since = trio.current_time()
             self.changes += 1
             self.counted.set()
@@ -152,10 +154,10 @@
             )
         return 1 / len(self._listed) if self.counted.is_set() else 0.0
 
-    def _is_read(self, end: int) -> bool:
+    def _have_others_read(self, end: int) -> bool:
         others = self._listed - {self._instance}
-        return all(self._find_told(one) >= end for one in others)
+        return all(self._find_read_end(one) >= end for one in others)
 
-    def _find_told(self, instance: str) -> int:
-        zone_end = self._zones_told.get(self._zones[instance], 0)
-        return max(self._told.get(instance, 0), zone_end)
+    def _find_read_end(self, instance: str) -> int:
+        zone_end = self._zone_read_ends.get(self._zones[instance], 0)
+        return max(self._read_ends.get(instance, 0), zone_end)
--- a/packages/daemon/src/martenquay_daemon/fleet/topology.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/topology.py
@@ -21,13 +21,13 @@
 # Up to so many other daemons, each is linked to all.
 FULL_MESH = 12
 # One may be lost or cut off without anybody waiting for a successor.
-_HUBS = 2
+_HUBS_PER_ZONE = 2
 # A hub reports several times a second; one that was told something and does
 # not report for so long is passed over.
-_PATIENCE_S = 2.0
+_REPORT_TIMEOUT_S = 2.0
 # Then it is tried again.
-_PASSED_OVER_S = 5.0
-_KEY = "hub"
+_RETRY_AFTER_S = 5.0
+_HASH_KEY = "hub"
 
 
 @dataclasses.dataclass(frozen=True)
@@ -50,9 +50,9 @@
 
     def __init__(self, own_address: str) -> None:
         self.own_address = own_address
-        self._asked_at: dict[str, float] = {}
+        self._awaiting_since: dict[str, float] = {}
         self._heard_at: dict[str, float] = {}
-        self._passed_over: dict[str, float] = {}
+        self._retry_at: dict[str, float] = {}
 
     def choose(self, peers: Iterable[PeerAddress], now: float) -> list[str]:
         """Return the addresses of one zone's hubs, the first choice first.
@@ -65,49 +65,49 @@
             now: In trio's time.
         """
         chosen: list[str] = []
-        trusted = 0
-        for peer in sorted(peers, key=_rank):
-            if trusted == _HUBS:
+        reporting = 0
+        for peer in sorted(peers, key=_sort_key):
+            if reporting == _HUBS_PER_ZONE:
                 break
-            self._check_answer(peer.address, now)
-            if peer.address not in self._passed_over:
-                trusted += 1
+            self._check_report(peer.address, now)
+            if peer.address not in self._retry_at:
+                reporting += 1
                 chosen.append(peer.address)
-            elif now >= self._passed_over[peer.address]:
+            elif now >= self._retry_at[peer.address]:
                 chosen.append(peer.address)
         return chosen
 
     def is_first(self, chosen: list[str]) -> bool:
         """Tell whether this daemon is the first of the hubs that answer."""
-        answering = [a for a in chosen if a not in self._passed_over]
+        answering = [a for a in chosen if a not in self._retry_at]
         return bool(answering) and answering[0] == self.own_address
 
     def note_asked(self, address: str, now: float) -> None:
         """Note that a hub was told something and should report."""
-        self._asked_at.setdefault(address, now)
+        self._awaiting_since.setdefault(address, now)
 
     def note_heard(self, address: str, now: float) -> None:
         """Note that a hub reported."""
         self._heard_at[address] = now
-        self._asked_at[address] = now
-        self._passed_over.pop(address, None)
+        self._awaiting_since[address] = now
+        self._retry_at.pop(address, None)
 
     def list_heard(self, now: float) -> list[str]:
         """Return the hubs that reported lately."""
-        oldest = now - _PATIENCE_S
+        oldest = now - _REPORT_TIMEOUT_S
         return [
             a for a, heard_at in self._heard_at.items() if heard_at > oldest
         ]
 
-    def _check_answer(self, address: str, now: float) -> None:
+    def _check_report(self, address: str, now: float) -> None:
         """Pass a hub over that was told something and has not reported."""
-        asked_at = self._asked_at.get(address)
-        if address == self.own_address or asked_at is None:
+        awaiting_since = self._awaiting_since.get(address)
+        if address == self.own_address or awaiting_since is None:
             return
-        if now - asked_at >= _PATIENCE_S:
-            self._passed_over[address] = now + _PASSED_OVER_S
-            del self._asked_at[address]
+        if now - awaiting_since >= _REPORT_TIMEOUT_S:
+            self._retry_at[address] = now + _RETRY_AFTER_S
+            del self._awaiting_since[address]
 
 
-def _rank(peer: PeerAddress) -> tuple[float, int]:
-    return -peer.capacity, rendezvous.score_candidate(_KEY, peer.address)
+def _sort_key(peer: PeerAddress) -> tuple[float, int]:
+    return -peer.capacity, rendezvous.score_candidate(_HASH_KEY, peer.address)
--- a/packages/daemon/src/martenquay_daemon/fleet/view.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/view.py
@@ -21,15 +21,15 @@
 __all__ = ["FleetView", "merge_counts"]
 
 # Until the links say how often digests come.
-_FIRST_SILENT_S = 1.2
+_DEFAULT_SILENT_S = 1.2
 # A cut shows in all of a zone's daemons at once, so it is believed after
 # this part of the time that one daemon may be silent.
-_ZONE_PART = 0.6
+_ZONE_SILENCE_FRACTION = 0.6
 # Usage counts are whole when so many of the daemons have told theirs: the users
 # bear one in twenty missing. Later, what there is has to do.
-_MOST_PART = 0.95
+_MIN_REPORTING_FRACTION = 0.95
 # A daemon that is silent this long no longer counts for even shares.
-_GONE_S = 30.0
+_COUNTED_S = 30.0
 
 
 class FleetView:
@@ -44,7 +44,7 @@
     """
 
     def __init__(self, instance: str) -> None:
-        self.silent_s = _FIRST_SILENT_S
+        self.silent_s = _DEFAULT_SILENT_S
         self.is_mesh = True
         self.is_candidate = True
         self.members = members.MemberTable(instance)
@@ -81,10 +81,13 @@
 
     def is_zone_silent(self, zone: str) -> bool:
         """Tell whether daemons of a zone were heard before and none is now."""
-        heard_at = self._find_zone_heard(zone)
+        heard_at = self._find_zone_heard_at(zone)
         if heard_at is None:
             return False
-        return trio.current_time() - heard_at > _ZONE_PART * self.silent_s
+        return (
+            trio.current_time() - heard_at
+            > _ZONE_SILENCE_FRACTION * self.silent_s
+        )
 
     def count_daemons(self) -> int:
         """Return how many daemons share what is to be shared, this one too."""
@@ -94,7 +97,7 @@
     def sum_started(self, window: int) -> dict[str, int]:
         """Return the requests that others began in a window, by team."""
         total: dict[str, int] = {}
-        for begun in self._list_begun():
+        for begun in self._list_started_counts():
             for team, count in begun.get(window, {}).items():
                 total[team] = total.get(team, 0) + count
         return total
@@ -123,9 +126,9 @@
             return False
         # A hub that has just become one has heard few of its zone.
         heard = 1 + sum(known.summary.daemons for known in active)
-        return heard >= _MOST_PART * self.count_daemons()
+        return heard >= _MIN_REPORTING_FRACTION * self.count_daemons()
 
-    def _find_zone_heard(self, zone: str) -> float | None:
+    def _find_zone_heard_at(self, zone: str) -> float | None:
         if not self.is_mesh:
             active = self.zones.find_active(zone)
             return None if active is None else active.heard_at
@@ -139,7 +142,7 @@
         )
 
     def _count_heard(self) -> int:
-        oldest = trio.current_time() - _GONE_S
+        oldest = trio.current_time() - _COUNTED_S
         if self.is_mesh:
             heard = {
                 known.digest.instance
@@ -153,7 +156,7 @@
             if known.heard_at >= oldest
         )
 
-    def _list_begun(self) -> list[usage_counts.WindowCounts]:
+    def _list_started_counts(self) -> list[usage_counts.WindowCounts]:
         if self.is_mesh:
             return [k.digest.begun for k in self.members.list_all()]
         return [k.summary.begun for k in self.zones.list_active()]
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_aggregator.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_aggregator.py
@@ -16,7 +16,7 @@
 __all__ = ["ZoneTotals", "ZoneAggregator", "add_loads", "add_reading"]
 
 # Usage counts of a daemon that ended are kept until they are reported.
-_KEEP_COUNTS_S = 40.0
+_FORGET_AFTER_S = 40.0
 _MS = 1000
 
 
@@ -84,7 +84,7 @@
     def forget_old(self, now: float) -> None:
         """Drop daemons that are long gone."""
         for member, known in list(self._members.items()):
-            if now - known.heard_at > _KEEP_COUNTS_S:
+            if now - known.heard_at > _FORGET_AFTER_S:
                 del self._members[member]
 
     def list_fresh(self, now: float, silent_s: float) -> list[messages.Digest]:
@@ -94,23 +94,25 @@
     def add_up(self, now: float, silent_s: float) -> ZoneTotals:
         """Return the sums over all daemons."""
         heard = list(self._list_heard(now, silent_s))
-        part = ZoneTotals(daemons=len(heard))
+        totals = ZoneTotals(daemons=len(heard))
         for known in self._members.values():
             for window, teams in known.digest.begun.items():
-                _add(part.begun.setdefault(window, {}), teams, 1)
+                _add_amounts(totals.begun.setdefault(window, {}), teams, 1)
         for known in heard:
             digest = known.digest
-            add_loads(part.loads, digest.loads, 1)
-            _add(part.demand, digest.demand, 1)
-            add_reading(part.reading, digest.reading, 1)
+            add_loads(totals.loads, digest.loads, 1)
+            _add_amounts(totals.demand, digest.demand, 1)
+            add_reading(totals.reading, digest.reading, 1)
             if digest.is_leaving:
-                part.leaving.append(digest.member)
+                totals.leaving.append(digest.member)
             if digest.lease is not None:
-                part.lease = _age(digest.lease, now - known.heard_at)
-                part.lease_member = digest.member
-        part.window = self._find_window("")
-        part.trials = _add_trials(heard)
-        return part
+                totals.lease = _reduce_validity(
+                    digest.lease, now - known.heard_at
+                )
+                totals.lease_member = digest.member
+        totals.window = self._find_earliest_window("")
+        totals.trials = _add_trials(heard)
+        return totals
 
     def leave_out(
         self, total: ZoneTotals, member: str, now: float, silent_s: float
@@ -120,27 +122,27 @@
         if known is None:
             return total
         is_heard = now - known.heard_at <= silent_s and not known.is_replaced
-        part = dataclasses.replace(
+        totals = dataclasses.replace(
             total,
             daemons=total.daemons - is_heard,
-            window=self._find_window(member),
+            window=self._find_earliest_window(member),
             begun={w: dict(teams) for w, teams in total.begun.items()},
         )
         for window, teams in known.digest.begun.items():
-            _add(part.begun[window], teams, -1)
+            _add_amounts(totals.begun[window], teams, -1)
         if is_heard:
-            part.loads = dict(total.loads)
-            part.demand = dict(total.demand)
-            part.reading = dict(total.reading)
-            add_loads(part.loads, known.digest.loads, -1)
-            _add(part.demand, known.digest.demand, -1)
-            add_reading(part.reading, known.digest.reading, -1)
-            part.trials = _add_trials(
+            totals.loads = dict(total.loads)
+            totals.demand = dict(total.demand)
+            totals.reading = dict(total.reading)
+            add_loads(totals.loads, known.digest.loads, -1)
+            _add_amounts(totals.demand, known.digest.demand, -1)
+            add_reading(totals.reading, known.digest.reading, -1)
+            totals.trials = _add_trials(
                 other
                 for other in self._list_heard(now, silent_s)
                 if other is not known
             )
-        return part
+        return totals
 
     def _list_heard(self, now: float, silent_s: float) -> Iterable[_Member]:
         return (
@@ -149,7 +151,7 @@
             if not known.is_replaced and now - known.heard_at <= silent_s
         )
 
-    def _find_window(self, excluded: str) -> int | None:
+    def _find_earliest_window(self, excluded: str) -> int | None:
         return min(
             (
                 known.digest.window
@@ -162,7 +164,7 @@
         )
 
 
-def _add(
+def _add_amounts(
     total: dict[str, float] | dict[str, int],
     amounts: Mapping[str, float] | Mapping[str, int],
     sign: int,
@@ -177,10 +179,10 @@
     sign: int,
 ) -> None:
     """Add loads to a sum, or take them away with a sign of -1."""
-    for runner_id, line in loads.items():
+    for runner_id, entry in loads.items():
         known = total.get(runner_id)
-        requests = sign * line.requests + (known.requests if known else 0)
-        unread = sign * line.unread_tokens
+        requests = sign * entry.requests + (known.requests if known else 0)
+        unread = sign * entry.unread_tokens
         unread += known.unread_tokens if known else 0
         if requests <= 0 and unread <= 0:
             total.pop(runner_id, None)
@@ -194,12 +196,12 @@
     sign: int,
 ) -> None:
     """Add what results say to a sum, or take it away with a sign of -1."""
-    for service, line in reading.items():
+    for service, entry in reading.items():
         known = total.get(service, messages.PrefillEntry(0, 0, 0))
         total[service] = messages.PrefillEntry(
-            known.results + sign * line.results,
-            known.spread + sign * line.spread,
-            known.slowing_ms + sign * line.slowing_ms,
+            known.results + sign * entry.results,
+            known.spread + sign * entry.spread,
+            known.slowing_ms + sign * entry.slowing_ms,
         )
 
 
@@ -209,10 +211,10 @@
     )
 
 
-def _age(
-    news: messages.LeaseStatus, age_s: float
+def _reduce_validity(
+    status: messages.LeaseStatus, age_s: float
 ) -> messages.LeaseStatus | None:
-    left_ms = news.left_ms - int(age_s * _MS)
+    left_ms = status.left_ms - int(age_s * _MS)
     if left_ms <= 0:
         return None
-    return messages.LeaseStatus(news.fence, news.end, left_ms)
+    return messages.LeaseStatus(status.fence, status.end, left_ms)
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
@@ -26,14 +26,14 @@
 __all__ = ["Keeper", "Outgoing", "ZoneMode"]
 
 # What a log that has never answered counts as.
-_LONGEST_AGE_S = 3600.0
+_MAX_AGE_S = 3600.0
 # A hub that has not reported for so long is not relied on for the log; the
 # operators' changes have to be in force within 2 s.
-_SERVED_S = 1.2
+_REPORT_TIMEOUT_S = 1.2
 # A hub that has reported for so long is back for good.
-_STEADY_S = 2.0
+_RETURN_DELAY_S = 2.0
 # A hub whose own reading of the log is this old is not relied on for it.
-_FRESH_LOG_MS = 1000
+_MAX_LOG_AGE_MS = 1000
 _MS = 1000
 
 
@@ -66,7 +66,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class _Served:
+class _HubStatus:
     """A hub of this zone and when it last reported."""
 
     summary: messages.ZoneSummary
@@ -74,9 +74,9 @@
     # Of its round of reports.
     number: int
     # It has heard this process.
-    has_heard: bool
+    has_own_digest: bool
     # Since when it has reported without a longer pause.
-    since: float
+    reporting_since: float
 
 
 class ZoneMode:
@@ -92,38 +92,40 @@
 
     def __init__(
         self,
-        place: topology.PeerAddress,
+        own_address: topology.PeerAddress,
         fleet: view.FleetView,
         state: state_copies.FleetState,
-        zone_pace: timing.GossipIntervals,
+        zone_intervals: timing.GossipIntervals,
     ) -> None:
         self.is_hub = False
         self.find_members_end: Callable[[], int] = lambda: 0
         self.create_runner_reports: Callable[[], messages.RunnerReports] = (
             lambda: messages.NO_RUNNER_REPORTS
         )
-        self.report_s = zone_pace.report_s
+        self.report_s = zone_intervals.report_s
         self._is_first = False
-        self._place = place
+        self._own_address = own_address
         self._view = fleet
         self._state = state
-        self._pace = zone_pace
-        self._board = topology.HubBoard(place.address)
+        self._intervals = zone_intervals
+        self._election = topology.HubBoard(own_address.address)
         self._hub = hub.ZoneHub(fleet.zones)
         self._own_hubs: list[str] = []
         self._foreign_hubs: list[str] = []
-        self._served: dict[str, _Served] = {}
-        self._reported_at = -math.inf
-        self._told = send_times.SendTimes()
-        self._rounds = send_times.SendTimes()
-        self._keeper = ""
-        self._has_chosen = False
+        self._hub_statuses: dict[str, _HubStatus] = {}
+        self._report_round_at = -math.inf
+        self._digest_times = send_times.SendTimes()
+        self._report_times = send_times.SendTimes()
+        self._quota_hub_address = ""
+        self._has_elected = False
         self._sole_since = math.inf
 
     def move_to(self, address: str) -> None:
         """Note where this daemon can be reached, once that is known."""
-        self._place = dataclasses.replace(self._place, address=address)
-        self._board.own_address = address
+        self._own_address = dataclasses.replace(
+            self._own_address, address=address
+        )
+        self._election.own_address = address
 
     def set_own_digest(self, digest: messages.Digest) -> None:
         """Take this daemon's own digest."""
@@ -133,15 +135,15 @@
 
     def apply_digest(self, digest: messages.Digest) -> None:
         """Take the digest of a daemon that takes this one for a hub."""
-        if digest.zone == self._place.zone:
+        if digest.zone == self._own_address.zone:
             self._hub.take(digest, trio.current_time())
 
     def apply_exchange(self, exchange: messages.ZoneExchange) -> None:
         """Take what another zone's hub tells."""
         summary = exchange.summary
         now = trio.current_time()
-        self._board.note_heard(summary.address, now)
-        if summary.zone != self._place.zone:
+        self._election.note_heard(summary.address, now)
+        if summary.zone != self._own_address.zone:
             self._view.zones.take(summary, exchange.loads, now)
 
     def apply_report(self, report: messages.FleetReport) -> bool:
@@ -150,36 +152,37 @@
             return False
         own = report.zones[0]
         now = trio.current_time()
-        self._board.note_heard(own.address, now)
-        last = self._served.get(own.address)
-        is_new = last is None or now - last.heard_at > _SERVED_S
-        self._served[own.address] = _Served(
+        self._election.note_heard(own.address, now)
+        last = self._hub_statuses.get(own.address)
+        is_new = last is None or now - last.heard_at > _REPORT_TIMEOUT_S
+        self._hub_statuses[own.address] = _HubStatus(
             own,
             now,
             report.number,
             report.heard > 0,
-            now if is_new or last is None else last.since,
+            now if is_new or last is None else last.reporting_since,
         )
-        if self.is_hub and own.address != self._place.address:
+        if self.is_hub and own.address != self._own_address.address:
             # A hub goes by its own sums; the other one is known to be there.
             return False
-        if not self.is_hub and own.log_age_ms <= _FRESH_LOG_MS:
+        if not self.is_hub and own.log_age_ms <= _MAX_LOG_AGE_MS:
             self._state.contact.note_relayed(own.log_age_ms / _MS)
         if not self.is_hub:
-            self._confirm_runners(own, report.heard)
-        news = [self._view.zones.take(s, {}, now) for s in report.zones]
-        return news[0]
+            self._confirm_runner_entries(own, report.heard)
+        applied = [self._view.zones.take(s, {}, now) for s in report.zones]
+        return applied[0]
 
-    def _confirm_runners(
-        self, summary: messages.ZoneSummary, heard: int
+    def _confirm_runner_entries(
+        self, summary: messages.ZoneSummary, digest_number: int
     ) -> None:
         """Note how old the entries are if they are the hub's."""
         follower = self._state.runner_follower
-        told_at = self._told.find(heard)
-        if told_at is None or follower.end < summary.runners_changed:
+        digest_sent_at = self._digest_times.find(digest_number)
+        if digest_sent_at is None or follower.end < summary.runners_changed:
             return
         follower.copy_age.confirm(
-            told_at - summary.runners_age_ms / _MS, copy_age.Step.REPORTED
+            digest_sent_at - summary.runners_age_ms / _MS,
+            copy_age.Step.REPORTED,
         )
 
     def select_peers(self, known: Iterable[topology.PeerAddress]) -> set[str]:
@@ -196,33 +199,33 @@
         for peer in known:
             by_zone.setdefault(peer.zone, []).append(peer)
         by_zone.pop("", None)
-        own_zone = [*by_zone.pop(self._place.zone, []), self._place]
-        chosen = self._board.choose(own_zone, now)
+        own_zone = [*by_zone.pop(self._own_address.zone, []), self._own_address]
+        chosen = self._election.choose(own_zone, now)
         subscribers = set(self._hub.list_subscribers(now))
-        self.is_hub = self._place.address in chosen or bool(subscribers)
-        self._is_first = self._board.is_first(chosen)
-        self._own_hubs = [a for a in chosen if a != self._place.address]
-        self._has_chosen = True
+        self.is_hub = self._own_address.address in chosen or bool(subscribers)
+        self._is_first = self._election.is_first(chosen)
+        self._own_hubs = [a for a in chosen if a != self._own_address.address]
+        self._has_elected = True
         if not self.is_hub:
             return set(self._own_hubs)
         self._foreign_hubs = list(self._list_foreign_hubs(by_zone, now))
         peers = {*self._own_hubs, *subscribers, *self._foreign_hubs}
-        return peers - {self._place.address}
+        return peers - {self._own_address.address}
 
     def create_notes(self, digest: messages.Digest) -> list[Outgoing]:
         """Return what to tell the hubs of this daemon."""
         raw = messages.encode_message(messages.DigestMessage(digest))
-        self._told.note(digest.number)
+        self._digest_times.note(digest.number)
         return [Outgoing(address, raw) for address in self._own_hubs]
 
     def note_sent(self, address: str) -> None:
         """Note that a hub was told something and should report."""
-        self._board.note_asked(address, trio.current_time())
+        self._election.note_asked(address, trio.current_time())
 
     def create_exchanges(self) -> list[Outgoing]:
         """Return what to tell the hubs of other zones."""
         exchange = self._hub.create_exchange(
-            self._create_facts(), trio.current_time(), self._view.silent_s
+            self._create_hub_state(), trio.current_time(), self._view.silent_s
         )
         raw = messages.encode_message(exchange)
         return [Outgoing(address, raw) for address in self._foreign_hubs]
@@ -230,16 +233,16 @@
     def create_reports(self) -> tuple[messages.FleetReport, list[Outgoing]]:
         """Return this hub's report to itself, and those to its zone."""
         reports = self._hub.create_reports(
-            self._create_facts(), trio.current_time(), self._view.silent_s
+            self._create_hub_state(), trio.current_time(), self._view.silent_s
         )
-        own = reports.pop(self._place.address)
-        self._rounds.note(own.number)
+        own = reports.pop(self._own_address.address)
+        self._report_times.note(own.number)
         found = [
             Outgoing(address, messages.encode_message(report))
             for address, report in reports.items()
         ]
         longest = max((len(one.raw) for one in found), default=0)
-        self.report_s = self._pace.find_report_s(longest)
+        self.report_s = self._intervals.find_report_s(longest)
         return own, found
 
     def is_report_due(self, *, is_hurried: bool) -> bool:
@@ -249,15 +252,15 @@
             is_hurried: There is news that cannot wait.
         """
         now = trio.current_time()
-        due_s = self._pace.report_s if is_hurried else self.report_s
-        if not self.is_hub or now < self._reported_at + due_s:
+        due_s = self._intervals.report_s if is_hurried else self.report_s
+        if not self.is_hub or now < self._report_round_at + due_s:
             return False
-        self._reported_at = now
+        self._report_round_at = now
         return True
 
     def find_reported(self, number: int) -> float | None:
         """Return when this hub made a round of reports, in trio's time."""
-        return self._rounds.find(number)
+        return self._report_times.find(number)
 
     def is_quota_hub(self) -> bool:
         """Tell whether this daemon keeps its zone's units."""
@@ -271,20 +274,23 @@
         first has to be back for some time: what was lent to one cannot be lent
         to another before it is over.
         """
-        oldest = trio.current_time() - _SERVED_S
+        oldest = trio.current_time() - _REPORT_TIMEOUT_S
         fresh = {
             address: one
-            for address, one in self._served.items()
+            for address, one in self._hub_statuses.items()
             if one.heard_at >= oldest and address in self._own_hubs
         }
         if self.is_quota_hub() or not fresh:
             return None
         first = next(a for a in self._own_hubs if a in fresh)
-        is_steady = fresh[first].since <= trio.current_time() - _STEADY_S
-        if self._keeper not in fresh or is_steady:
-            self._keeper = first
-        one = fresh[self._keeper]
-        return Keeper(one.summary.hub, self._keeper, one.number)
+        has_returned = (
+            fresh[first].reporting_since
+            <= trio.current_time() - _RETURN_DELAY_S
+        )
+        if self._quota_hub_address not in fresh or has_returned:
+            self._quota_hub_address = first
+        one = fresh[self._quota_hub_address]
+        return Keeper(one.summary.hub, self._quota_hub_address, one.number)
 
     def list_quota_hubs(self) -> list[str]:
         """Return the hubs to ask for units, the first choice first.
@@ -295,11 +301,11 @@
         keeper = self.find_quota_hub()
         own = [keeper.address] if keeper is not None else []
         own += [a for a in self._own_hubs if a not in own]
-        key = self._place.address
+        key = self._own_address.address
         foreign = [
             known.summary.address
             for known in self._view.zones.list_active()
-            if known.summary.zone != self._place.zone
+            if known.summary.zone != self._own_address.zone
         ]
         foreign.sort(key=lambda one: rendezvous.score_candidate(key, one))
         return own + foreign
@@ -313,25 +319,27 @@
 
         A hub drops that when it hears of this process, and says so.
         """
-        if self._sole_since == math.inf and self._has_chosen:
-            served = [self._served.get(address) for address in self._own_hubs]
-            if all(one is not None and one.has_heard for one in served):
+        if self._sole_since == math.inf and self._has_elected:
+            served = [
+                self._hub_statuses.get(address) for address in self._own_hubs
+            ]
+            if all(one is not None and one.has_own_digest for one in served):
                 self._sole_since = trio.current_time()
         return self._sole_since
 
     def is_served(self) -> bool:
         """Tell whether a hub follows the log for this daemon."""
-        return not self.is_hub and self._is_log_fresh_elsewhere()
+        return not self.is_hub and self._has_other_log_reader()
 
     def leads(self) -> bool:
         """Tell whether its zone goes by this hub's reading of the log."""
         if not self.is_hub:
             return False
-        return self._is_first or not self._is_log_fresh_elsewhere()
+        return self._is_first or not self._has_other_log_reader()
 
     def list_states(self) -> Iterator[state_copies.PeerState]:
         """Return what hubs say that they have."""
-        summaries = [one.summary for one in self._served.values()]
+        summaries = [one.summary for one in self._hub_statuses.values()]
         summaries += [k.summary for k in self._view.zones.list_active()]
         for summary in summaries:
             yield state_copies.PeerState(
@@ -341,27 +349,27 @@
                 summary.log_age_ms,
             )
 
-    def _is_log_fresh_elsewhere(self) -> bool:
-        oldest = trio.current_time() - _SERVED_S
+    def _has_other_log_reader(self) -> bool:
+        oldest = trio.current_time() - _REPORT_TIMEOUT_S
         return any(
-            one.heard_at >= oldest and one.summary.log_age_ms <= _FRESH_LOG_MS
-            for address, one in self._served.items()
-            if address != self._place.address
+            one.heard_at >= oldest and one.summary.log_age_ms <= _MAX_LOG_AGE_MS
+            for address, one in self._hub_statuses.items()
+            if address != self._own_address.address
         )
 
     def _list_foreign_hubs(
         self, by_zone: dict[str, list[topology.PeerAddress]], now: float
     ) -> Iterator[str]:
         """Return the other zones' hubs, and those that take us for one."""
-        heard = set(self._board.list_heard(now))
+        heard = set(self._election.list_heard(now))
         for peers in by_zone.values():
-            chosen = self._board.choose(peers, now)
+            chosen = self._election.choose(peers, now)
             yield from chosen
             yield from heard.intersection(p.address for p in peers) - {*chosen}
 
-    def _create_facts(self) -> hub.HubFacts:
+    def _create_hub_state(self) -> hub.HubFacts:
         state = self._state
-        age_s = min(state.contact.age_s, _LONGEST_AGE_S)
+        age_s = min(state.contact.age_s, _MAX_AGE_S)
         return hub.HubFacts(
             state.store.version,
             state.directory.entries.changed_end,
--- a/packages/daemon/src/martenquay_daemon/fleet/zones.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zones.py
@@ -14,7 +14,7 @@
 
 _LOG = logs.create_log("fleet")
 # Hubs report several times a second; after this another one's summary counts.
-_TAKE_OVER_S = 1.5
+_FAILOVER_S = 1.5
 
 
 @dataclasses.dataclass
@@ -64,7 +64,7 @@
             return False
         zone.hubs[summary.hub] = KnownSummary(summary, loads, now)
         is_active = summary.hub == zone.active
-        return is_active or self._take_over(zone, summary, now)
+        return is_active or self._fail_over(zone, summary, now)
 
     def find_active(self, zone: str) -> KnownSummary | None:
         """Return the summary of a zone that counts."""
@@ -81,19 +81,19 @@
             known
             for zone in self._zones.values()
             for known in zone.hubs.values()
-            if now - known.heard_at <= _TAKE_OVER_S
+            if now - known.heard_at <= _FAILOVER_S
         ]
 
     def clear(self) -> None:
         """Forget all zones."""
         self._zones.clear()
 
-    def _take_over(
+    def _fail_over(
         self, zone: _Zone, summary: messages.ZoneSummary, now: float
     ) -> bool:
         """Have another hub's sums count if the active one is silent."""
         silent_s = now - zone.hubs[zone.active].heard_at
-        if silent_s < _TAKE_OVER_S:
+        if silent_s < _FAILOVER_S:
             return False
         _LOG.write(
             f"Hub {summary.hub} counts for zone {summary.zone}.",
--- a/packages/daemon/src/martenquay_daemon/membership/directory.py
+++ b/packages/daemon/src/martenquay_daemon/membership/directory.py
@@ -22,7 +22,7 @@
 __all__ = ["InstanceFollower", "NoticeFollower", "RunnerDirectory"]
 
 _LOG = logs.create_log("membership")
-_RETRY_S = 0.25
+_NOTICE_RETRY_S = 0.25
 _NOTICE_WAIT_S = 20.0
 
 Runner = instances.Instance
@@ -44,7 +44,7 @@
         self._runners: dict[str, Runner] = {}
         self._pools: dict[tuple[str, str], list[Runner]] = {}
         self._leaving_listeners: list[Callable[[str], None]] = []
-        members.listen_for_leaving(self._take_leaving)
+        members.listen_for_leaving(self._handle_leaving)
 
     def listen_for_leaving(self, listener: Callable[[str], None]) -> None:
         """Have a function called with each runner that starts to leave."""
@@ -78,7 +78,7 @@
                 continue
             if share.to == partner and share.serves == pool:
                 runners = self.list_pool(key.partner, share.pool)
-                lent.extend(_choose_part(str(key), runners, share.fraction))
+                lent.extend(_choose_lent(str(key), runners, share.fraction))
         return lent
 
     def list_all(self) -> list[Runner]:
@@ -100,7 +100,7 @@
             name
         )
 
-    def _take_leaving(self, name: str) -> None:
+    def _handle_leaving(self, name: str) -> None:
         self._rebuild()
         for listener in self._leaving_listeners:
             listener(name)
@@ -111,11 +111,11 @@
         for runner in self._runners.values():
             if self._members.is_leaving_runner(runner.name):
                 continue
-            place = (runner.partner, runner.pool)
-            self._pools.setdefault(place, []).append(runner)
+            key = (runner.partner, runner.pool)
+            self._pools.setdefault(key, []).append(runner)
 
 
-def _choose_part(
+def _choose_lent(
     key: str, runners: list[Runner], fraction: float
 ) -> list[Runner]:
     """Return the lent part of a pool, at least one runner if any is lent."""
@@ -146,10 +146,10 @@
         while True:
             listed = await self._client.list_instances()
             if listed.is_ok():
-                self._take(listed.ok)
+                self._apply_list(listed.ok)
             await trio.sleep(self._poll_s)
 
-    def _take(self, listed: list[instances.Instance]) -> None:
+    def _apply_list(self, listed: list[instances.Instance]) -> None:
         entry = instances.InstanceKind.ENTRY
         self._directory.replace_all(
             [item for item in listed if item.kind is not entry]
@@ -178,7 +178,7 @@
         while True:
             page = await self._client.read_notices(position, _NOTICE_WAIT_S)
             if page.is_error():
-                await trio.sleep(_RETRY_S)
+                await trio.sleep(_NOTICE_RETRY_S)
                 continue
             position = page.ok.end
             for notice in page.ok.notices:
--- a/packages/daemon/src/martenquay_daemon/membership/links.py
+++ b/packages/daemon/src/martenquay_daemon/membership/links.py
@@ -31,9 +31,9 @@
 _LOG = logs.create_log("peers")
 LINKS_IN_ZONE = 6
 LINKS_TO_ZONE = 1
-_IDLE_LINK_S = 30.0
+_IDLE_TIMEOUT_S = 30.0
 _MAX_UPDATES = 500
-_SPACING_S = 0.02
+_MIN_HEARTBEAT_INTERVAL_S = 0.02
 _REQUEST_FRAMES = 3
 
 
@@ -64,7 +64,7 @@
 
 
 @dataclasses.dataclass
-class _Waiting:
+class _PendingRequest:
     done: trio.Event = dataclasses.field(default_factory=trio.Event)
     reply: messages.Message | None = None
 
@@ -76,7 +76,9 @@
     scope: trio.CancelScope = dataclasses.field(
         default_factory=trio.CancelScope
     )
-    waiting: dict[bytes, _Waiting] = dataclasses.field(default_factory=dict)
+    pending: dict[bytes, _PendingRequest] = dataclasses.field(
+        default_factory=dict
+    )
     member: str = ""
     sent_version: int = 0
     used_at: float = dataclasses.field(default_factory=trio.current_time)
@@ -93,16 +95,18 @@
         self,
         members: table.MemberTable,
         settings: models.DaemonSettings,
-        answer: Callable[[messages.Message], Awaitable[messages.Message]],
+        handle_request: Callable[
+            [messages.Message], Awaitable[messages.Message]
+        ],
     ) -> None:
         self.address = ""
         self._members = members
         self._settings = settings
-        self._answer = answer
+        self._handle_request = handle_request
         self._context = zmq.Context()
         self._links: dict[str, _Link] = {}
-        self._wanted: set[str] = set()
-        self._ids = itertools.count(1)
+        self._chosen: set[str] = set()
+        self._request_ids = itertools.count(1)
         self._nursery: trio.Nursery | None = None
 
     async def run(
@@ -114,10 +118,10 @@
         try:
             async with trio.open_nursery() as nursery:
                 self._nursery = nursery
-                nursery.start_soon(self._count_time)
+                nursery.start_soon(self._run_ticks)
                 # Until the instance list is read these are all that is known.
                 for address in self._settings.seeds:
-                    self._open(address)
+                    self._open_link(address)
                 task_status.started(router.address)
                 await self._serve(router, nursery)
         finally:
@@ -128,13 +132,13 @@
         """Link to the right ones of the known peers and drop other links."""
         own = self._settings.instance
         others = [peer for peer in peers if peer.instance != own]
-        chosen = _choose(own, self._settings.zone, others)
-        self._wanted = {peer.address for peer in chosen}
-        for address in self._wanted - set(self._links):
-            self._open(address)
+        chosen = _choose_peers(own, self._settings.zone, others)
+        self._chosen = {peer.address for peer in chosen}
+        for address in self._chosen - set(self._links):
+            self._open_link(address)
         for link in list(self._links.values()):
             idle_s = trio.current_time() - link.used_at
-            if link.address not in self._wanted and idle_s > _IDLE_LINK_S:
+            if link.address not in self._chosen and idle_s > _IDLE_TIMEOUT_S:
                 link.scope.cancel()
 
     async def request(
@@ -144,9 +148,9 @@
         known = self._members.find(member)
         if known is None:
             return Error(PeerFailure(f"daemon {member} is not known"))
-        link = self._links.get(known.address) or self._open(known.address)
+        link = self._links.get(known.address) or self._open_link(known.address)
         link.used_at = trio.current_time()
-        return await self._ask(link, message, timeout_s)
+        return await self._send_request(link, message, timeout_s)
 
     async def _serve(
         self, router: sockets.PeerSocket, nursery: trio.Nursery
@@ -163,48 +167,50 @@
                 continue
             if isinstance(message, messages.Heartbeat):
                 # Most messages are these; they need no task of their own.
-                reply = self._take_heartbeat(message)
+                reply = self._handle_heartbeat(message)
                 raw = messages.encode_message(reply)
                 router.send([peer, request_id, raw])
             else:
                 nursery.start_soon(
-                    self._reply, router, peer, request_id, message
+                    self._answer_request, router, peer, request_id, message
                 )
 
-    async def _reply(
+    async def _answer_request(
         self,
         router: sockets.PeerSocket,
         peer: bytes,
         request_id: bytes,
         message: messages.Message,
     ) -> None:
-        reply = await self._answer(message)
+        reply = await self._handle_request(message)
         router.send([peer, request_id, messages.encode_message(reply)])
 
-    def _take_heartbeat(self, message: messages.Heartbeat) -> messages.Message:
+    def _handle_heartbeat(
+        self, message: messages.Heartbeat
+    ) -> messages.Message:
         for update in message.updates:
             self._members.merge(update)
         self._members.note_applied(message.member, message.applied)
-        told = self._members.judge_sender(message.member)
+        updates = self._members.judge_sender(message.member)
         if message.is_new:
-            told, _ = self._members.changes_since(0, _MAX_UPDATES)
+            updates, _ = self._members.changes_since(0, _MAX_UPDATES)
         return messages.HeartbeatReply(
-            self._members.me.member, self._members.applied, told
+            self._members.me.member, self._members.applied, updates
         )
 
-    def _open(self, address: str) -> _Link:
+    def _open_link(self, address: str) -> _Link:
         assert self._nursery is not None, "links are not running"
         link = _Link(address, sockets.connect_dealer(self._context, address))
         self._links[address] = link
-        self._nursery.start_soon(self._keep_link, link)
+        self._nursery.start_soon(self._run_link, link)
         return link
 
-    async def _keep_link(self, link: _Link) -> None:
+    async def _run_link(self, link: _Link) -> None:
         try:
             with link.scope:
                 async with trio.open_nursery() as nursery:
                     nursery.start_soon(self._read_replies, link)
-                    await self._beat(link)
+                    await self._send_heartbeats(link)
         finally:
             self._links.pop(link.address, None)
             link.socket.close()
@@ -212,32 +218,32 @@
     async def _read_replies(self, link: _Link) -> None:
         while True:
             request_id, payload = await link.socket.receive()
-            waiting = link.waiting.pop(request_id, None)
-            if waiting is None:
+            pending_request = link.pending.pop(request_id, None)
+            if pending_request is None:
                 continue
-            waiting.reply = messages.decode_message(payload)
-            waiting.done.set()
+            pending_request.reply = messages.decode_message(payload)
+            pending_request.done.set()
 
-    async def _beat(self, link: _Link) -> None:
+    async def _send_heartbeats(self, link: _Link) -> None:
         interval_s = self._settings.timing.heartbeat_s
-        allowed = self._settings.timing.suspect_after_s / interval_s
+        max_missed = self._settings.timing.suspect_after_s / interval_s
         missed = 0
         while True:
             started = trio.current_time()
-            urgent = self._members.urgent.value
-            if await self._beat_once(link, interval_s):
+            urgent_count = self._members.urgent.value
+            if await self._send_heartbeat(link, interval_s):
                 missed = 0
             else:
                 missed += 1
                 link.sent_version = 0
-            if missed >= allowed and link.member:
+            if missed >= max_missed and link.member:
                 self._members.suspect(link.member)
             # News that come together go out together.
-            await trio.sleep(min(_SPACING_S, interval_s))
+            await trio.sleep(min(_MIN_HEARTBEAT_INTERVAL_S, interval_s))
             with trio.move_on_at(started + interval_s):
-                await self._members.urgent.wait_beyond(urgent)
+                await self._members.urgent.wait_beyond(urgent_count)
 
-    async def _beat_once(self, link: _Link, timeout_s: float) -> bool:
+    async def _send_heartbeat(self, link: _Link, timeout_s: float) -> bool:
         updates, reached = self._members.changes_since(
             link.sent_version, _MAX_UPDATES
         )
@@ -247,43 +253,45 @@
             updates,
             self._members.find(link.member) is None,
         )
-        reply = await self._ask(link, message, timeout_s)
+        reply = await self._send_request(link, message, timeout_s)
         match reply:
-            case Result(tag="ok", ok=messages.HeartbeatReply() as beat):
-                link.member = beat.member
-                self._members.note_applied(beat.member, beat.applied)
+            case Result(tag="ok", ok=messages.HeartbeatReply() as heartbeat):
+                link.member = heartbeat.member
+                self._members.note_applied(heartbeat.member, heartbeat.applied)
                 link.sent_version = reached
-                for update in beat.updates:
+                for update in heartbeat.updates:
                     self._members.merge(update)
                 return True
             case _:
                 return False
 
-    async def _ask(
+    async def _send_request(
         self, link: _Link, message: messages.Message, timeout_s: float
     ) -> Result[messages.Message, PeerFailure]:
-        request_id = next(self._ids).to_bytes(8, "big")
-        waiting = _Waiting()
-        link.waiting[request_id] = waiting
+        request_id = next(self._request_ids).to_bytes(8, "big")
+        pending_request = _PendingRequest()
+        link.pending[request_id] = pending_request
         try:
             payload = messages.encode_message(message)
             if not link.socket.send([request_id, payload]):
                 return Error(PeerFailure(f"{link.address} takes no messages"))
             with trio.move_on_after(timeout_s):
-                await waiting.done.wait()
+                await pending_request.done.wait()
         finally:
-            link.waiting.pop(request_id, None)
-        if waiting.reply is None:
+            link.pending.pop(request_id, None)
+        if pending_request.reply is None:
             return Error(PeerFailure(f"{link.address} did not answer"))
-        return Ok(waiting.reply)
+        return Ok(pending_request.reply)
 
-    async def _count_time(self) -> None:
+    async def _run_ticks(self) -> None:
         while True:
             await trio.sleep(self._settings.timing.heartbeat_s)
             self._members.tick()
 
 
-def _choose(own: str, zone: str, peers: list[PeerAddress]) -> list[PeerAddress]:
+def _choose_peers(
+    own: str, zone: str, peers: list[PeerAddress]
+) -> list[PeerAddress]:
     by_zone: dict[str, dict[str, PeerAddress]] = {}
     for peer in peers:
         by_zone.setdefault(peer.zone, {})[peer.instance] = peer
--- a/packages/daemon/src/martenquay_daemon/membership/table.py
+++ b/packages/daemon/src/martenquay_daemon/membership/table.py
@@ -60,7 +60,7 @@
         self._entries: OrderedDict[str, _Entry] = OrderedDict()
         self._applied: dict[str, int] = {}
         self._runner_listeners: list[Callable[[str], None]] = []
-        self._store(me.member, me)
+        self._set_entry(me.member, me)
 
     def listen_for_leaving(self, listener: Callable[[str], None]) -> None:
         """Have a function called with each runner that starts to leave."""
@@ -85,20 +85,20 @@
     def replace_me(self, me: messages.MemberUpdate) -> None:
         """Replace all that this daemon says of itself, once it listens."""
         self.me = me
-        self._store(me.member, me)
+        self._set_entry(me.member, me)
 
     def announce_leaving(self) -> None:
         """Say that this daemon is leaving."""
         if self.me.state < _State.LEAVING:
             self.me = msgspec.structs.replace(self.me, state=_State.LEAVING)
-            self._store(self.me.member, self.me)
-            self._hurry()
+            self._set_entry(self.me.member, self.me)
+            self._signal_urgent()
 
     def announce_applied(self, offset: int) -> None:
         """Say which configuration is in force here."""
         if offset > self.applied:
             self.applied = offset
-            self._hurry()
+            self._signal_urgent()
 
     def note_applied(self, member: str, offset: int) -> None:
         """Note which configuration a linked daemon has in force."""
@@ -192,12 +192,12 @@
 
     def _merge_member(self, update: messages.MemberUpdate) -> bool:
         known = self.find(update.member)
-        if known is not None and _rank(update) <= _rank(known):
+        if known is not None and _precedence(update) <= _precedence(known):
             return False
-        self._store(
-            update.member, update, keep_ticks=_same_state(known, update)
+        self._set_entry(
+            update.member, update, keep_ticks=_has_same_state(known, update)
         )
-        if not _same_state(known, update):
+        if not _has_same_state(known, update):
             _LOG.write(
                 f"Daemon {update.member} is {update.state.name.lower()}.",
                 member=update.member,
@@ -209,27 +209,27 @@
         key = _runner_key(update.runner)
         if key in self._entries:
             return False
-        self._store(key, update)
+        self._set_entry(key, update)
         _LOG.write(f"Runner {update.runner} is leaving.", runner=update.runner)
-        self._hurry()
+        self._signal_urgent()
         for listener in self._runner_listeners:
             listener(update.runner)
         return True
 
-    def _hurry(self) -> None:
+    def _signal_urgent(self) -> None:
         self.urgent.advance(self.urgent.value + 1)
 
     def _refute(self, update: messages.MemberUpdate) -> bool:
-        if _rank(update) <= _rank(self.me):
+        if _precedence(update) <= _precedence(self.me):
             return False
         self.me = msgspec.structs.replace(
             self.me, incarnation=update.incarnation + 1
         )
-        self._store(self.me.member, self.me)
+        self._set_entry(self.me.member, self.me)
         _LOG.write("Refuted a report of this daemon's death.")
         return True
 
-    def _store(
+    def _set_entry(
         self, key: str, update: messages.Update, *, keep_ticks: bool = False
     ) -> None:
         self.version += 1
@@ -243,11 +243,11 @@
             self._applied.pop(name, None)
 
 
-def _rank(update: messages.MemberUpdate) -> tuple[int, int]:
+def _precedence(update: messages.MemberUpdate) -> tuple[int, int]:
     return (update.incarnation, update.state)
 
 
-def _same_state(
+def _has_same_state(
     known: messages.MemberUpdate | None, update: messages.MemberUpdate
 ) -> bool:
     return known is not None and known.state is update.state
