--- a/packages/daemon/src/martenquay_daemon/fleet/hub.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/hub.py
@@ -78,9 +78,9 @@
             if subscriber.heard_at >= oldest
         }
 
-    def forget_old(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """Drop daemons that are long gone."""
-        self._aggregator.forget_old(now)
+        self._aggregator.drop_expired(now)
         kept = self.list_subscribers(now)
         for address in set(self._subscribers) - set(kept):
             del self._subscribers[address]
@@ -89,7 +89,7 @@
         self, facts: HubFacts, now: float, silent_s: float
     ) -> messages.ZoneExchange:
         """Return what to tell the hubs of other zones."""
-        totals = self._aggregator.add_up(now, silent_s)
+        totals = self._aggregator.sum_digests(now, silent_s)
         return messages.ZoneExchange(
             self._summarize(totals, facts), totals.loads, facts.runner_reports
         )
@@ -99,7 +99,7 @@
     ) -> dict[str, messages.FleetReport]:
         """Return what to tell each subscriber, by address, and itself."""
         assert self._own_digest is not None, "its own digest comes first"
-        total = self._aggregator.add_up(now, silent_s)
+        total = self._aggregator.sum_digests(now, silent_s)
         others = [
             known
             for known in self._zones.list_active()
@@ -110,7 +110,7 @@
         self._report_round += 1
         reports = {}
         for address, digest in receivers.items():
-            totals = self._aggregator.leave_out(
+            totals = self._aggregator.exclude_member(
                 total, digest.member, now, silent_s
             )
             # Duties are candidates' work, and those are hubs.
--- a/packages/daemon/src/martenquay_daemon/fleet/topology.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/topology.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-__all__ = ["FULL_MESH", "HubBoard", "PeerAddress"]
+__all__ = ["FULL_MESH", "HubElection", "PeerAddress"]
 
 # Up to so many other daemons, each is linked to all.
 FULL_MESH = 12
@@ -45,7 +45,7 @@
     capacity: float = 0.0
 
 
-class HubBoard:
+class HubElection:
     """Which daemons are hubs, as far as this one can tell."""
 
     def __init__(self, own_address: str) -> None:
@@ -54,7 +54,7 @@
         self._heard_at: dict[str, float] = {}
         self._retry_at: dict[str, float] = {}
 
-    def choose(self, peers: Iterable[PeerAddress], now: float) -> list[str]:
+    def elect_hubs(self, peers: Iterable[PeerAddress], now: float) -> list[str]:
         """Return the addresses of one zone's hubs, the first choice first.
 
         One that was passed over is told things again after a while, beside
@@ -77,22 +77,22 @@
                 chosen.append(peer.address)
         return chosen
 
-    def is_first(self, chosen: list[str]) -> bool:
+    def is_first_hub(self, chosen: list[str]) -> bool:
         """Tell whether this daemon is the first of the hubs that answer."""
         answering = [a for a in chosen if a not in self._retry_at]
         return bool(answering) and answering[0] == self.own_address
 
-    def note_asked(self, address: str, now: float) -> None:
+    def note_message_sent(self, address: str, now: float) -> None:
         """Note that a hub was told something and should report."""
         self._awaiting_since.setdefault(address, now)
 
-    def note_heard(self, address: str, now: float) -> None:
+    def note_report(self, address: str, now: float) -> None:
         """Note that a hub reported."""
         self._heard_at[address] = now
         self._awaiting_since[address] = now
         self._retry_at.pop(address, None)
 
-    def list_heard(self, now: float) -> list[str]:
+    def list_reporting(self, now: float) -> list[str]:
         """Return the hubs that reported lately."""
         oldest = now - _REPORT_TIMEOUT_S
         return [
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_aggregator.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_aggregator.py
@@ -81,7 +81,7 @@
             known.heard_at = now
         return True
 
-    def forget_old(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """Drop daemons that are long gone."""
         for member, known in list(self._members.items()):
             if now - known.heard_at > _FORGET_AFTER_S:
@@ -91,7 +91,7 @@
         """Return the digests of the daemons that are heard."""
         return [known.digest for known in self._list_heard(now, silent_s)]
 
-    def add_up(self, now: float, silent_s: float) -> ZoneTotals:
+    def sum_digests(self, now: float, silent_s: float) -> ZoneTotals:
         """Return the sums over all daemons."""
         heard = list(self._list_heard(now, silent_s))
         totals = ZoneTotals(daemons=len(heard))
@@ -114,7 +114,7 @@
         totals.trials = _add_trials(heard)
         return totals
 
-    def leave_out(
+    def exclude_member(
         self, total: ZoneTotals, member: str, now: float, silent_s: float
     ) -> ZoneTotals:
         """Return sums without one daemon's part."""
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
@@ -103,12 +103,12 @@
             lambda: messages.NO_RUNNER_REPORTS
         )
         self.report_s = zone_intervals.report_s
-        self._is_first = False
+        self._is_first_hub = False
         self._own_address = own_address
         self._view = fleet
         self._state = state
         self._intervals = zone_intervals
-        self._election = topology.HubBoard(own_address.address)
+        self._election = topology.HubElection(own_address.address)
         self._hub = hub.ZoneHub(fleet.zones)
         self._own_hubs: list[str] = []
         self._foreign_hubs: list[str] = []
@@ -131,7 +131,7 @@
         """Take this daemon's own digest."""
         now = trio.current_time()
         self._hub.set_own_digest(digest, now)
-        self._hub.forget_old(now)
+        self._hub.drop_expired(now)
 
     def apply_digest(self, digest: messages.Digest) -> None:
         """Take the digest of a daemon that takes this one for a hub."""
@@ -142,7 +142,7 @@
         """Take what another zone's hub tells."""
         summary = exchange.summary
         now = trio.current_time()
-        self._election.note_heard(summary.address, now)
+        self._election.note_report(summary.address, now)
         if summary.zone != self._own_address.zone:
             self._view.zones.take(summary, exchange.loads, now)
 
@@ -152,7 +152,7 @@
             return False
         own = report.zones[0]
         now = trio.current_time()
-        self._election.note_heard(own.address, now)
+        self._election.note_report(own.address, now)
         last = self._hub_statuses.get(own.address)
         is_new = last is None or now - last.heard_at > _REPORT_TIMEOUT_S
         self._hub_statuses[own.address] = _HubStatus(
@@ -200,10 +200,10 @@
             by_zone.setdefault(peer.zone, []).append(peer)
         by_zone.pop("", None)
         own_zone = [*by_zone.pop(self._own_address.zone, []), self._own_address]
-        chosen = self._election.choose(own_zone, now)
+        chosen = self._election.elect_hubs(own_zone, now)
         subscribers = set(self._hub.list_subscribers(now))
         self.is_hub = self._own_address.address in chosen or bool(subscribers)
-        self._is_first = self._election.is_first(chosen)
+        self._is_first_hub = self._election.is_first_hub(chosen)
         self._own_hubs = [a for a in chosen if a != self._own_address.address]
         self._has_elected = True
         if not self.is_hub:
@@ -220,7 +220,7 @@
 
     def note_sent(self, address: str) -> None:
         """Note that a hub was told something and should report."""
-        self._election.note_asked(address, trio.current_time())
+        self._election.note_message_sent(address, trio.current_time())
 
     def create_exchanges(self) -> list[Outgoing]:
         """Return what to tell the hubs of other zones."""
@@ -264,7 +264,7 @@
 
     def is_quota_hub(self) -> bool:
         """Tell whether this daemon keeps its zone's units."""
-        return self.is_hub and self._is_first
+        return self.is_hub and self._is_first_hub
 
     def find_quota_hub(self) -> Keeper | None:
         """Return the hub that is to keep this daemon's units, if any reports.
@@ -335,7 +335,7 @@
         """Tell whether its zone goes by this hub's reading of the log."""
         if not self.is_hub:
             return False
-        return self._is_first or not self._has_other_log_reader()
+        return self._is_first_hub or not self._has_other_log_reader()
 
     def list_states(self) -> Iterator[state_copies.PeerState]:
         """Return what hubs say that they have."""
@@ -361,9 +361,9 @@
         self, by_zone: dict[str, list[topology.PeerAddress]], now: float
     ) -> Iterator[str]:
         """Return the other zones' hubs, and those that take us for one."""
-        heard = set(self._election.list_heard(now))
+        heard = set(self._election.list_reporting(now))
         for peers in by_zone.values():
-            chosen = self._election.choose(peers, now)
+            chosen = self._election.elect_hubs(peers, now)
             yield from chosen
             yield from heard.intersection(p.address for p in peers) - {*chosen}
 
--- a/tests/test_fleet/test_zone_aggregator.py
+++ b/tests/test_fleet/test_zone_aggregator.py
@@ -24,7 +24,7 @@
         )
 
     def _add_up(self, now: float) -> zone_aggregator.ZoneTotals:
-        return self.sum.add_up(now, _SILENT_S)
+        return self.sum.sum_digests(now, _SILENT_S)
 
     def test_a_silent_daemon_has_no_load_but_its_counts_stay(self) -> None:
         self._take(
@@ -49,7 +49,7 @@
         others = self._add_up(0.0)
         self._take("entry-2", 1, 0.0, **fields, window=7)
         total = self._add_up(0.0)
-        part = self.sum.leave_out(total, "entry-2.aa", 0.0, _SILENT_S)
+        part = self.sum.exclude_member(total, "entry-2.aa", 0.0, _SILENT_S)
         self.assertEqual(others, part)
         self.assertEqual(2, total.daemons)
         self.assertEqual(7, total.window)
