--- a/bench/capacity/control_slopes.py
+++ b/bench/capacity/control_slopes.py
@@ -51,7 +51,7 @@
         raw = messages.encode_message(beat)
         received = messages.decode_message(raw)
         members.note_applied(received.member, received.applied)
-        members.judge_sender(received.member)
+        members.list_reports_to_refute(received.member)
         answer = messages.decode_message(messages.encode_message(reply))
         members.note_applied(answer.member, answer.applied)
 
--- a/packages/daemon/src/martenquay_daemon/membership/links.py
+++ b/packages/daemon/src/martenquay_daemon/membership/links.py
@@ -191,7 +191,7 @@
         for update in message.updates:
             self._members.merge(update)
         self._members.note_applied(message.member, message.applied)
-        updates = self._members.judge_sender(message.member)
+        updates = self._members.list_reports_to_refute(message.member)
         if message.is_new:
             updates, _ = self._members.changes_since(0, _MAX_UPDATES)
         return messages.HeartbeatReply(
--- a/packages/daemon/src/martenquay_daemon/membership/table.py
+++ b/packages/daemon/src/martenquay_daemon/membership/table.py
@@ -183,7 +183,7 @@
         reached = chosen[-1].version if chosen else version
         return [entry.update for entry in chosen], reached
 
-    def judge_sender(self, member: str) -> list[messages.Update]:
+    def list_reports_to_refute(self, member: str) -> list[messages.Update]:
         """Return the report that a daemon has to refute, if there is one."""
         known = self.find(member)
         if known is None or known.state < _State.SUSPECT:
--- a/tests/test_daemon/test_members.py
+++ b/tests/test_daemon/test_members.py
@@ -80,8 +80,8 @@
         members = _build()
         dead = builders.build_member(member="entry-2", state=_State.DEAD)
         members.merge(dead)
-        self.assertEqual([dead], members.judge_sender("entry-2"))
-        self.assertEqual([], members.judge_sender("entry-9"))
+        self.assertEqual([dead], members.list_reports_to_refute("entry-2"))
+        self.assertEqual([], members.list_reports_to_refute("entry-9"))
 
     def test_changes_are_given_oldest_first_and_go_on_where_they_stopped(self):
         members = _build()
