--- a/bench/capacity/control_slopes.py
+++ b/bench/capacity/control_slopes.py
@@ -47,7 +47,7 @@
     members = _build_members(50)
 
     def run() -> None:
-        members.changes_since(members.version, 500)
+        members.list_changes_since(members.version, 500)
         raw = messages.encode_message(beat)
         received = messages.decode_message(raw)
         members.note_applied(received.member, received.applied)
@@ -77,7 +77,7 @@
 
     def run() -> None:
         members.merge(_build_update(7, incarnation=next(numbers)))
-        members.changes_since(members.version - 1, 500)
+        members.list_changes_since(members.version - 1, 500)
 
     wire = len(
         messages.encode_message(
--- a/packages/daemon/src/martenquay_daemon/membership/links.py
+++ b/packages/daemon/src/martenquay_daemon/membership/links.py
@@ -193,7 +193,7 @@
         self._members.note_applied(message.member, message.applied)
         updates = self._members.list_reports_to_refute(message.member)
         if message.is_new:
-            updates, _ = self._members.changes_since(0, _MAX_UPDATES)
+            updates, _ = self._members.list_changes_since(0, _MAX_UPDATES)
         return messages.HeartbeatReply(
             self._members.me.member, self._members.applied, updates
         )
@@ -244,7 +244,7 @@
                 await self._members.urgent.wait_beyond(urgent_count)
 
     async def _send_heartbeat(self, link: _Link, timeout_s: float) -> bool:
-        updates, reached = self._members.changes_since(
+        updates, reached = self._members.list_changes_since(
             link.sent_version, _MAX_UPDATES
         )
         message = messages.Heartbeat(
--- a/packages/daemon/src/martenquay_daemon/membership/table.py
+++ b/packages/daemon/src/martenquay_daemon/membership/table.py
@@ -165,7 +165,7 @@
         """Tell whether a runner has been reported as leaving."""
         return _runner_key(runner) in self._entries
 
-    def changes_since(
+    def list_changes_since(
         self, version: int, limit: int
     ) -> tuple[list[messages.Update], int]:
         """Return reports that changed after a version, oldest first.
--- a/tests/test_daemon/test_members.py
+++ b/tests/test_daemon/test_members.py
@@ -90,7 +90,7 @@
         seen: list[str] = []
         version = 0
         while True:
-            updates, version = members.changes_since(version, 2)
+            updates, version = members.list_changes_since(version, 2)
             if not updates:
                 break
             seen += [update.member for update in updates]
