--- a/packages/daemon/src/martenquay_daemon/fleet/roster.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/roster.py
@@ -126,7 +126,7 @@
         count = sum(self._zones[one] == zone for one in self._listed)
         return count / len(self._listed)
 
-    def forget_times(self) -> None:
+    def reset_heard_times(self) -> None:
         """Count silence from now on: others could not be heard until now."""
         now = trio.current_time()
         self._heard_at = dict.fromkeys(self._listed, now)
--- a/packages/daemon/src/martenquay_daemon/fleet/state_gossip.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/state_gossip.py
@@ -186,7 +186,7 @@
     def change_mode(self) -> None:
         """Drop all other daemons' state, as the fleet became large or small."""
         self._sources.quota_exchange.forget_all()
-        self._sources.listed.forget_times()
+        self._sources.listed.reset_heard_times()
         self._sources.loads.forget_sources()
         self._sources.estimates.forget_sources()
         self._sources.trials.forget_sources()
