--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -192,7 +192,7 @@
         """Return whether this daemon holds the quota that it needs."""
         return self.is_mesh() or self._zone.is_quota_hub()
 
-    def find_quota_hub(self) -> zone_mode.Keeper | None:
+    def find_quota_hub(self) -> zone_mode.QuotaHub | None:
         """Return the hub to delegate to, if one is needed and reports."""
         return None if self.is_mesh() else self._zone.find_quota_hub()
 
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
@@ -23,7 +23,7 @@
 
     from martenquay_daemon.fleet import timing, view
 
-__all__ = ["Keeper", "Outgoing", "ZoneMode"]
+__all__ = ["QuotaHub", "Outgoing", "ZoneMode"]
 
 # What a log that has never answered counts as.
 _MAX_AGE_S = 3600.0
@@ -51,7 +51,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Keeper:
+class QuotaHub:
     """The hub that keeps units for this daemon.
 
     Attributes:
@@ -266,7 +266,7 @@
         """Tell whether this daemon keeps its zone's units."""
         return self.is_hub and self._is_first_hub
 
-    def find_quota_hub(self) -> Keeper | None:
+    def find_quota_hub(self) -> QuotaHub | None:
         """Return the hub that is to keep this daemon's units, if any reports.
 
         The first one keeps those of the whole zone: each pile more would be
@@ -290,7 +290,7 @@
         if self._quota_hub_address not in fresh or has_returned:
             self._quota_hub_address = first
         one = fresh[self._quota_hub_address]
-        return Keeper(one.summary.hub, self._quota_hub_address, one.number)
+        return QuotaHub(one.summary.hub, self._quota_hub_address, one.number)
 
     def list_quota_hubs(self) -> list[str]:
         """Return the hubs to ask for units, the first choice first.
--- a/tests/test_fleet/test_quota_exchange.py
+++ b/tests/test_fleet/test_quota_exchange.py
@@ -25,10 +25,10 @@
 
     def __init__(self) -> None:
         self.address = "127.0.0.1:7001"
-        self.quota_hub: zone_mode.Keeper | None = None
+        self.quota_hub: zone_mode.QuotaHub | None = None
         self.is_small = False
 
-    def find_quota_hub(self) -> zone_mode.Keeper | None:
+    def find_quota_hub(self) -> zone_mode.QuotaHub | None:
         """Return the hub that holds this daemon's quota."""
         return self.quota_hub
 
@@ -147,7 +147,7 @@
             delegator = self._build(0.25)
             await trio.sleep(0.1)
             self.assertIsNone(delegator.create_delegation())
-            self.links.quota_hub = zone_mode.Keeper("entry-0.bb", "h:1", 9)
+            self.links.quota_hub = zone_mode.QuotaHub("entry-0.bb", "h:1", 9)
             self.assertTrue(delegator.has_share_to_delegate())
             entry = delegator.create_delegation()
             self.assertEqual(("entry-0.bb", 9), (entry.receiver, entry.heard))
