--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -444,7 +444,9 @@
         self._digest_sent_at = trio.current_time()
         self._digest_wake = trio.Event()
         if not self.is_mesh():
-            self._send_to_hubs(self._zone.create_notes(self._own_digest))
+            self._send_to_hubs(
+                self._zone.create_digest_messages(self._own_digest)
+            )
             return
         raw = messages.encode_message(messages.DigestMessage(self._own_digest))
         for address in list(self._links):
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
@@ -212,7 +212,7 @@
         peers = {*self._own_hubs, *subscribers, *self._foreign_hubs}
         return peers - {self._own_address.address}
 
-    def create_notes(self, digest: messages.Digest) -> list[Outgoing]:
+    def create_digest_messages(self, digest: messages.Digest) -> list[Outgoing]:
         """Return what to tell the hubs of this daemon."""
         raw = messages.encode_message(messages.DigestMessage(digest))
         self._digest_times.note(digest.number)
--- a/tests/test_fleet/test_zone_mode.py
+++ b/tests/test_fleet/test_zone_mode.py
@@ -82,7 +82,7 @@
             one = self._build(_OTHERS[0])
             one.select_peers([_FIRST, _SECOND, *_OTHERS[1:]])
             self.follower.skip_to(5)
-            one.create_notes(builders.build_digest(number=7))
+            one.create_digest_messages(builders.build_digest(number=7))
             told_at = trio.current_time()
             await trio.sleep(0.4)
             summary = builders.build_summary(
@@ -109,7 +109,7 @@
         async def scenario() -> None:
             one = self._build(_OTHERS[0])
             one.select_peers([_FIRST, _SECOND, *_OTHERS[1:]])
-            one.create_notes(builders.build_digest(number=7))
+            one.create_digest_messages(builders.build_digest(number=7))
             summary = builders.build_summary(
                 zone="a", address=_FIRST.address, runners_changed=40
             )
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -420,7 +420,7 @@
             members_end=members_end,
         )
         self._zone.set_own_digest(digest)
-        for one in self._zone.create_notes(digest):
+        for one in self._zone.create_digest_messages(digest):
             self._tell(one.address, messages.decode_message(one.raw))
             self._zone.note_sent(one.address)
 
