--- a/bench/fleet_cost.py
+++ b/bench/fleet_cost.py
@@ -128,7 +128,7 @@
         sent = f"{told / 1000:.1f}"
         return [str(size), str(cost.digest_bytes), "-", sent, sent, *"----"]
     intervals = timing.ZONE_INTERVALS
-    report_s = intervals.find_report_s(cost.report_bytes)
+    report_s = intervals.find_report_interval(cost.report_bytes)
     members = size // _ZONES
     hubs = 2
     told = cost.digest_bytes * hubs / intervals.digest_s
--- a/packages/daemon/src/martenquay_daemon/fleet/timing.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/timing.py
@@ -38,7 +38,7 @@
     silent_s: float
     quota_update_s: float
 
-    def find_report_s(self, size: int) -> float:
+    def find_report_interval(self, size: int) -> float:
         """Return the interval between reports of a size in bytes."""
         wanted_s = max(self.report_s, size / self.report_bytes_per_s)
         return min(self.max_report_s, wanted_s)
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
@@ -242,7 +242,7 @@
             for address, report in reports.items()
         ]
         longest = max((len(one.raw) for one in found), default=0)
-        self.report_s = self._intervals.find_report_s(longest)
+        self.report_s = self._intervals.find_report_interval(longest)
         return own, found
 
     def is_report_due(self, *, is_hurried: bool) -> bool:
