--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -426,7 +426,8 @@
         if self.is_mesh():
             return intervals.silent_s
         return max(
-            intervals.silent_s, timing.LOST_REPORTS * self._zone.report_s
+            intervals.silent_s,
+            timing.LOST_REPORTS * self._zone.report_interval_s,
         )
 
     def _is_digest_due(self, intervals: timing.GossipIntervals) -> bool:
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
@@ -84,7 +84,7 @@
 
     Attributes:
         is_hub: It reports to others.
-        report_s: Between two of its reports.
+        report_interval_s: Between two of its reports.
         find_members_end: Returns how far all listed daemons of this zone have
             read who announced themselves.
         create_runner_reports: Returns what is known of what runners say.
@@ -102,7 +102,7 @@
         self.create_runner_reports: Callable[[], messages.RunnerReports] = (
             lambda: messages.NO_RUNNER_REPORTS
         )
-        self.report_s = zone_intervals.report_s
+        self.report_interval_s = zone_intervals.report_s
         self._is_first_hub = False
         self._own_address = own_address
         self._view = fleet
@@ -242,7 +242,7 @@
             for address, report in reports.items()
         ]
         longest = max((len(one.raw) for one in found), default=0)
-        self.report_s = self._intervals.find_report_interval(longest)
+        self.report_interval_s = self._intervals.find_report_interval(longest)
         return own, found
 
     def is_report_due(self, *, is_hurried: bool) -> bool:
@@ -252,7 +252,9 @@
             is_hurried: There is news that cannot wait.
         """
         now = trio.current_time()
-        due_s = self._intervals.report_s if is_hurried else self.report_s
+        due_s = (
+            self._intervals.report_s if is_hurried else self.report_interval_s
+        )
         if not self.is_hub or now < self._report_round_at + due_s:
             return False
         self._report_round_at = now
