--- a/bench/fleet_cost.py
+++ b/bench/fleet_cost.py
@@ -23,7 +23,7 @@
 _RUNNERS = {8: 9, 80: 45, 400: 790}
 _AT_ONCE = 6
 _SILENT_S = 2.0
-_FACTS = hub.HubFacts(3, 900, 120, 40, 12, messages.NO_RUNNER_REPORTS)
+_HUB_STATE = hub.HubState(3, 900, 120, 40, 12, messages.NO_RUNNER_REPORTS)
 
 
 @dataclasses.dataclass(frozen=True)
@@ -98,11 +98,13 @@
         one.set_own_digest(own, 0.0)
         started = time.process_time()
         exchange = messages.encode_message(
-            one.create_exchange(_FACTS, 0.0, _SILENT_S)
+            one.create_exchange(_HUB_STATE, 0.0, _SILENT_S)
         )
         raws = [
             messages.encode_message(report)
-            for report in one.create_reports(_FACTS, 0.0, _SILENT_S).values()
+            for report in one.create_reports(
+                _HUB_STATE, 0.0, _SILENT_S
+            ).values()
         ]
         times.append(time.process_time() - started)
         started = time.process_time()
--- a/packages/daemon/src/martenquay_daemon/fleet/hub.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/hub.py
@@ -12,14 +12,14 @@
 if TYPE_CHECKING:
     from martenquay_daemon.fleet import zones
 
-__all__ = ["HubFacts", "ZoneHub"]
+__all__ = ["HubState", "ZoneHub"]
 
 # A daemon that has not told anything for so long is not reported to.
 _SUBSCRIPTION_TIMEOUT_S = 3.0
 
 
 @dataclasses.dataclass(frozen=True)
-class HubFacts:
+class HubState:
     """What a hub tells beside the sums over its zone.
 
     Attributes:
@@ -86,16 +86,18 @@
             del self._subscribers[address]
 
     def create_exchange(
-        self, facts: HubFacts, now: float, silent_s: float
+        self, hub_state: HubState, now: float, silent_s: float
     ) -> messages.ZoneExchange:
         """Return what to tell the hubs of other zones."""
         totals = self._aggregator.sum_digests(now, silent_s)
         return messages.ZoneExchange(
-            self._summarize(totals, facts), totals.loads, facts.runner_reports
+            self._summarize(totals, hub_state),
+            totals.loads,
+            hub_state.runner_reports,
         )
 
     def create_reports(
-        self, facts: HubFacts, now: float, silent_s: float
+        self, hub_state: HubState, now: float, silent_s: float
     ) -> dict[str, messages.FleetReport]:
         """Return what to tell each subscriber, by address, and itself."""
         assert self._own_digest is not None, "its own digest comes first"
@@ -116,7 +118,7 @@
             # Duties are candidates' work, and those are hubs.
             is_full = digest.lease is not None or digest is self._own_digest
             reports[address] = self._create_report(
-                totals, others, facts, digest.number, is_full=is_full
+                totals, others, hub_state, digest.number, is_full=is_full
             )
         return reports
 
@@ -124,13 +126,13 @@
         self,
         totals: zone_aggregator.ZoneTotals,
         others: list[zones.KnownSummary],
-        facts: HubFacts,
+        hub_state: HubState,
         digest_number: int,
         *,
         is_full: bool,
     ) -> messages.FleetReport:
         assert self._own_digest is not None, "its own digest comes first"
-        summaries = [self._summarize(totals, facts)]
+        summaries = [self._summarize(totals, hub_state)]
         summaries += [known.summary for known in others]
         loads = dict(totals.loads)
         prefill = dict(totals.reading)
@@ -147,11 +149,11 @@
             self._report_round,
             prefill,
             self._own_digest.orders,
-            facts.runner_reports,
+            hub_state.runner_reports,
         )
 
     def _summarize(
-        self, totals: zone_aggregator.ZoneTotals, facts: HubFacts
+        self, totals: zone_aggregator.ZoneTotals, hub_state: HubState
     ) -> messages.ZoneSummary:
         own = self._own_digest
         assert own is not None, "its own digest comes first"
@@ -163,15 +165,15 @@
             address=own.address,
             number=self._summary_number,
             daemons=totals.daemons,
-            catalog_version=facts.catalog_version,
-            runners_changed=facts.runners_changed,
-            runners_age_ms=facts.runners_age_ms,
-            log_age_ms=facts.log_age_ms,
+            catalog_version=hub_state.catalog_version,
+            runners_changed=hub_state.runners_changed,
+            runners_age_ms=hub_state.runners_age_ms,
+            log_age_ms=hub_state.log_age_ms,
             lease=totals.lease,
             lease_member=totals.lease_member,
             leaving=totals.leaving,
             window=own.window if totals.window is None else totals.window,
-            members_end=facts.members_end,
+            members_end=hub_state.members_end,
             begun=totals.begun,
             demand=totals.demand,
             reading=totals.reading,
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
@@ -369,10 +369,10 @@
             yield from chosen
             yield from heard.intersection(p.address for p in peers) - {*chosen}
 
-    def _create_hub_state(self) -> hub.HubFacts:
+    def _create_hub_state(self) -> hub.HubState:
         state = self._state
         age_s = min(state.contact.age_s, _MAX_AGE_S)
-        return hub.HubFacts(
+        return hub.HubState(
             state.store.version,
             state.directory.entries.changed_end,
             state.find_runners_age_ms(),
--- a/tests/test_fleet/test_order_copies.py
+++ b/tests/test_fleet/test_order_copies.py
@@ -8,7 +8,7 @@
 from tests import clocked
 from tests import serving_builders as builders
 
-_FACTS = hub.HubFacts(3, 0, 0, 0, 0, messages.NO_RUNNER_REPORTS)
+_HUB_STATE = hub.HubState(3, 0, 0, 0, 0, messages.NO_RUNNER_REPORTS)
 _SILENT_S = 2.0
 _ORDER = messages.RolloutOrderEntry("model", "v2", 12.0, 7)
 
@@ -25,7 +25,7 @@
                 address="127.0.0.1:7003",
             )
             zone_hub.take(subscriber, now)
-            reports = zone_hub.create_reports(_FACTS, now, _SILENT_S)
+            reports = zone_hub.create_reports(_HUB_STATE, now, _SILENT_S)
             raw = messages.encode_message(reports["127.0.0.1:7003"])
             self.assertEqual([_ORDER], messages.decode_message(raw).orders)
 
--- a/tests/test_fleet/test_usage_handover.py
+++ b/tests/test_fleet/test_usage_handover.py
@@ -13,7 +13,7 @@
 from tests import serving_builders as builders
 
 _WINDOW = 7
-_FACTS = hub.HubFacts(3, 0, 0, 0, 0, messages.NO_RUNNER_REPORTS)
+_HUB_STATE = hub.HubState(3, 0, 0, 0, 0, messages.NO_RUNNER_REPORTS)
 _SILENT_S = 2.0
 
 
@@ -33,7 +33,7 @@
             lease=lease,
         )
         zone_hub.take(subscriber, now)
-        reports = zone_hub.create_reports(_FACTS, now, _SILENT_S)
+        reports = zone_hub.create_reports(_HUB_STATE, now, _SILENT_S)
         return reports["127.0.0.1:7003"]
 
     def _apply_report(self, report: messages.FleetReport) -> view.FleetView:
