--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -337,7 +337,7 @@
             self.listeners.apply_digest(digest)
         elif digest.zone == self._own_address.zone:
             delegation = digest.loan
-            reported_at = delegation and self._zone.find_reported(
+            reported_at = delegation and self._zone.find_report_time(
                 delegation.heard
             )
             self.listeners.apply_subscriber_digest(digest, reported_at)
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
@@ -260,7 +260,7 @@
         self._report_round_at = now
         return True
 
-    def find_reported(self, number: int) -> float | None:
+    def find_report_time(self, number: int) -> float | None:
         """Return when this hub made a round of reports, in trio's time."""
         return self._report_times.find(number)
 
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -296,7 +296,7 @@
         if digest.zone != self._place.zone:
             return
         loan = digest.loan
-        reported_at = loan and self._zone.find_reported(loan.heard)
+        reported_at = loan and self._zone.find_report_time(loan.heard)
         self._news.apply_subscriber_digest(digest, reported_at)
 
     def _hear_zones(self, report: messages.FleetReport) -> None:
