--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -496,7 +496,7 @@
                 digest.log_age_ms,
             )
         if not self.is_mesh():
-            yield from self._zone.list_states()
+            yield from self._zone.list_peer_states()
 
     def _list_peers(self) -> list[messages.PeerEntry]:
         own = dataclasses.replace(self._own_address, address=self.address)
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
@@ -339,7 +339,7 @@
             return False
         return self._is_first_hub or not self._has_other_log_reader()
 
-    def list_states(self) -> Iterator[state_copies.PeerState]:
+    def list_peer_states(self) -> Iterator[state_copies.PeerState]:
         """Return what hubs say that they have."""
         summaries = [one.summary for one in self._hub_statuses.values()]
         summaries += [k.summary for k in self._view.zones.list_active()]
