--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -233,7 +233,7 @@
 
         In a large fleet the hubs follow it and pass changes on.
         """
-        return self.is_mesh() or not self._zone.is_served()
+        return self.is_mesh() or not self._zone.is_log_relayed()
 
     def leads_reading(self) -> bool:
         """Return whether other daemons rely on this one to read the log."""
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
@@ -329,7 +329,7 @@
                 self._sole_since = trio.current_time()
         return self._sole_since
 
-    def is_served(self) -> bool:
+    def is_log_relayed(self) -> bool:
         """Tell whether a hub follows the log for this daemon."""
         return not self.is_hub and self._has_other_log_reader()
 
--- a/tests/test_fleet/test_zone_mode.py
+++ b/tests/test_fleet/test_zone_mode.py
@@ -148,16 +148,16 @@
         async def scenario() -> None:
             one = self._build(_OTHERS[0])
             one.select_peers([_FIRST, _SECOND, *_OTHERS[1:]])
-            self.assertFalse(one.is_served())
+            self.assertFalse(one.is_log_relayed())
             self._report(one, 1, 100)
-            self.assertTrue(one.is_served())
+            self.assertTrue(one.is_log_relayed())
             # What the hub has read lately counts as read here.
             self.assertAlmostEqual(0.1, self.contact.age_s)
             self._report(one, 2, 1500)
-            self.assertFalse(one.is_served())
+            self.assertFalse(one.is_log_relayed())
             self._report(one, 3, 100)
             await trio.sleep(2.0)
-            self.assertFalse(one.is_served())
+            self.assertFalse(one.is_log_relayed())
 
         self.run_clocked(scenario)
 
