--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -237,7 +237,7 @@
 
     def leads_reading(self) -> bool:
         """Return whether other daemons rely on this one to read the log."""
-        return self.is_mesh() or self._zone.leads()
+        return self.is_mesh() or self._zone.is_log_reader()
 
     async def _receive_requests(self, router: sockets.PeerSocket) -> None:
         while True:
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
@@ -333,7 +333,7 @@
         """Tell whether a hub follows the log for this daemon."""
         return not self.is_hub and self._has_other_log_reader()
 
-    def leads(self) -> bool:
+    def is_log_reader(self) -> bool:
         """Tell whether its zone goes by this hub's reading of the log."""
         if not self.is_hub:
             return False
--- a/tests/test_fleet/test_zone_mode.py
+++ b/tests/test_fleet/test_zone_mode.py
@@ -134,13 +134,13 @@
             one.select_peers([_FIRST, *_OTHERS])
             self.assertTrue(one.is_hub)
             self._report(one, 1, 100)
-            self.assertFalse(one.leads())
+            self.assertFalse(one.is_log_reader())
             self._report(one, 2, 1500)
-            self.assertTrue(one.leads())
+            self.assertTrue(one.is_log_reader())
             self._report(one, 3, 100)
-            self.assertFalse(one.leads())
+            self.assertFalse(one.is_log_reader())
             await trio.sleep(2.0)
-            self.assertTrue(one.leads())
+            self.assertTrue(one.is_log_reader())
 
         self.run_clocked(scenario)
 
