--- a/bench/fleet_cost.py
+++ b/bench/fleet_cost.py
@@ -124,7 +124,7 @@
 
 def _describe(size: int) -> list[str]:
     cost = _measure_zone(size)
-    if size <= topology.FULL_MESH + 1:
+    if size <= topology.MAX_MESH_PEERS + 1:
         intervals = timing.MESH_INTERVALS
         told = cost.digest_bytes * (size - 1) / intervals.digest_s
         sent = f"{told / 1000:.1f}"
--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -226,7 +226,7 @@
 
     def is_mesh(self) -> bool:
         """Return whether each daemon is linked to all others."""
-        return len(self._known) <= topology.FULL_MESH
+        return len(self._known) <= topology.MAX_MESH_PEERS
 
     def needs_log(self) -> bool:
         """Return whether this daemon has to follow the log itself.
--- a/packages/daemon/src/martenquay_daemon/fleet/topology.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/topology.py
@@ -16,10 +16,10 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-__all__ = ["FULL_MESH", "HubElection", "PeerAddress"]
+__all__ = ["MAX_MESH_PEERS", "HubElection", "PeerAddress"]
 
 # Up to so many other daemons, each is linked to all.
-FULL_MESH = 12
+MAX_MESH_PEERS = 12
 # One may be lost or cut off without anybody waiting for a successor.
 _HUBS_PER_ZONE = 2
 # A hub reports several times a second; one that was told something and does
