--- a/bench/fleet_cost.py
+++ b/bench/fleet_cost.py
@@ -54,7 +54,7 @@
         zone="zone-0",
         address=f"10.0.{member // 250}.{member % 250}:7600",
         number=number,
-        loan=messages.DelegationEntry(
+        delegation=messages.DelegationEntry(
             "entry-0.aabbccdd", number, 0.0025, 0, 1800
         ),
         members_end=900,
--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -336,7 +336,7 @@
         if self.is_mesh():
             self.listeners.apply_digest(digest)
         elif digest.zone == self._own_address.zone:
-            delegation = digest.loan
+            delegation = digest.delegation
             reported_at = delegation and self._zone.find_report_time(
                 delegation.heard
             )
--- a/packages/daemon/src/martenquay_daemon/fleet/messages.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/messages.py
@@ -243,7 +243,7 @@
         is_leaving: It is shutting down.
         lease: State of the duties' lease, if it holds the lease.
         window: Number of the current usage window, by its clock.
-        loan: Delegation of its share of the teams' refill rates, if any.
+        delegation: Delegation of its share of the teams' refill rates, if any.
         members_end: Offset up to which its own share accounts for the
             members' announcements.
         loads: Its load at runners, by runner id.
@@ -267,7 +267,7 @@
     is_leaving: bool
     lease: LeaseStatus | None
     window: int
-    loan: DelegationEntry | None
+    delegation: DelegationEntry | None
     members_end: int
     loads: dict[str, LoadEntry]
     begun: dict[int, dict[str, int]]
--- a/packages/daemon/src/martenquay_daemon/fleet/quota_exchange.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/quota_exchange.py
@@ -145,7 +145,7 @@
         self._roster.note_read_end(digest.instance, digest.members_end)
         shares = self._ledger.rights
         shares.end_former_delegations(digest.instance, digest.member)
-        entry = digest.loan
+        entry = digest.delegation
         if (
             entry is None
             or reported_at is None
--- a/packages/daemon/src/martenquay_daemon/fleet/state_gossip.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/state_gossip.py
@@ -126,7 +126,7 @@
             is_leaving=self.is_leaving,
             lease=sources.lease.create_status(),
             window=sources.usage.find_window(),
-            loan=sources.quota_exchange.create_delegation(),
+            delegation=sources.quota_exchange.create_delegation(),
             members_end=members_end,
             loads={
                 runner_id: messages.LoadEntry(load.requests, load.unread_tokens)
--- a/tests/serving_builders.py
+++ b/tests/serving_builders.py
@@ -157,7 +157,7 @@
         "is_leaving": False,
         "lease": None,
         "window": 0,
-        "loan": None,
+        "delegation": None,
         "members_end": 0,
         "loads": {},
         "begun": {},
--- a/tests/test_fleet/test_quota_exchange.py
+++ b/tests/test_fleet/test_quota_exchange.py
@@ -153,7 +153,7 @@
             self.assertEqual(("entry-0.bb", 9), (entry.receiver, entry.heard))
             self.assertFalse(delegator.has_share_to_delegate())
             digest = builders.build_digest(
-                member="entry-1.aa", instance="entry-1", loan=entry
+                member="entry-1.aa", instance="entry-1", delegation=entry
             )
             hub = self._build(0.0)
             # The delegation names another process as its receiver.
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -295,8 +295,10 @@
         self._zone.apply_digest(digest)
         if digest.zone != self._place.zone:
             return
-        loan = digest.loan
-        reported_at = loan and self._zone.find_report_time(loan.heard)
+        delegation = digest.delegation
+        reported_at = delegation and self._zone.find_report_time(
+            delegation.heard
+        )
         self._news.apply_subscriber_digest(digest, reported_at)
 
     def _hear_zones(self, report: messages.FleetReport) -> None:
@@ -416,7 +418,7 @@
             address=self.address,
             number=self._number,
             capacity=self._place.capacity,
-            loan=self._news.create_delegation(),
+            delegation=self._news.create_delegation(),
             members_end=members_end,
         )
         self._zone.set_own_digest(digest)
