--- a/bench/fleet_cost.py
+++ b/bench/fleet_cost.py
@@ -79,7 +79,7 @@
             hub=f"entry-9{number}.aabbccdd",
             members_end=900,
         )
-        table.take(summary, loads, 0.0)
+        table.apply_summary(summary, loads, 0.0)
 
 
 def _measure_zone(size: int) -> _Cost:
@@ -111,7 +111,7 @@
         report = messages.decode_message(raws[0])
         assert isinstance(report, messages.FleetReport)
         for summary in report.zones:
-            zones.ZoneTable().take(summary, {}, 0.0)
+            zones.ZoneTable().apply_summary(summary, {}, 0.0)
         takes.append(time.process_time() - started)
     return _Cost(
         digest_bytes=len(messages.encode_message(messages.DigestMessage(own))),
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
@@ -144,7 +144,7 @@
         now = trio.current_time()
         self._election.note_report(summary.address, now)
         if summary.zone != self._own_address.zone:
-            self._view.zones.take(summary, exchange.loads, now)
+            self._view.zones.apply_summary(summary, exchange.loads, now)
 
     def apply_report(self, report: messages.FleetReport) -> bool:
         """Take a hub's report; tell whether it counts."""
@@ -169,7 +169,9 @@
             self._state.contact.note_relayed(own.log_age_ms / _MS)
         if not self.is_hub:
             self._confirm_runner_entries(own, report.heard)
-        applied = [self._view.zones.take(s, {}, now) for s in report.zones]
+        applied = [
+            self._view.zones.apply_summary(s, {}, now) for s in report.zones
+        ]
         return applied[0]
 
     def _confirm_runner_entries(
--- a/packages/daemon/src/martenquay_daemon/fleet/zones.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zones.py
@@ -51,7 +51,7 @@
     def __init__(self) -> None:
         self._zones: dict[str, _Zone] = {}
 
-    def take(
+    def apply_summary(
         self,
         summary: messages.ZoneSummary,
         loads: dict[str, messages.LoadEntry],
--- a/tests/test_fleet/test_usage_handover.py
+++ b/tests/test_fleet/test_usage_handover.py
@@ -40,7 +40,7 @@
         fleet = view.FleetView("entry-3")
         fleet.is_mesh = False
         for summary in report.zones:
-            fleet.zones.take(summary, {}, trio.current_time())
+            fleet.zones.apply_summary(summary, {}, trio.current_time())
         return fleet
 
     def test_a_zone_whose_counts_were_left_out_is_not_closed(self) -> None:
--- a/tests/test_fleet/test_view.py
+++ b/tests/test_fleet/test_view.py
@@ -88,7 +88,7 @@
                     begun={7: {"florists": 2}},
                     demand={"model": 5.0},
                 )
-                fleet.zones.take(summary, {}, now)
+                fleet.zones.apply_summary(summary, {}, now)
             self.assertEqual(7, fleet.count_daemons())
             self.assertEqual({"florists": 4}, fleet.sum_started(7))
             self.assertEqual(10.0, fleet.sum_demand("model"))
--- a/tests/test_fleet/test_zones.py
+++ b/tests/test_fleet/test_zones.py
@@ -15,7 +15,7 @@
 
     def _take(self, hub: str, number: int, now: float) -> bool:
         summary = builders.build_summary(hub=hub, number=number)
-        return self.table.take(summary, {}, now)
+        return self.table.apply_summary(summary, {}, now)
 
     def _find_hub(self) -> str:
         known = self.table.find_active("b")
