--- a/bench/fleet_cost.py
+++ b/bench/fleet_cost.py
@@ -93,7 +93,7 @@
     takes = []
     for number in range(1, _ROUNDS + 1):
         for member in range(1, members):
-            one.take(_build_digest(number, member, runners), 0.0)
+            one.apply_digest(_build_digest(number, member, runners), 0.0)
         own = _build_digest(number, 0, runners)
         one.set_own_digest(own, 0.0)
         started = time.process_time()
--- a/packages/daemon/src/martenquay_daemon/fleet/hub.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/hub.py
@@ -57,9 +57,9 @@
         self._summary_number = 0
         self._report_round = 0
 
-    def take(self, digest: messages.Digest, now: float) -> bool:
+    def apply_digest(self, digest: messages.Digest, now: float) -> bool:
         """Take a digest of a daemon of this zone; tell whether it is news."""
-        if not self._aggregator.take(digest, now):
+        if not self._aggregator.apply_digest(digest, now):
             return False
         self._subscribers[digest.address] = _Subscriber(digest, now)
         return True
@@ -67,7 +67,7 @@
     def set_own_digest(self, digest: messages.Digest, now: float) -> None:
         """Take this daemon's own digest."""
         self._own_digest = digest
-        self._aggregator.take(digest, now)
+        self._aggregator.apply_digest(digest, now)
 
     def list_subscribers(self, now: float) -> dict[str, messages.Digest]:
         """Return the newest digests of those to report to, by address."""
--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -324,7 +324,7 @@
         self._nursery.start_soon(answer_request)
 
     def _handle_digest(self, digest: messages.Digest) -> None:
-        if not self._view.take(digest):
+        if not self._view.apply_digest(digest):
             return
         self.add_peer(
             topology.PeerAddress(digest.address, digest.zone, digest.capacity)
--- a/packages/daemon/src/martenquay_daemon/fleet/members.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/members.py
@@ -49,7 +49,7 @@
         """Have a function called with each member that is gone for good."""
         self._end_listeners.append(listener)
 
-    def take(self, digest: messages.Digest) -> bool:
+    def apply_digest(self, digest: messages.Digest) -> bool:
         """Take a digest; tell whether it is news."""
         if digest.instance == self._instance:
             return False
--- a/packages/daemon/src/martenquay_daemon/fleet/view.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/view.py
@@ -52,9 +52,9 @@
         self._instance = instance
         self._listed: set[str] = set()
 
-    def take(self, digest: messages.Digest) -> bool:
+    def apply_digest(self, digest: messages.Digest) -> bool:
         """Take a digest; tell whether it is news."""
-        return self.members.take(digest)
+        return self.members.apply_digest(digest)
 
     def listen_for_ends(self, listener: Callable[[str], None]) -> None:
         """Have a function called with each member that is gone for good."""
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_aggregator.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_aggregator.py
@@ -66,7 +66,7 @@
     def __init__(self) -> None:
         self._members: dict[str, _Member] = {}
 
-    def take(self, digest: messages.Digest, now: float) -> bool:
+    def apply_digest(self, digest: messages.Digest, now: float) -> bool:
         """Take a daemon's digest; tell whether it is news."""
         known = self._members.get(digest.member)
         if known is not None and digest.number <= known.digest.number:
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
@@ -136,7 +136,7 @@
     def apply_digest(self, digest: messages.Digest) -> None:
         """Take the digest of a daemon that takes this one for a hub."""
         if digest.zone == self._own_address.zone:
-            self._hub.take(digest, trio.current_time())
+            self._hub.apply_digest(digest, trio.current_time())
 
     def apply_exchange(self, exchange: messages.ZoneExchange) -> None:
         """Take what another zone's hub tells."""
--- a/tests/test_duties/test_usage_reporter.py
+++ b/tests/test_duties/test_usage_reporter.py
@@ -57,7 +57,7 @@
                 begun={window: {"florists": 2, "drivers": 1}},
                 window=window + 1,
             )
-            one.fleet.take(digest)
+            one.fleet.apply_digest(digest)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(one.run)
                 await trio.sleep(_WINDOW_S + 2.0)
@@ -75,7 +75,7 @@
             one = _Daemon("entry-1", log.MemoryLog(), platform)
             window = one.counts.find_window()
             one.counts.note_begin("florists")
-            one.fleet.take(builders.build_digest(window=window))
+            one.fleet.apply_digest(builders.build_digest(window=window))
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(one.run)
                 await trio.sleep(_WINDOW_S + 3.0)
--- a/tests/test_fleet/test_order_copies.py
+++ b/tests/test_fleet/test_order_copies.py
@@ -24,7 +24,7 @@
                 instance="entry-3",
                 address="127.0.0.1:7003",
             )
-            zone_hub.take(subscriber, now)
+            zone_hub.apply_digest(subscriber, now)
             reports = zone_hub.create_reports(_HUB_STATE, now, _SILENT_S)
             raw = messages.encode_message(reports["127.0.0.1:7003"])
             self.assertEqual([_ORDER], messages.decode_message(raw).orders)
--- a/tests/test_fleet/test_usage_handover.py
+++ b/tests/test_fleet/test_usage_handover.py
@@ -32,7 +32,7 @@
             window=_WINDOW + 1,
             lease=lease,
         )
-        zone_hub.take(subscriber, now)
+        zone_hub.apply_digest(subscriber, now)
         reports = zone_hub.create_reports(_HUB_STATE, now, _SILENT_S)
         return reports["127.0.0.1:7003"]
 
--- a/tests/test_fleet/test_view.py
+++ b/tests/test_fleet/test_view.py
@@ -13,9 +13,13 @@
     def test_an_old_digest_is_no_news(self) -> None:
         async def scenario() -> None:
             fleet = view.FleetView("entry-1")
-            self.assertTrue(fleet.take(builders.build_digest(number=2)))
-            self.assertFalse(fleet.take(builders.build_digest(number=1)))
-            self.assertFalse(fleet.take(builders.build_digest(number=2)))
+            self.assertTrue(fleet.apply_digest(builders.build_digest(number=2)))
+            self.assertFalse(
+                fleet.apply_digest(builders.build_digest(number=1))
+            )
+            self.assertFalse(
+                fleet.apply_digest(builders.build_digest(number=2))
+            )
 
         self.run_clocked(scenario)
 
@@ -26,8 +30,10 @@
             fleet = view.FleetView("entry-1")
             ended: list[str] = []
             fleet.listen_for_ends(ended.append)
-            fleet.take(builders.build_digest(begun={7: {"florists": 2}}))
-            fleet.take(
+            fleet.apply_digest(
+                builders.build_digest(begun={7: {"florists": 2}})
+            )
+            fleet.apply_digest(
                 builders.build_digest(
                     member="entry-2.bb", begun={7: {"florists": 1}}
                 )
@@ -41,7 +47,7 @@
     def test_a_silent_daemon_still_counts_for_shares_for_a_while(self) -> None:
         async def scenario() -> None:
             fleet = view.FleetView("entry-1")
-            fleet.take(builders.build_digest())
+            fleet.apply_digest(builders.build_digest())
             await trio.sleep(5.0)
             fleet.check_silence()
             self.assertEqual([], fleet.list_fresh())
@@ -56,10 +62,10 @@
         async def scenario() -> None:
             fleet = view.FleetView("entry-1")
             self.assertFalse(fleet.is_zone_silent("b"))
-            fleet.take(builders.build_digest())
+            fleet.apply_digest(builders.build_digest())
             other = {"member": "entry-3.aa", "instance": "entry-3"}
             await trio.sleep(5.0)
-            fleet.take(builders.build_digest(**other))
+            fleet.apply_digest(builders.build_digest(**other))
             self.assertFalse(fleet.is_zone_silent("b"))
             await trio.sleep(5.0)
             self.assertTrue(fleet.is_zone_silent("b"))
@@ -104,9 +110,9 @@
     def test_a_window_has_closed_when_all_say_so(self) -> None:
         async def scenario() -> None:
             fleet = view.FleetView("entry-1")
-            fleet.take(builders.build_digest(window=7))
+            fleet.apply_digest(builders.build_digest(window=7))
             self.assertFalse(fleet.has_closed(7))
-            fleet.take(builders.build_digest(window=8, number=2))
+            fleet.apply_digest(builders.build_digest(window=8, number=2))
             self.assertTrue(fleet.has_closed(7))
 
         self.run_clocked(scenario)
--- a/tests/test_fleet/test_zone_aggregator.py
+++ b/tests/test_fleet/test_zone_aggregator.py
@@ -16,7 +16,7 @@
         self.sum = zone_aggregator.ZoneAggregator()
 
     def _take(self, name: str, number: int, now: float, **changes) -> None:
-        self.sum.take(
+        self.sum.apply_digest(
             builders.build_digest(
                 member=f"{name}.aa", instance=name, number=number, **changes
             ),
@@ -57,7 +57,7 @@
     def test_a_restarted_daemon_is_counted_in_the_place_of_itself(self) -> None:
         self._take("entry-1", 9, 0.0)
         again = builders.build_digest(member="entry-1.bb", instance="entry-1")
-        self.sum.take(again, 0.2)
+        self.sum.apply_digest(again, 0.2)
         self.assertEqual(1, self._add_up(0.2).daemons)
 
     def test_what_is_left_of_the_lease_grows_less_on_the_way(self) -> None:
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -290,7 +290,7 @@
         return 0.0
 
     def _hear_digest(self, digest: messages.Digest) -> None:
-        if not self._view.take(digest):
+        if not self._view.apply_digest(digest):
             return
         self._zone.apply_digest(digest)
         if digest.zone != self._place.zone:
