--- a/packages/daemon/src/martenquay_daemon/fleet/hub.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/hub.py
@@ -1,4 +1,4 @@
-"""Report, as a hub, to the daemons of its zone and to the other zones' hubs."""
+"""Aggregate a zone's digests at its hub and create the hub's messages."""
 
 from __future__ import annotations
 
@@ -14,22 +14,24 @@
 
 __all__ = ["HubState", "ZoneHub"]
 
-# A daemon that has not told anything for so long is not reported to.
+# Reports to a daemon end when its digests have not come for this long.
 _SUBSCRIPTION_TIMEOUT_S = 3.0
 
 
 @dataclasses.dataclass(frozen=True)
 class HubState:
-    """What a hub tells beside the sums over its zone.
+    """State of a hub itself, sent beside the sums over its zone.
 
     Attributes:
-        catalog_version: The version in force here.
-        runners_changed: Up to where the runners' entries are known here.
-        runners_age_ms: Since all of them were known here.
-        log_age_ms: Since the log last answered.
-        members_end: Up to where all of the zone's listed daemons have read
-            who announced themselves.
-        runner_reports: What is known here of what runners say of themselves.
+        catalog_version: Version of the catalog in force at the hub.
+        runners_changed: Offset up to which the hub has applied changed runner
+            entries.
+        runners_age_ms: Time since the hub's runner entries were known to be
+            complete.
+        log_age_ms: Time since the log last answered the hub.
+        members_end: Offset up to which all listed daemons of the zone have
+            read the announcements.
+        runner_reports: Limits and drains of runners known to the hub.
     """
 
     catalog_version: int
@@ -47,7 +49,7 @@
 
 
 class ZoneHub:
-    """What this daemon knows and tells if it is a hub."""
+    """Aggregates the digests of a zone and creates exchanges and reports."""
 
     def __init__(self, known_zones: zones.ZoneTable) -> None:
         self._zones = known_zones
@@ -58,19 +60,19 @@
         self._report_round = 0
 
     def apply_digest(self, digest: messages.Digest, now: float) -> bool:
-        """Take a digest of a daemon of this zone; tell whether it is news."""
+        """Apply a digest from this zone; return whether it is newer."""
         if not self._aggregator.apply_digest(digest, now):
             return False
         self._subscribers[digest.address] = _Subscriber(digest, now)
         return True
 
     def set_own_digest(self, digest: messages.Digest, now: float) -> None:
-        """Take this daemon's own digest."""
+        """Set this daemon's newest digest."""
         self._own_digest = digest
         self._aggregator.apply_digest(digest, now)
 
     def list_subscribers(self, now: float) -> dict[str, messages.Digest]:
-        """Return the newest digests of those to report to, by address."""
+        """Return the newest digests of the daemons to report to, by address."""
         oldest = now - _SUBSCRIPTION_TIMEOUT_S
         return {
             address: subscriber.digest
@@ -79,7 +81,7 @@
         }
 
     def drop_expired(self, now: float) -> None:
-        """Drop daemons that are long gone."""
+        """Drop daemons whose last digest is too old."""
         self._aggregator.drop_expired(now)
         kept = self.list_subscribers(now)
         for address in set(self._subscribers) - set(kept):
@@ -88,7 +90,7 @@
     def create_exchange(
         self, hub_state: HubState, now: float, silent_s: float
     ) -> messages.ZoneExchange:
-        """Return what to tell the hubs of other zones."""
+        """Return the message for the hubs of other zones."""
         totals = self._aggregator.sum_digests(now, silent_s)
         return messages.ZoneExchange(
             self._summarize(totals, hub_state),
@@ -99,8 +101,8 @@
     def create_reports(
         self, hub_state: HubState, now: float, silent_s: float
     ) -> dict[str, messages.FleetReport]:
-        """Return what to tell each subscriber, by address, and itself."""
-        assert self._own_digest is not None, "its own digest comes first"
+        """Return the reports to the subscribers and to itself, by address."""
+        assert self._own_digest is not None, "set_own_digest was not called"
         total = self._aggregator.sum_digests(now, silent_s)
         others = [
             known
@@ -115,7 +117,8 @@
             totals = self._aggregator.exclude_member(
                 total, digest.member, now, silent_s
             )
-            # Duties are candidates' work, and those are hubs.
+            # Only the holder of the duties' lease needs all fields; this hub
+            # may acquire the lease at any time.
             is_full = digest.lease is not None or digest is self._own_digest
             reports[address] = self._create_report(
                 totals, others, hub_state, digest.number, is_full=is_full
@@ -131,7 +134,7 @@
         *,
         is_full: bool,
     ) -> messages.FleetReport:
-        assert self._own_digest is not None, "its own digest comes first"
+        assert self._own_digest is not None, "set_own_digest was not called"
         summaries = [self._summarize(totals, hub_state)]
         summaries += [known.summary for known in others]
         loads = dict(totals.loads)
@@ -156,7 +159,7 @@
         self, totals: zone_aggregator.ZoneTotals, hub_state: HubState
     ) -> messages.ZoneSummary:
         own = self._own_digest
-        assert own is not None, "its own digest comes first"
+        assert own is not None, "set_own_digest was not called"
         self._summary_number += 1
         return messages.ZoneSummary(
             zone=own.zone,
@@ -182,10 +185,10 @@
 
 
 def _strip_duty_fields(summary: messages.ZoneSummary) -> messages.ZoneSummary:
-    """Return a summary without what only holders of duties need.
+    """Return a summary without the fields that the duties alone need.
 
-    How fast engines read is told once, for all zones together. Who takes the
-    duties over knows by the window that the zone's usage is still to be told.
+    Prefill sums are reported once, for all zones together. `NO_WINDOW` keeps a
+    new holder of the lease from closing a window whose counts were left out.
     """
     return msgspec.structs.replace(
         summary,
--- a/packages/daemon/src/martenquay_daemon/fleet/members.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/members.py
@@ -1,4 +1,4 @@
-"""Hold the newest digest of each daemon that tells this one of itself."""
+"""Hold the newest digest of each daemon that sends digests to this one."""
 
 from __future__ import annotations
 
@@ -17,18 +17,19 @@
 __all__ = ["KnownMember", "MemberTable"]
 
 _LOG = logs.create_log("fleet")
-# Usage counts of a daemon that ended are kept until they are reported.
+# Request counts of a daemon that ended are lost if its digest is dropped before
+# its last usage window is reported.
 _FORGET_AFTER_S = 40.0
 
 
 @dataclasses.dataclass
 class KnownMember:
-    """A daemon and when it was last heard.
+    """Newest digest of a daemon.
 
     Attributes:
-        digest: Its newest digest.
-        heard_at: When that came, in trio's time.
-        is_replaced: Its instance has a newer process.
+        digest: The digest.
+        heard_at: When it was received, in trio's time.
+        is_replaced: A newer process of the instance has sent a digest.
     """
 
     digest: messages.Digest
@@ -37,7 +38,7 @@
 
 
 class MemberTable:
-    """Daemons by member id."""
+    """Newest digests of other daemons, by member id."""
 
     def __init__(self, instance: str) -> None:
         self._instance = instance
@@ -46,11 +47,11 @@
         self._end_listeners: list[Callable[[str], None]] = []
 
     def listen_for_ends(self, listener: Callable[[str], None]) -> None:
-        """Have a function called with each member that is gone for good."""
+        """Register a callback for the member id of each daemon that ended."""
         self._end_listeners.append(listener)
 
     def apply_digest(self, digest: messages.Digest) -> bool:
-        """Take a digest; tell whether it is news."""
+        """Apply a digest; return whether it is newer."""
         if digest.instance == self._instance:
             return False
         known = self._members.get(digest.member)
@@ -62,14 +63,21 @@
             self._silent_members.discard(digest.member)
             away_s = trio.current_time() - known.heard_at
             _LOG.write(
-                f"Daemon {digest.member} is heard again.",
+                f"Daemon {digest.member} sends digests again.",
                 away_s=round(away_s, 3),
             )
         self._members[digest.member] = KnownMember(digest, trio.current_time())
         return True
 
     def check_silence(self, silent_s: float) -> set[str]:
-        """Log who has fallen silent; return the instances long gone."""
+        """Log which daemons became silent and drop those silent for long.
+
+        Args:
+            silent_s: Time without digests after which a daemon is silent.
+
+        Returns:
+            Instances of the dropped daemons.
+        """
         now = trio.current_time()
         forgotten = set()
         for member, known in list(self._members.items()):
@@ -77,22 +85,25 @@
             if unheard_s > silent_s and member not in self._silent_members:
                 self._silent_members.add(member)
                 if not known.is_replaced:
-                    _LOG.write(f"Daemon {member} is silent.", member=member)
+                    _LOG.write(
+                        f"Daemon {member} has stopped sending digests.",
+                        member=member,
+                    )
             if unheard_s > _FORGET_AFTER_S:
                 self._forget(member)
                 forgotten.add(known.digest.instance)
         return forgotten
 
     def list_all(self) -> list[KnownMember]:
-        """Return all processes, those too whose instance has a newer one."""
+        """Return all known processes, also replaced ones."""
         return list(self._members.values())
 
     def list_current(self) -> list[KnownMember]:
-        """Return the newest process of each other instance, heard or not."""
+        """Return the newest process of each other instance, also if silent."""
         return [m for m in self._members.values() if not m.is_replaced]
 
     def list_fresh(self, silent_s: float) -> list[KnownMember]:
-        """Return the daemons that were heard within some seconds."""
+        """Return the daemons that sent a digest within some seconds."""
         oldest = trio.current_time() - silent_s
         return [m for m in self.list_current() if m.heard_at >= oldest]
 
@@ -102,7 +113,7 @@
                 other.is_replaced = True
                 self._notify_end(other.digest.member)
         _LOG.write(
-            f"Daemon {digest.member} is heard.",
+            f"Received the first digest of daemon {digest.member}.",
             zone=digest.zone,
             address=digest.address,
         )
--- a/packages/daemon/src/martenquay_daemon/fleet/roster.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/roster.py
@@ -1,10 +1,10 @@
-"""Know which part of what is shared is this daemon's.
+"""Divide shared rates evenly among the instances that are listed in the log.
 
-All daemons read in one log who there is. A daemon that has read of N instances
-takes one N-th. One that is new takes nothing until all others that are listed
-have told that they have read its announcement, and so take less; then it says
-so in the log, for its next process. Daemons need not agree at any moment, and
-still their parts add up to one at the most.
+A daemon that has read N announcements has a share of 1/N. A new one has none
+until all other listed instances have gossiped that they have read its
+announcement, and so have reduced their shares; it then announces that too, for
+its next process. So the shares add up to 1 at most, although daemons read the
+log at different times.
 """
 
 from __future__ import annotations
@@ -21,14 +21,15 @@
 
 
 class Roster:
-    """The instances that are listed in the log.
+    """The instances that are listed in the log, and their shares.
 
     Attributes:
-        counted: Set once all others reckon with this instance.
-        share_since: Since when this daemon has a part, in trio's time.
-        changes: Counts what changes the list or this instance's place on it.
-        removed: Set when this instance was taken off the list; then another
-            one is made.
+        counted: Set once all others have reduced their shares for this
+            instance; replaced when it is removed.
+        share_since: Since when this daemon has a share, in trio's time.
+        changes: Number of changes of the list or of this instance's share.
+        removed: Set when this instance is removed from the list, and then
+            replaced.
     """
 
     def __init__(self, instance: str) -> None:
@@ -42,11 +43,12 @@
         self._read_ends: dict[str, int] = {}
         self._zone_read_ends: dict[str, int] = {}
         self._heard_at: dict[str, float] = {}
-        # Others have to have read up to here to reckon with this instance.
+        # Offset after this instance's announcement; others have reduced their
+        # shares for it once they have read up to here.
         self._needed_end: int | None = None
 
     def list_instances(self) -> set[str]:
-        """Return the instances that this daemon has read of."""
+        """Return the listed instances."""
         return set(self._listed)
 
     def list_zones(self) -> dict[str, str]:
@@ -61,13 +63,13 @@
         is_counted: bool,
         zone: str = "",
     ) -> None:
-        """Note an announcement that was read in the log.
+        """Add the instance of an announcement that was read in the log.
 
         Args:
-            instance: Who announced itself.
-            offset: Of the record.
-            is_counted: It says that all others reckon with it.
-            zone: Its availability zone.
+            instance: Instance that announced itself.
+            offset: Offset of the announcement.
+            is_counted: All others have reduced their shares for the instance.
+            zone: Availability zone of the instance.
         """
         if self._zones.get(instance) != zone or instance not in self._listed:
             self.changes += 1
@@ -78,13 +80,14 @@
             return
         self._needed_end = offset + 1
         if is_counted and not self.counted.is_set():
-            # Also while no process of this instance ran.
+            # The others' shares stayed reduced while no process of this
+            # instance ran.
             self.share_since = -math.inf
             self.changes += 1
             self.counted.set()
 
     def note_removed(self, instance: str) -> None:
-        """Note that an instance was taken off the list."""
+        """Remove an instance from the list."""
         self.changes += 1
         self._listed.discard(instance)
         self._read_ends.pop(instance, None)
@@ -102,15 +105,15 @@
         self._heard_at[instance] = trio.current_time()
 
     def note_zone_read_end(self, zone: str, end: int) -> None:
-        """Note how far all listed daemons of a zone have read."""
+        """Note how far all listed daemons of a zone have read announcements."""
         self._zone_read_ends[zone] = max(end, self._zone_read_ends.get(zone, 0))
 
     def find_zone_end(self, zone: str, own_end: int) -> int:
-        """Return how far all listed daemons of a zone have read.
+        """Return how far all listed daemons of a zone have read announcements.
 
         Args:
             zone: The availability zone.
-            own_end: How far this daemon has.
+            own_end: Offset up to which this daemon has read.
         """
         others = [
             self._read_ends.get(one, 0)
@@ -120,25 +123,25 @@
         return min([own_end, *others])
 
     def find_zone_share(self, zone: str) -> float:
-        """Return the part of a zone's listed instances together."""
+        """Return the share of a zone's listed instances together."""
         if not self._listed:
             return 0.0
         count = sum(self._zones[one] == zone for one in self._listed)
         return count / len(self._listed)
 
     def reset_heard_times(self) -> None:
-        """Count silence from now on: others could not be heard until now."""
+        """Count silence from now, as others could not be heard before."""
         now = trio.current_time()
         self._heard_at = dict.fromkeys(self._listed, now)
 
     def list_silent(self, silent_s: float) -> list[str]:
-        """Return the other instances that were not heard for so long."""
+        """Return the other instances that have been silent for some seconds."""
         oldest = trio.current_time() - silent_s
         others = sorted(self._listed - {self._instance})
         return [one for one in others if self._heard_at[one] < oldest]
 
     def find_own_share(self) -> float:
-        """Return this daemon's part; 0 while others do not reckon with it."""
+        """Return this instance's share; 0 until others have reduced theirs."""
         if self._needed_end is None:
             return 0.0
         if not self.counted.is_set() and self._have_others_read(
@@ -148,7 +151,7 @@
             self.changes += 1
             self.counted.set()
             _LOG.write(
-                "All others reckon with this daemon.",
+                "All other daemons account for this instance.",
                 listed=len(self._listed),
                 end=self._needed_end,
             )
--- a/packages/daemon/src/martenquay_daemon/fleet/topology.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/topology.py
@@ -1,9 +1,8 @@
-"""Choose which daemons of a fleet talk to each other.
+"""Elect the hubs through which the daemons of a large fleet gossip.
 
-A small fleet is a full mesh. In a large one a few daemons of each zone are
-its hubs: the others tell them of themselves and hear of the fleet from them,
-and the hubs of all zones tell each other. So the messages of a daemon do not
-grow with the fleet.
+A small fleet is a full mesh. In a large one, daemons send digests to the hubs
+of their zone and receive reports on the fleet, and the hubs of all zones
+exchange summaries. So a daemon's traffic does not grow with the fleet.
 """
 
 from __future__ import annotations
@@ -18,26 +17,26 @@
 
 __all__ = ["MAX_MESH_PEERS", "HubElection", "PeerAddress"]
 
-# Up to so many other daemons, each is linked to all.
+# Above this number of other daemons, the fleet gossips through hubs.
 MAX_MESH_PEERS = 12
-# One may be lost or cut off without anybody waiting for a successor.
+# With two, the loss of one leaves no daemon without reports until the next
+# election.
 _HUBS_PER_ZONE = 2
-# A hub reports several times a second; one that was told something and does
-# not report for so long is passed over.
+# A hub that was sent messages and does not report for this long is not elected.
 _REPORT_TIMEOUT_S = 2.0
-# Then it is tried again.
+# Time after which messages are sent to it again, beside the elected hubs.
 _RETRY_AFTER_S = 5.0
 _HASH_KEY = "hub"
 
 
 @dataclasses.dataclass(frozen=True)
 class PeerAddress:
-    """Where another daemon is.
+    """Address of a daemon and what its election as a hub depends on.
 
     Attributes:
-        address: Its fleet link.
-        zone: Its availability zone; empty if not known.
-        capacity: Of its instance's link, in Mbit/s; 0 if not known.
+        address: Address of its fleet link.
+        zone: Its availability zone; empty if unknown.
+        capacity: Bandwidth of its instance's link in Mbit/s; 0 if unknown.
     """
 
     address: str
@@ -46,7 +45,11 @@
 
 
 class HubElection:
-    """Which daemons are hubs, as far as this one can tell."""
+    """Elects hubs by link bandwidth, without those that do not report.
+
+    Attributes:
+        own_address: Address of this daemon's fleet link.
+    """
 
     def __init__(self, own_address: str) -> None:
         self.own_address = own_address
@@ -55,10 +58,10 @@
         self._retry_at: dict[str, float] = {}
 
     def elect_hubs(self, peers: Iterable[PeerAddress], now: float) -> list[str]:
-        """Return the addresses of one zone's hubs, the first choice first.
+        """Return the addresses of one zone's hubs, by preference.
 
-        One that was passed over is told things again after a while, beside
-        the others: it may be gone for good.
+        A hub that did not report is added again after a while, but does not
+        count towards the number of hubs: it may be gone for good.
 
         Args:
             peers: The zone's daemons.
@@ -78,12 +81,12 @@
         return chosen
 
     def is_first_hub(self, chosen: list[str]) -> bool:
-        """Tell whether this daemon is the first of the hubs that answer."""
+        """Return whether this daemon is the first of the hubs that report."""
         answering = [a for a in chosen if a not in self._retry_at]
         return bool(answering) and answering[0] == self.own_address
 
     def note_message_sent(self, address: str, now: float) -> None:
-        """Note that a hub was told something and should report."""
+        """Note that a message was sent to a hub, which should report."""
         self._awaiting_since.setdefault(address, now)
 
     def note_report(self, address: str, now: float) -> None:
@@ -93,14 +96,14 @@
         self._retry_at.pop(address, None)
 
     def list_reporting(self, now: float) -> list[str]:
-        """Return the hubs that reported lately."""
+        """Return the addresses of the hubs that reported recently."""
         oldest = now - _REPORT_TIMEOUT_S
         return [
             a for a, heard_at in self._heard_at.items() if heard_at > oldest
         ]
 
     def _check_report(self, address: str, now: float) -> None:
-        """Pass a hub over that was told something and has not reported."""
+        """Exclude a hub from elections if it has not reported in time."""
         awaiting_since = self._awaiting_since.get(address)
         if address == self.own_address or awaiting_since is None:
             return
--- a/packages/daemon/src/martenquay_daemon/fleet/view.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/view.py
@@ -1,7 +1,7 @@
-"""Tell what is known of the other daemons, in a small fleet or a large one.
+"""Answer questions on the other daemons, in a small fleet or a large one.
 
-In a small fleet each daemon tells each other of itself. In a large one only
-sums are known, zone by zone.
+In a small fleet, each daemon's digests are known. In a large one, only sums
+over each zone are.
 """
 
 from __future__ import annotations
@@ -20,27 +20,28 @@
 
 __all__ = ["FleetView", "merge_counts"]
 
-# Until the links say how often digests come.
+# Used until the gossip loop sets the timeout.
 _DEFAULT_SILENT_S = 1.2
-# A cut shows in all of a zone's daemons at once, so it is believed after
-# this part of the time that one daemon may be silent.
+# A partition silences all daemons of a zone at once, so less silence is needed
+# to detect it than for one daemon.
 _ZONE_SILENCE_FRACTION = 0.6
-# Usage counts are whole when so many of the daemons have told theirs: the users
-# bear one in twenty missing. Later, what there is has to do.
+# Usage counts of a window are final when this fraction of the daemons has sent
+# theirs; users accept one in twenty missing.
 _MIN_REPORTING_FRACTION = 0.95
-# A daemon that is silent this long no longer counts for even shares.
+# Silence after which a daemon has no share of what the daemons divide evenly.
 _COUNTED_S = 30.0
 
 
 class FleetView:
-    """What is known of the other daemons.
+    """State of the other daemons, from digests or from zone summaries.
 
     Attributes:
-        silent_s: Without news for so long, a daemon or zone is silent.
-        is_mesh: The fleet is small: daemons are known one by one.
-        is_candidate: This daemon may take the duties' lease.
-        members: The daemons that tell this one of themselves.
-        zones: The sums of each zone in a large fleet.
+        silent_s: Time without messages after which a daemon or zone counts
+            as silent.
+        is_mesh: The fleet is small, so that all daemons send digests here.
+        is_candidate: This daemon may acquire the duties' lease.
+        members: The daemons that send digests to this one.
+        zones: Summaries of the zones of a large fleet.
     """
 
     def __init__(self, instance: str) -> None:
@@ -53,34 +54,34 @@
         self._listed: set[str] = set()
 
     def apply_digest(self, digest: messages.Digest) -> bool:
-        """Take a digest; tell whether it is news."""
+        """Apply a digest; return whether it is newer."""
         return self.members.apply_digest(digest)
 
     def listen_for_ends(self, listener: Callable[[str], None]) -> None:
-        """Have a function called with each member that is gone for good."""
+        """Register a callback for the member id of each daemon that ended."""
         self.members.listen_for_ends(listener)
 
     def note_listed(self, instances: set[str]) -> None:
-        """Note the instances that have announced themselves in the log."""
+        """Add instances that have announced themselves in the log."""
         self._listed |= instances
 
     def check_silence(self) -> None:
-        """Log who has fallen silent and forget who is long gone."""
+        """Log which daemons became silent and drop those silent for long."""
         self._listed -= self.members.check_silence(self.silent_s)
 
     def list_fresh(self) -> list[members.KnownMember]:
-        """Return the daemons that are heard now."""
+        """Return the daemons that are not silent."""
         return self.members.list_fresh(self.silent_s)
 
     def list_candidates(self) -> list[str]:
-        """Return the other instances that may take the duties' lease."""
+        """Return the other instances that may acquire the duties' lease."""
         if self.is_mesh:
             return [known.digest.instance for known in self.list_fresh()]
         hubs = self.zones.list_hubs(trio.current_time())
         return sorted({known.summary.instance for known in hubs})
 
     def is_zone_silent(self, zone: str) -> bool:
-        """Tell whether daemons of a zone were heard before and none is now."""
+        """Return whether all daemons of a zone that were heard are silent."""
         heard_at = self._find_zone_heard_at(zone)
         if heard_at is None:
             return False
@@ -90,12 +91,12 @@
         )
 
     def count_daemons(self) -> int:
-        """Return how many daemons share what is to be shared, this one too."""
+        """Return the number of daemons, with this one and the listed ones."""
         listed = len(self._listed - {self._instance})
         return 1 + max(self._count_heard(), listed)
 
     def sum_started(self, window: int) -> dict[str, int]:
-        """Return the requests that others began in a window, by team."""
+        """Return the requests that others started in a window, by team."""
         total: dict[str, int] = {}
         for begun in self._list_started_counts():
             for team, count in begun.get(window, {}).items():
@@ -103,7 +104,7 @@
         return total
 
     def sum_demand(self, service: str) -> float:
-        """Return the tokens a second that others' callers bring."""
+        """Return others' prompt tokens a second for a service."""
         if self.is_mesh:
             found = [known.digest.demand for known in self.list_fresh()]
         else:
@@ -115,7 +116,7 @@
         return sum(demand.get(service, 0.0) for demand in found)
 
     def has_closed(self, window: int) -> bool:
-        """Tell whether every daemon has told its last of a window."""
+        """Return whether the daemons' counts of a usage window are final."""
         if self.is_mesh:
             return all(
                 known.digest.window > window or known.digest.is_leaving
@@ -124,7 +125,7 @@
         active = self.zones.list_active()
         if not all(known.summary.window > window for known in active):
             return False
-        # A hub that has just become one has heard few of its zone.
+        # The sums of a hub just elected lack most of its zone's daemons.
         heard = 1 + sum(known.summary.daemons for known in active)
         return heard >= _MIN_REPORTING_FRACTION * self.count_daemons()
 
@@ -165,7 +166,7 @@
 def merge_counts(
     own: usage_counts.WindowCounts, others: dict[str, int], window: int
 ) -> dict[str, int]:
-    """Return own and others' counts of one window together."""
+    """Return the sums of own and others' counts of one window, by team."""
     total = dict(others)
     for team, count in own.get(window, {}).items():
         total[team] = total.get(team, 0) + count
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_aggregator.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_aggregator.py
@@ -1,4 +1,4 @@
-"""Add up, at a hub, what the daemons of its zone tell."""
+"""Sum the digests of a zone's daemons at its hub."""
 
 from __future__ import annotations
 
@@ -15,7 +15,8 @@
 
 __all__ = ["ZoneTotals", "ZoneAggregator", "add_loads", "add_reading"]
 
-# Usage counts of a daemon that ended are kept until they are reported.
+# Request counts of a daemon that ended are lost if its digest is dropped before
+# its last usage window is reported.
 _FORGET_AFTER_S = 40.0
 _MS = 1000
 
@@ -25,16 +26,17 @@
     """Sums over daemons of a zone.
 
     Attributes:
-        daemons: How many are heard.
-        window: The earliest usage window that is now for one of them.
-        leaving: Members that are stopping.
-        lease: What the lease's holder tells, if it is one of them.
-        lease_member: That holder.
-        loads: What they have at runners, by runner id.
-        begun: Requests begun, by window and team.
-        demand: Prompt tokens a second, by service.
-        reading: What their results say of engines, by service.
-        trials: What versions on trial answered, by service.
+        daemons: Number of daemons that are not silent.
+        window: Earliest current usage window of the daemons; None if there is
+            no daemon.
+        leaving: Member ids of the daemons that are shutting down.
+        lease: State of the duties' lease, if one of the daemons holds it.
+        lease_member: Member id of the lease's holder.
+        loads: Load at runners, by runner id.
+        begun: Requests started, by usage window and team.
+        demand: Prompt tokens a second sent for prefill, by service.
+        reading: Prefill sums, by service.
+        trials: Canary results, by service.
     """
 
     daemons: int = 0
@@ -61,13 +63,13 @@
 
 
 class ZoneAggregator:
-    """The newest digests of a zone's daemons and their sums."""
+    """Holds the newest digest of each daemon of a zone and sums them."""
 
     def __init__(self) -> None:
         self._members: dict[str, _Member] = {}
 
     def apply_digest(self, digest: messages.Digest, now: float) -> bool:
-        """Take a daemon's digest; tell whether it is news."""
+        """Apply a daemon's digest; return whether it is newer."""
         known = self._members.get(digest.member)
         if known is not None and digest.number <= known.digest.number:
             return False
@@ -82,17 +84,25 @@
         return True
 
     def drop_expired(self, now: float) -> None:
-        """Drop daemons that are long gone."""
+        """Drop daemons whose last digest is too old."""
         for member, known in list(self._members.items()):
             if now - known.heard_at > _FORGET_AFTER_S:
                 del self._members[member]
 
     def list_fresh(self, now: float, silent_s: float) -> list[messages.Digest]:
-        """Return the digests of the daemons that are heard."""
+        """Return the digests of the daemons that are not silent."""
         return [known.digest for known in self._list_heard(now, silent_s)]
 
     def sum_digests(self, now: float, silent_s: float) -> ZoneTotals:
-        """Return the sums over all daemons."""
+        """Return the sums over all daemons.
+
+        Request counts include silent and replaced daemons, whose requests were
+        started all the same.
+
+        Args:
+            now: In trio's time.
+            silent_s: Time without digests after which a daemon is silent.
+        """
         heard = list(self._list_heard(now, silent_s))
         totals = ZoneTotals(daemons=len(heard))
         for known in self._members.values():
@@ -117,7 +127,7 @@
     def exclude_member(
         self, total: ZoneTotals, member: str, now: float, silent_s: float
     ) -> ZoneTotals:
-        """Return sums without one daemon's part."""
+        """Return the sums over all daemons but one, from the total."""
         known = self._members.get(member)
         if known is None:
             return total
@@ -178,7 +188,7 @@
     loads: Mapping[str, messages.LoadEntry],
     sign: int,
 ) -> None:
-    """Add loads to a sum, or take them away with a sign of -1."""
+    """Add loads to a total, or subtract them with a sign of -1."""
     for runner_id, entry in loads.items():
         known = total.get(runner_id)
         requests = sign * entry.requests + (known.requests if known else 0)
@@ -195,7 +205,7 @@
     reading: Mapping[str, messages.PrefillEntry],
     sign: int,
 ) -> None:
-    """Add what results say to a sum, or take it away with a sign of -1."""
+    """Add prefill sums to a total, or subtract them with a sign of -1."""
     for service, entry in reading.items():
         known = total.get(service, messages.PrefillEntry(0, 0, 0))
         total[service] = messages.PrefillEntry(
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
@@ -1,4 +1,4 @@
-"""Take part in a large fleet: have hubs, and be one."""
+"""Gossip in a large fleet through hubs, or as a hub of the zone."""
 
 from __future__ import annotations
 
@@ -25,25 +25,27 @@
 
 __all__ = ["QuotaHub", "Outgoing", "ZoneMode"]
 
-# What a log that has never answered counts as.
+# Upper bound for ages in messages; the age of a log that never answered is
+# infinite.
 _MAX_AGE_S = 3600.0
-# A hub that has not reported for so long is not relied on for the log; the
-# operators' changes have to be in force within 2 s.
+# Daemons read the log themselves when their hubs have not reported for this
+# long; operators' changes must be in force within 2 s.
 _REPORT_TIMEOUT_S = 1.2
-# A hub that has reported for so long is back for good.
+# Reporting for this long makes a preferred hub the quota hub again; a hub that
+# comes and goes must not move the quota each time.
 _RETURN_DELAY_S = 2.0
-# A hub whose own reading of the log is this old is not relied on for it.
+# A hub that the log has not answered for longer is not relied on to read it.
 _MAX_LOG_AGE_MS = 1000
 _MS = 1000
 
 
 @dataclasses.dataclass(frozen=True)
 class Outgoing:
-    """A message for a daemon.
+    """A message to send to a daemon.
 
     Attributes:
-        address: Its fleet link.
-        raw: The message's bytes.
+        address: Address of its fleet link.
+        raw: The encoded message.
     """
 
     address: str
@@ -52,12 +54,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class QuotaHub:
-    """The hub that keeps units for this daemon.
+    """The hub that holds quota for this daemon.
 
     Attributes:
-        member: Its process.
-        address: Its fleet link.
-        number: Of its last report.
+        member: Member id of the hub.
+        address: Address of its fleet link.
+        number: Number of its last report.
     """
 
     member: str
@@ -67,27 +69,28 @@
 
 @dataclasses.dataclass(frozen=True)
 class _HubStatus:
-    """A hub of this zone and when it last reported."""
+    """Reports received from a hub of this zone."""
 
     summary: messages.ZoneSummary
     heard_at: float
-    # Of its round of reports.
+    # Number of its last round of reports.
     number: int
-    # It has heard this process.
+    # It has received a digest of this process.
     has_own_digest: bool
-    # Since when it has reported without a longer pause.
+    # Start of its reports without a pause above `_REPORT_TIMEOUT_S`.
     reporting_since: float
 
 
 class ZoneMode:
-    """This daemon's place in a large fleet.
+    """Elects the hubs of a large fleet and exchanges state through them.
 
     Attributes:
-        is_hub: It reports to others.
-        report_interval_s: Between two of its reports.
-        find_members_end: Returns how far all listed daemons of this zone have
-            read who announced themselves.
-        create_runner_reports: Returns what is known of what runners say.
+        is_hub: This daemon is a hub of its zone.
+        report_interval_s: Interval between its rounds of reports, as a hub.
+        find_members_end: Returns the offset up to which all listed daemons of
+            this zone have read the announcements.
+        create_runner_reports: Returns the limits and drains that runners
+            reported.
     """
 
     def __init__(
@@ -121,25 +124,25 @@
         self._sole_since = math.inf
 
     def set_address(self, address: str) -> None:
-        """Note where this daemon can be reached, once that is known."""
+        """Set the address of this daemon's fleet link, once it listens."""
         self._own_address = dataclasses.replace(
             self._own_address, address=address
         )
         self._election.own_address = address
 
     def set_own_digest(self, digest: messages.Digest) -> None:
-        """Take this daemon's own digest."""
+        """Set this daemon's newest digest."""
         now = trio.current_time()
         self._hub.set_own_digest(digest, now)
         self._hub.drop_expired(now)
 
     def apply_digest(self, digest: messages.Digest) -> None:
-        """Take the digest of a daemon that takes this one for a hub."""
+        """Apply a digest sent to this daemon as a hub of the sender's zone."""
         if digest.zone == self._own_address.zone:
             self._hub.apply_digest(digest, trio.current_time())
 
     def apply_exchange(self, exchange: messages.ZoneExchange) -> None:
-        """Take what another zone's hub tells."""
+        """Apply the summary that another zone's hub sent."""
         summary = exchange.summary
         now = trio.current_time()
         self._election.note_report(summary.address, now)
@@ -147,7 +150,7 @@
             self._view.zones.apply_summary(summary, exchange.loads, now)
 
     def apply_report(self, report: messages.FleetReport) -> bool:
-        """Take a hub's report; tell whether it counts."""
+        """Apply a hub's report; return whether its sums are to be used."""
         if not report.zones:
             return False
         own = report.zones[0]
@@ -163,7 +166,7 @@
             now if is_new or last is None else last.reporting_since,
         )
         if self.is_hub and own.address != self._own_address.address:
-            # A hub goes by its own sums; the other one is known to be there.
+            # The other hub's sums would replace this hub's own sums.
             return False
         if not self.is_hub and own.log_age_ms <= _MAX_LOG_AGE_MS:
             self._state.contact.note_relayed(own.log_age_ms / _MS)
@@ -177,7 +180,7 @@
     def _confirm_runner_entries(
         self, summary: messages.ZoneSummary, digest_number: int
     ) -> None:
-        """Note how old the entries are if they are the hub's."""
+        """Set the age of the runner entries from that of the hub's entries."""
         follower = self._state.runner_follower
         digest_sent_at = self._digest_times.find(digest_number)
         if digest_sent_at is None or follower.end < summary.runners_changed:
@@ -188,13 +191,13 @@
         )
 
     def select_peers(self, known: Iterable[topology.PeerAddress]) -> set[str]:
-        """Decide who this daemon's hubs are and whether it is one.
+        """Elect hubs and return the daemons that this one must be linked to.
 
         Args:
             known: All other daemons.
 
         Returns:
-            The addresses to be linked to.
+            Addresses of their fleet links.
         """
         now = trio.current_time()
         by_zone: dict[str, list[topology.PeerAddress]] = {}
@@ -215,17 +218,17 @@
         return peers - {self._own_address.address}
 
     def create_digest_messages(self, digest: messages.Digest) -> list[Outgoing]:
-        """Return what to tell the hubs of this daemon."""
+        """Return a digest's messages to this daemon's hubs."""
         raw = messages.encode_message(messages.DigestMessage(digest))
         self._digest_times.note(digest.number)
         return [Outgoing(address, raw) for address in self._own_hubs]
 
     def note_sent(self, address: str) -> None:
-        """Note that a hub was told something and should report."""
+        """Note that a message was sent to a hub, which should report."""
         self._election.note_message_sent(address, trio.current_time())
 
     def create_exchanges(self) -> list[Outgoing]:
-        """Return what to tell the hubs of other zones."""
+        """Return the messages to the hubs of other zones."""
         exchange = self._hub.create_exchange(
             self._create_hub_state(), trio.current_time(), self._view.silent_s
         )
@@ -233,7 +236,7 @@
         return [Outgoing(address, raw) for address in self._foreign_hubs]
 
     def create_reports(self) -> tuple[messages.FleetReport, list[Outgoing]]:
-        """Return this hub's report to itself, and those to its zone."""
+        """Return this hub's report to itself, and the messages to its zone."""
         reports = self._hub.create_reports(
             self._create_hub_state(), trio.current_time(), self._view.silent_s
         )
@@ -248,10 +251,10 @@
         return own, found
 
     def is_report_due(self, *, is_hurried: bool) -> bool:
-        """Tell whether it is time for the next reports; if so, count on.
+        """Return whether reports are due; if so, start the next interval.
 
         Args:
-            is_hurried: There is news that cannot wait.
+            is_hurried: A digest is to be sent early; the reports follow it.
         """
         now = trio.current_time()
         due_s = (
@@ -267,16 +270,16 @@
         return self._report_times.find(number)
 
     def is_quota_hub(self) -> bool:
-        """Tell whether this daemon keeps its zone's units."""
+        """Return whether this daemon holds its zone's quota."""
         return self.is_hub and self._is_first_hub
 
     def find_quota_hub(self) -> QuotaHub | None:
-        """Return the hub that is to keep this daemon's units, if any reports.
+        """Return the hub that holds this daemon's quota, if any hub reports.
 
-        The first one keeps those of the whole zone: each pile more would be
-        too small for long prompts more often. While another one reports, the
-        first has to be back for some time: what was lent to one cannot be lent
-        to another before it is over.
+        One hub holds the quota of the whole zone; split among several, it would
+        more often be too little for a long prompt. A rate share that is
+        delegated to one hub cannot be delegated to another before that ends, so
+        the first hub takes over only after it has reported for a while.
         """
         oldest = trio.current_time() - _REPORT_TIMEOUT_S
         fresh = {
@@ -297,10 +300,10 @@
         return QuotaHub(one.summary.hub, self._quota_hub_address, one.number)
 
     def list_quota_hubs(self) -> list[str]:
-        """Return the hubs to ask for units, the first choice first.
+        """Return the addresses of the hubs to ask for quota, by preference.
 
-        Other zones' hubs come last: they have units when those of this zone
-        are gone, and none of this zone's when it is cut off.
+        Hubs of other zones come last, for when this zone's quota is spent or
+        its hubs do not answer.
         """
         keeper = self.find_quota_hub()
         own = [keeper.address] if keeper is not None else []
@@ -315,13 +318,15 @@
         return own + foreign
 
     def list_other_quota_hubs(self) -> list[str]:
-        """Return the other zones' hubs, if this one keeps units like them."""
+        """Return other zones' hubs if they exchange quota with this one."""
         return list(self._foreign_hubs) if self.is_quota_hub() else []
 
     def find_sole_since(self) -> float:
-        """Return since when no hub uses what the last process here had lent.
+        """Return since when no hub uses a former process's delegation.
 
-        A hub drops that when it hears of this process, and says so.
+        A hub drops the delegations of an instance's former process when it
+        receives a digest of the new one, and its report then confirms that
+        digest. Infinity until all hubs have done so.
         """
         if self._sole_since == math.inf and self._has_elected:
             served = [
@@ -332,17 +337,17 @@
         return self._sole_since
 
     def is_log_relayed(self) -> bool:
-        """Tell whether a hub follows the log for this daemon."""
+        """Return whether a hub reads the log on behalf of this daemon."""
         return not self.is_hub and self._has_other_log_reader()
 
     def is_log_reader(self) -> bool:
-        """Tell whether its zone goes by this hub's reading of the log."""
+        """Return whether the zone relies on this hub to read the log."""
         if not self.is_hub:
             return False
         return self._is_first_hub or not self._has_other_log_reader()
 
     def list_peer_states(self) -> Iterator[state_copies.PeerState]:
-        """Return what hubs say that they have."""
+        """Return the versions of catalog and runner entries at the hubs."""
         summaries = [one.summary for one in self._hub_statuses.values()]
         summaries += [k.summary for k in self._view.zones.list_active()]
         for summary in summaries:
@@ -364,7 +369,7 @@
     def _list_foreign_hubs(
         self, by_zone: dict[str, list[topology.PeerAddress]], now: float
     ) -> Iterator[str]:
-        """Return the other zones' hubs, and those that take us for one."""
+        """Return other zones' hubs, elected here or heard from as hubs."""
         heard = set(self._election.list_reporting(now))
         for peers in by_zone.values():
             chosen = self._election.elect_hubs(peers, now)
--- a/packages/daemon/src/martenquay_daemon/fleet/zones.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zones.py
@@ -1,4 +1,4 @@
-"""Hold the newest summary of each zone, whichever hub it comes from."""
+"""Hold the newest summaries of each zone and the hub that is used."""
 
 from __future__ import annotations
 
@@ -13,18 +13,19 @@
 __all__ = ["KnownSummary", "ZoneTable"]
 
 _LOG = logs.create_log("fleet")
-# Hubs report several times a second; after this another one's summary counts.
+# Another hub of the zone is used when the active one is silent for this long.
 _FAILOVER_S = 1.5
 
 
 @dataclasses.dataclass
 class KnownSummary:
-    """A hub's newest summary and when it was heard.
+    """A hub's newest summary of its zone.
 
     Attributes:
         summary: The summary.
-        loads: What the zone's daemons have at runners, if that was told.
-        heard_at: In trio's time.
+        loads: Load of the zone's daemons at runners, by runner id; empty if
+            the message had none.
+        heard_at: When it was received, in trio's time.
     """
 
     summary: messages.ZoneSummary
@@ -37,8 +38,8 @@
     """The hubs of a zone.
 
     Attributes:
-        active: The hub whose sums count.
-        hubs: By member id.
+        active: Member id of the hub whose summaries are used.
+        hubs: Newest summaries, by the hub's member id.
     """
 
     active: str
@@ -46,7 +47,7 @@
 
 
 class ZoneTable:
-    """Zones by name."""
+    """Newest summaries of all zones, with one active hub each."""
 
     def __init__(self) -> None:
         self._zones: dict[str, _Zone] = {}
@@ -57,7 +58,7 @@
         loads: dict[str, messages.LoadEntry],
         now: float,
     ) -> bool:
-        """Take a summary; tell whether it is news and counts."""
+        """Apply a summary; return whether it is newer and its hub is active."""
         zone = self._zones.setdefault(summary.zone, _Zone(summary.hub))
         known = zone.hubs.get(summary.hub)
         if known is not None and summary.number <= known.summary.number:
@@ -67,16 +68,16 @@
         return is_active or self._fail_over(zone, summary, now)
 
     def find_active(self, zone: str) -> KnownSummary | None:
-        """Return the summary of a zone that counts."""
+        """Return the summary of a zone's active hub, if any is known."""
         known = self._zones.get(zone)
         return None if known is None else known.hubs[known.active]
 
     def list_active(self) -> list[KnownSummary]:
-        """Return the summary that counts of each zone."""
+        """Return the summary of each zone's active hub."""
         return [zone.hubs[zone.active] for zone in self._zones.values()]
 
     def list_hubs(self, now: float) -> list[KnownSummary]:
-        """Return the summaries of all hubs that are heard."""
+        """Return the summaries of all hubs that are not silent."""
         return [
             known
             for zone in self._zones.values()
@@ -85,18 +86,18 @@
         ]
 
     def clear(self) -> None:
-        """Forget all zones."""
+        """Drop all zones."""
         self._zones.clear()
 
     def _fail_over(
         self, zone: _Zone, summary: messages.ZoneSummary, now: float
     ) -> bool:
-        """Have another hub's sums count if the active one is silent."""
+        """Make the summary's hub the active one if that is silent."""
         silent_s = now - zone.hubs[zone.active].heard_at
         if silent_s < _FAILOVER_S:
             return False
         _LOG.write(
-            f"Hub {summary.hub} counts for zone {summary.zone}.",
+            f"Using hub {summary.hub} for zone {summary.zone}.",
             previous=zone.active,
             silent_s=round(silent_s, 3),
         )
