--- a/packages/daemon/src/martenquay_daemon/membership/__init__.py
+++ b/packages/daemon/src/martenquay_daemon/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Know which daemons are alive and which runners are leaving."""
+"""Detect failed daemons by heartbeats and spread which runners are leaving."""
--- a/packages/daemon/src/martenquay_daemon/membership/directory.py
+++ b/packages/daemon/src/martenquay_daemon/membership/directory.py
@@ -1,4 +1,4 @@
-"""Know the runners of each pool and keep out those that are leaving."""
+"""Follow the platform's instance list and list each pool's usable runners."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
 
 
 class RunnerDirectory:
-    """The runners that may get new work.
+    """Runners of the instance list, without leaving ones in the pools.
 
     Attributes:
-        version: Raised whenever some pool's runners change.
+        version: Incremented whenever the runners of a pool change.
     """
 
     def __init__(
@@ -47,11 +47,11 @@
         members.listen_for_leaving(self._handle_leaving)
 
     def listen_for_leaving(self, listener: Callable[[str], None]) -> None:
-        """Have a function called with each runner that starts to leave."""
+        """Register a callback for the name of each runner that is leaving."""
         self._leaving_listeners.append(listener)
 
     def replace_all(self, runners: list[Runner]) -> None:
-        """Take a new reading of the instance list."""
+        """Replace the runners by those of a newly read instance list."""
         for runner in runners:
             if runner.state is instances.InstanceState.LEAVING:
                 self._members.merge(messages.RunnerLeaving(runner.name))
@@ -61,15 +61,14 @@
             self._rebuild()
 
     def list_pool(self, partner: str, pool: str) -> list[Runner]:
-        """Return the pool's own runners that may get new work."""
+        """Return the pool's own runners, without leaving ones."""
         return self._pools.get((partner, pool), [])
 
     def list_lent(self, partner: str, pool: str) -> list[Runner]:
         """Return other partners' runners that are lent to a pool.
 
-        The lent part of a pool is whole runners, the same ones for all
-        daemons: a borrower's prompts push the lender's out of the caches of
-        these runners only.
+        All daemons lend the same whole runners. The borrower's prompts evict
+        the lender's from the prefix caches of these runners only.
         """
         lent: list[Runner] = []
         for key, _ in self._config.state.iterate(objects.Kind.SHARE):
@@ -82,20 +81,20 @@
         return lent
 
     def list_all(self) -> list[Runner]:
-        """Return every runner of the list, leaving ones too."""
+        """Return all listed runners, also leaving ones."""
         return list(self._runners.values())
 
     def count_daemons(self) -> int:
-        """Return how many daemons of the own partner are serving."""
+        """Return the number of serving daemons of this daemon's partner."""
         own = self._members.list_serving(self._members.me.partner)
         return max(1, len(own))
 
     def find(self, name: str) -> Runner | None:
-        """Return a runner of the list."""
+        """Return a listed runner by its name, or None."""
         return self._runners.get(name)
 
     def may_get_work(self, name: str) -> bool:
-        """Tell whether a runner is listed and not leaving."""
+        """Return whether a runner is listed and not leaving."""
         return name in self._runners and not self._members.is_leaving_runner(
             name
         )
@@ -118,7 +117,7 @@
 def _choose_lent(
     key: str, runners: list[Runner], fraction: float
 ) -> list[Runner]:
-    """Return the lent part of a pool, at least one runner if any is lent."""
+    """Return the lent runners; at least one unless the fraction is 0."""
     if not runners or fraction == 0:
         return []
     count = max(1, round(len(runners) * fraction))
@@ -127,7 +126,7 @@
 
 
 class InstanceFollower:
-    """Read the lagging list again and again."""
+    """Polls the platform's instance list, which lags behind changes."""
 
     def __init__(
         self,
@@ -142,7 +141,7 @@
         self._poll_s = poll_s
 
     async def run(self) -> None:
-        """Read until cancelled; without an answer the last list holds."""
+        """Poll until cancelled; keep the last list while reads fail."""
         while True:
             listed = await self._client.list_instances()
             if listed.is_ok():
@@ -164,7 +163,7 @@
 
 
 class NoticeFollower:
-    """Follow reclaim notices and pass them on to the other daemons."""
+    """Follows reclaim notices and gossips them to the other daemons."""
 
     def __init__(
         self, client: instances.InstanceClient, members: table.MemberTable
@@ -173,7 +172,7 @@
         self._members = members
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Read notices by long polling until cancelled."""
         position = 0
         while True:
             page = await self._client.read_notices(position, _NOTICE_WAIT_S)
@@ -182,5 +181,5 @@
                 continue
             position = page.ok.end
             for notice in page.ok.notices:
-                _LOG.write(f"Notice: {notice.instance} is being reclaimed.")
+                _LOG.write(f"The platform reclaims {notice.instance}.")
                 self._members.merge(messages.RunnerLeaving(notice.instance))
--- a/packages/daemon/src/martenquay_daemon/membership/links.py
+++ b/packages/daemon/src/martenquay_daemon/membership/links.py
@@ -1,8 +1,7 @@
-"""Keep a link to each chosen peer: heartbeats, reports and requests.
+"""Send heartbeats, membership updates and requests to other daemons.
 
-One task keeps one link. Who is linked to whom is chosen by rendezvous
-hashing: everyone in a small zone, a fixed number in a large one, and a few in
-each other zone.
+Each link has a task of its own. Rendezvous hashing chooses the peers: all
+daemons of a small zone, a fixed number of a large one and of each other zone.
 """
 
 from __future__ import annotations
@@ -39,12 +38,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class PeerAddress:
-    """Where a peer is said to be.
+    """Address of a peer in the instance list.
 
     Attributes:
-        instance: The instance's name.
+        instance: Name of the instance.
         zone: Its availability zone.
-        address: Its peer link.
+        address: Address of its peer link.
     """
 
     instance: str
@@ -54,10 +53,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class PeerFailure:
-    """Why a peer gave no answer; it may have done what was asked.
+    """Failure of a request to a peer, which may have processed it.
 
     Attributes:
-        message: One sentence for the log.
+        message: Reason, as a sentence for the log.
     """
 
     message: str
@@ -85,10 +84,10 @@
 
 
 class PeerLinks:
-    """Talk to other daemons.
+    """Links to other daemons, and the socket that answers theirs.
 
     Attributes:
-        address: Where this daemon's own link listens, once it runs.
+        address: Address of this daemon's socket, once it runs.
     """
 
     def __init__(
@@ -112,14 +111,14 @@
     async def run(
         self, *, task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Listen and keep the links until cancelled."""
+        """Answer requests and run the links until cancelled."""
         router = sockets.bind_router(self._context, self._settings.listen.peers)
         self.address = router.address
         try:
             async with trio.open_nursery() as nursery:
                 self._nursery = nursery
                 nursery.start_soon(self._run_ticks)
-                # Until the instance list is read these are all that is known.
+                # No other peers are known until the instance list is read.
                 for address in self._settings.seeds:
                     self._open_link(address)
                 task_status.started(router.address)
@@ -129,7 +128,7 @@
             self._context.destroy(linger=0)
 
     def choose_links(self, peers: list[PeerAddress]) -> None:
-        """Link to the right ones of the known peers and drop other links."""
+        """Open links to the peers chosen by hashing; close other idle links."""
         own = self._settings.instance
         others = [peer for peer in peers if peer.instance != own]
         chosen = _choose_peers(own, self._settings.zone, others)
@@ -144,10 +143,10 @@
     async def request(
         self, member: str, message: messages.Message, timeout_s: float
     ) -> Result[messages.Message, PeerFailure]:
-        """Ask a daemon and wait for its reply."""
+        """Send a request to a daemon and wait for its reply."""
         known = self._members.find(member)
         if known is None:
-            return Error(PeerFailure(f"daemon {member} is not known"))
+            return Error(PeerFailure(f"daemon {member} is unknown"))
         link = self._links.get(known.address) or self._open_link(known.address)
         link.used_at = trio.current_time()
         return await self._send_request(link, message, timeout_s)
@@ -163,10 +162,10 @@
             try:
                 message = messages.decode_message(payload)
             except msgspec.MsgspecError as error:
-                _LOG.write(f"Dropped a message that cannot be read: {error}.")
+                _LOG.write(f"Dropped a malformed message of a peer: {error}.")
                 continue
             if isinstance(message, messages.Heartbeat):
-                # Most messages are these; they need no task of their own.
+                # Answered without a task: most messages are heartbeats.
                 reply = self._handle_heartbeat(message)
                 raw = messages.encode_message(reply)
                 router.send([peer, request_id, raw])
@@ -238,7 +237,7 @@
                 link.sent_version = 0
             if missed >= max_missed and link.member:
                 self._members.suspect(link.member)
-            # News that come together go out together.
+            # Changes in quick succession share one heartbeat.
             await trio.sleep(min(_MIN_HEARTBEAT_INTERVAL_S, interval_s))
             with trio.move_on_at(started + interval_s):
                 await self._members.urgent.wait_beyond(urgent_count)
@@ -274,13 +273,15 @@
         try:
             payload = messages.encode_message(message)
             if not link.socket.send([request_id, payload]):
-                return Error(PeerFailure(f"{link.address} takes no messages"))
+                return Error(
+                    PeerFailure(f"the send queue to {link.address} is full")
+                )
             with trio.move_on_after(timeout_s):
                 await pending_request.done.wait()
         finally:
             link.pending.pop(request_id, None)
         if pending_request.reply is None:
-            return Error(PeerFailure(f"{link.address} did not answer"))
+            return Error(PeerFailure(f"{link.address} did not answer in time"))
         return Ok(pending_request.reply)
 
     async def _run_ticks(self) -> None:
--- a/packages/daemon/src/martenquay_daemon/membership/table.py
+++ b/packages/daemon/src/martenquay_daemon/membership/table.py
@@ -1,8 +1,8 @@
-"""Hold what is known of each daemon and of leaving runners.
+"""Hold the gossiped state of each daemon and the leaving runners.
 
-Reports are merged by a fixed order, so it does not matter in which order or
-how often they come. Only a daemon itself raises its incarnation, by which it
-refutes a false report of its death.
+Updates are merged by incarnation and state, so their order and repetition do
+not matter. Only a daemon itself raises its incarnation, by which it refutes a
+false report of its death, as in SWIM.
 """
 
 from __future__ import annotations
@@ -25,7 +25,8 @@
 
 _LOG = logs.create_log("membership")
 _State = messages.MemberState
-# Ticks for which a dead daemon or a runner's leaving is remembered.
+# Ticks after which a dead daemon or a leaving runner is dropped. An older
+# update that arrives later would add it again.
 _FORGET_TICKS = 3600
 
 
@@ -37,14 +38,14 @@
 
 
 class MemberTable:
-    """Merge reports and say what changed since a version.
+    """Newest updates on daemons and runners, in the order of their change.
 
     Attributes:
-        me: What this daemon says of itself.
-        version: Raised with every change.
-        applied: The offset of the configuration in force here.
-        highest_applied: The highest offset in force at any linked daemon.
-        urgent: Counts news that should not wait for the next heartbeat.
+        me: State of this daemon.
+        version: Incremented with every change.
+        applied: Offset of the configuration in force here.
+        highest_applied: Highest such offset of any linked daemon.
+        urgent: Number of changes that must not wait for the next heartbeat.
     """
 
     def __init__(
@@ -56,18 +57,18 @@
         self.highest_applied = progress.Progress()
         self.urgent = progress.Progress()
         self._dead_after_ticks = dead_after_ticks
-        # The latest change comes last.
+        # In the order of their versions.
         self._entries: OrderedDict[str, _Entry] = OrderedDict()
         self._applied: dict[str, int] = {}
         self._runner_listeners: list[Callable[[str], None]] = []
         self._set_entry(me.member, me)
 
     def listen_for_leaving(self, listener: Callable[[str], None]) -> None:
-        """Have a function called with each runner that starts to leave."""
+        """Register a callback for the name of each runner that is leaving."""
         self._runner_listeners.append(listener)
 
     def merge(self, update: messages.Update) -> bool:
-        """Take in a report; tell whether it was news."""
+        """Merge an update; return whether it changed anything."""
         match update:
             case messages.RunnerLeaving():
                 return self._merge_runner(update)
@@ -77,36 +78,36 @@
                 return self._merge_member(update)
 
     def suspect(self, member: str) -> None:
-        """Note that a daemon did not answer."""
+        """Mark a daemon as suspect that did not answer heartbeats."""
         known = self.find(member)
         if known is not None and known.state < _State.SUSPECT:
             self.merge(msgspec.structs.replace(known, state=_State.SUSPECT))
 
     def replace_me(self, me: messages.MemberUpdate) -> None:
-        """Replace all that this daemon says of itself, once it listens."""
+        """Replace the state of this daemon, once its address is known."""
         self.me = me
         self._set_entry(me.member, me)
 
     def announce_leaving(self) -> None:
-        """Say that this daemon is leaving."""
+        """Gossip that this daemon is shutting down."""
         if self.me.state < _State.LEAVING:
             self.me = msgspec.structs.replace(self.me, state=_State.LEAVING)
             self._set_entry(self.me.member, self.me)
             self._signal_urgent()
 
     def announce_applied(self, offset: int) -> None:
-        """Say which configuration is in force here."""
+        """Gossip the offset of the configuration in force here."""
         if offset > self.applied:
             self.applied = offset
             self._signal_urgent()
 
     def note_applied(self, member: str, offset: int) -> None:
-        """Note which configuration a linked daemon has in force."""
+        """Note the offset of the configuration in force at a linked daemon."""
         self._applied[member] = offset
         self.highest_applied.advance(offset)
 
     def list_ahead(self, offset: int) -> list[str]:
-        """Return linked daemons beyond an offset, the own zone's first."""
+        """Return linked daemons with a newer offset, the own zone's first."""
         ahead = []
         for member, applied in self._applied.items():
             known = self.find(member)
@@ -115,7 +116,11 @@
         return [member for _, member in sorted(ahead)]
 
     def tick(self) -> None:
-        """Count time in heartbeats, so that a frozen process skips none."""
+        """Count one heartbeat interval; mark long suspect daemons as dead.
+
+        Time counts in ticks, as a clock would go on while this process is
+        frozen and declare daemons dead that could not be heard meanwhile.
+        """
         for name, entry in list(self._entries.items()):
             entry.ticks += 1
             match entry.update:
@@ -129,7 +134,7 @@
                     self._forget_old(name, entry)
 
     def find(self, member: str) -> messages.MemberUpdate | None:
-        """Return what is known of a daemon."""
+        """Return the newest update of a daemon, or None."""
         entry = self._entries.get(member)
         if entry is None or isinstance(entry.update, messages.RunnerLeaving):
             return None
@@ -138,7 +143,7 @@
     def list_members(
         self, partner: str | None = None
     ) -> list[messages.MemberUpdate]:
-        """Return all known daemons, in whatever state."""
+        """Return all known daemons, or those of one partner, in any state."""
         return [
             entry.update
             for entry in self._entries.values()
@@ -149,7 +154,7 @@
     def list_serving(
         self, partner: str | None = None
     ) -> list[messages.MemberUpdate]:
-        """Return the daemons that are neither leaving nor dead."""
+        """Return the daemons that are alive or suspect."""
         return [
             member
             for member in self.list_members(partner)
@@ -157,21 +162,21 @@
         ]
 
     def is_gone(self, member: str) -> bool:
-        """Tell whether a daemon is dead or has never been heard of."""
+        """Return whether a daemon is dead or unknown."""
         known = self.find(member)
         return known is None or known.state is _State.DEAD
 
     def is_leaving_runner(self, runner: str) -> bool:
-        """Tell whether a runner has been reported as leaving."""
+        """Return whether a runner has been reported as leaving."""
         return _runner_key(runner) in self._entries
 
     def list_changes_since(
         self, version: int, limit: int
     ) -> tuple[list[messages.Update], int]:
-        """Return reports that changed after a version, oldest first.
+        """Return updates that changed after a version, oldest first.
 
         Returns:
-            At most `limit` reports, and the version up to which they go.
+            At most `limit` updates, and the version of the last of them.
         """
         newer = list(
             itertools.takewhile(
@@ -184,7 +189,7 @@
         return [entry.update for entry in chosen], reached
 
     def list_reports_to_refute(self, member: str) -> list[messages.Update]:
-        """Return the report that a daemon has to refute, if there is one."""
+        """Return the update that a daemon has to refute, if there is one."""
         known = self.find(member)
         if known is None or known.state < _State.SUSPECT:
             return []
