--- a/tests/test_daemon/test_members.py
+++ b/tests/test_daemon/test_members.py
@@ -1,4 +1,4 @@
-"""Reports on daemons merge alike in any order and however often."""
+"""Membership updates must merge alike in any order and however often."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 )
 
 
-def _build(member: str = "entry-1") -> table.MemberTable:
+def _build_table(member: str = "entry-1") -> table.MemberTable:
     return table.MemberTable(builders.build_member(member=member), 3)
 
 
@@ -36,12 +36,12 @@
         updates=_UPDATES, order=strategies.randoms(use_true_random=False)
     )
     def test_order_and_repetition_do_not_matter(self, updates, order):
-        first, second = _build(), _build()
+        first, second = _build_table(), _build_table()
         for update in updates:
             first.merge(update)
-        again = updates * 2
-        order.shuffle(again)
-        for update in again:
+        repeated = updates * 2
+        order.shuffle(repeated)
+        for update in repeated:
             second.merge(update)
         for update in updates:
             known = first.find(update.member)
@@ -50,7 +50,7 @@
 
 class MemberTableTest(testtools.TestCase):
     def test_a_silent_daemon_is_suspected_then_dead_then_may_return(self):
-        members = _build()
+        members = _build_table()
         other = builders.build_member(member="entry-2")
         members.merge(other)
         members.suspect("entry-2")
@@ -58,33 +58,33 @@
         for _ in range(3):
             members.tick()
         self.assertTrue(members.is_gone("entry-2"))
-        back = builders.build_member(member="entry-2", incarnation=1)
-        members.merge(back)
+        restarted = builders.build_member(member="entry-2", incarnation=1)
+        members.merge(restarted)
         self.assertFalse(members.is_gone("entry-2"))
 
     def test_a_daemon_refutes_a_report_of_its_own_death(self):
-        members = _build()
+        members = _build_table()
         dead = builders.build_member(member="entry-1", state=_State.DEAD)
         self.assertTrue(members.merge(dead))
         self.assertEqual(1, members.me.incarnation)
         self.assertEqual(_State.ALIVE, members.me.state)
 
     def test_a_leaving_daemon_that_refutes_stays_leaving(self):
-        members = _build()
+        members = _build_table()
         members.announce_leaving()
         dead = builders.build_member(member="entry-1", state=_State.DEAD)
         members.merge(dead)
         self.assertEqual(_State.LEAVING, members.me.state)
 
-    def test_a_daemon_thought_dead_is_told_so(self):
-        members = _build()
+    def test_a_daemon_reported_dead_gets_the_report_to_refute(self):
+        members = _build_table()
         dead = builders.build_member(member="entry-2", state=_State.DEAD)
         members.merge(dead)
         self.assertEqual([dead], members.list_reports_to_refute("entry-2"))
         self.assertEqual([], members.list_reports_to_refute("entry-9"))
 
-    def test_changes_are_given_oldest_first_and_go_on_where_they_stopped(self):
-        members = _build()
+    def test_changes_are_listed_oldest_first_in_successive_pages(self):
+        members = _build_table()
         for number in range(2, 8):
             members.merge(builders.build_member(member=f"entry-{number}"))
         seen: list[str] = []
@@ -97,10 +97,10 @@
         self.assertEqual([f"entry-{n}" for n in range(1, 8)], seen)
 
     def test_a_runner_that_is_leaving_is_announced_once(self):
-        members = _build()
-        heard: list[str] = []
-        members.listen_for_leaving(heard.append)
+        members = _build_table()
+        leaving: list[str] = []
+        members.listen_for_leaving(leaving.append)
         for _ in range(2):
             members.merge(messages.RunnerLeaving("model-1"))
-        self.assertEqual(["model-1"], heard)
+        self.assertEqual(["model-1"], leaving)
         self.assertTrue(members.is_leaving_runner("model-1"))
--- a/tests/test_fleet/test_topology.py
+++ b/tests/test_fleet/test_topology.py
@@ -1,4 +1,4 @@
-"""Hubs are the same for all, and one that does not report is passed over."""
+"""All daemons must elect the same hubs, and none that does not report."""
 
 from __future__ import annotations
 
@@ -15,46 +15,56 @@
 class HubBoardTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.board = topology.HubElection("10.0.0.7:7600")
+        self.election = topology.HubElection("10.0.0.7:7600")
 
-    def test_the_best_links_are_chosen_in_whatever_order_they_are_known(
+    def test_the_most_bandwidth_is_elected_in_any_order_of_the_peers(
         self,
     ) -> None:
-        chosen = self.board.elect_hubs(_PEERS, 0.0)
+        chosen = self.election.elect_hubs(_PEERS, 0.0)
         self.assertEqual(["10.0.0.1:7600", "10.0.0.2:7600"], chosen)
-        self.assertEqual(chosen, self.board.elect_hubs(reversed(_PEERS), 0.0))
-
-    def test_one_that_does_not_report_is_passed_over_for_a_while(self) -> None:
-        self.board.note_message_sent("10.0.0.1:7600", 0.0)
-        self.board.note_message_sent("10.0.0.2:7600", 0.0)
-        self.board.note_report("10.0.0.2:7600", 1.5)
-        self.assertIn("10.0.0.1:7600", self.board.elect_hubs(_PEERS, 1.0))
-        chosen = self.board.elect_hubs(_PEERS, 2.5)
+        self.assertEqual(
+            chosen, self.election.elect_hubs(reversed(_PEERS), 0.0)
+        )
+
+    def test_a_hub_that_does_not_report_is_not_elected_for_a_while(
+        self,
+    ) -> None:
+        self.election.note_message_sent("10.0.0.1:7600", 0.0)
+        self.election.note_message_sent("10.0.0.2:7600", 0.0)
+        self.election.note_report("10.0.0.2:7600", 1.5)
+        self.assertIn("10.0.0.1:7600", self.election.elect_hubs(_PEERS, 1.0))
+        chosen = self.election.elect_hubs(_PEERS, 2.5)
         self.assertEqual(["10.0.0.2:7600", "10.0.0.3:7600"], chosen)
 
-    def test_one_that_was_passed_over_is_tried_beside_the_others(self) -> None:
-        self.board.note_message_sent("10.0.0.1:7600", 0.0)
-        self.board.elect_hubs(_PEERS, 2.5)
+    def test_a_hub_that_did_not_report_is_tried_again_beside_the_others(
+        self,
+    ) -> None:
+        self.election.note_message_sent("10.0.0.1:7600", 0.0)
+        self.election.elect_hubs(_PEERS, 2.5)
         self.assertEqual(
             ["10.0.0.1:7600", "10.0.0.2:7600", "10.0.0.3:7600"],
-            self.board.elect_hubs(_PEERS, 20.0),
+            self.election.elect_hubs(_PEERS, 20.0),
+        )
+        self.election.note_message_sent("10.0.0.1:7600", 20.0)
+        self.assertNotIn(
+            "10.0.0.1:7600", self.election.elect_hubs(_PEERS, 22.5)
+        )
+
+    def test_a_hub_that_reports_again_is_elected_again(self) -> None:
+        self.election.note_message_sent("10.0.0.1:7600", 0.0)
+        self.assertNotIn("10.0.0.1:7600", self.election.elect_hubs(_PEERS, 2.5))
+        self.election.note_report("10.0.0.1:7600", 3.0)
+        self.assertIn("10.0.0.1:7600", self.election.elect_hubs(_PEERS, 3.0))
+
+    def test_the_first_hub_that_reports_is_the_first_hub(self) -> None:
+        election = topology.HubElection("10.0.0.2:7600")
+        self.assertFalse(
+            election.is_first_hub(election.elect_hubs(_PEERS, 0.0))
         )
-        self.board.note_message_sent("10.0.0.1:7600", 20.0)
-        self.assertNotIn("10.0.0.1:7600", self.board.elect_hubs(_PEERS, 22.5))
-
-    def test_one_that_is_heard_again_is_a_hub_again(self) -> None:
-        self.board.note_message_sent("10.0.0.1:7600", 0.0)
-        self.assertNotIn("10.0.0.1:7600", self.board.elect_hubs(_PEERS, 2.5))
-        self.board.note_report("10.0.0.1:7600", 3.0)
-        self.assertIn("10.0.0.1:7600", self.board.elect_hubs(_PEERS, 3.0))
-
-    def test_the_first_that_answers_leads(self) -> None:
-        board = topology.HubElection("10.0.0.2:7600")
-        self.assertFalse(board.is_first_hub(board.elect_hubs(_PEERS, 0.0)))
-        board.note_message_sent("10.0.0.1:7600", 0.0)
-        self.assertTrue(board.is_first_hub(board.elect_hubs(_PEERS, 2.5)))
-
-    def test_a_daemon_does_not_pass_itself_over(self) -> None:
-        board = topology.HubElection("10.0.0.1:7600")
-        board.note_message_sent("10.0.0.1:7600", 0.0)
-        self.assertIn("10.0.0.1:7600", board.elect_hubs(_PEERS, 60.0))
+        election.note_message_sent("10.0.0.1:7600", 0.0)
+        self.assertTrue(election.is_first_hub(election.elect_hubs(_PEERS, 2.5)))
+
+    def test_a_daemon_always_elects_itself(self) -> None:
+        election = topology.HubElection("10.0.0.1:7600")
+        election.note_message_sent("10.0.0.1:7600", 0.0)
+        self.assertIn("10.0.0.1:7600", election.elect_hubs(_PEERS, 60.0))
--- a/tests/test_fleet/test_view.py
+++ b/tests/test_fleet/test_view.py
@@ -1,4 +1,4 @@
-"""The view keeps the newest digest of each daemon, and counts of gone ones."""
+"""The view must neither lose counts of ended daemons nor count any twice."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class FleetViewTest(clocked.ClockedTestCase):
-    def test_an_old_digest_is_no_news(self) -> None:
+    def test_an_old_digest_is_ignored(self) -> None:
         async def scenario() -> None:
             fleet = view.FleetView("entry-1")
             self.assertTrue(fleet.apply_digest(builders.build_digest(number=2)))
@@ -23,7 +23,7 @@
 
         self.run_clocked(scenario)
 
-    def test_a_restarted_daemon_replaces_itself_but_its_counts_stay(
+    def test_a_restart_replaces_a_daemon_but_keeps_its_counts(
         self,
     ) -> None:
         async def scenario() -> None:
@@ -44,7 +44,7 @@
 
         self.run_clocked(scenario)
 
-    def test_a_silent_daemon_still_counts_for_shares_for_a_while(self) -> None:
+    def test_a_silent_daemon_is_counted_for_a_while(self) -> None:
         async def scenario() -> None:
             fleet = view.FleetView("entry-1")
             fleet.apply_digest(builders.build_digest())
@@ -72,7 +72,9 @@
 
         self.run_clocked(scenario)
 
-    def test_announced_daemons_count_before_they_are_heard(self) -> None:
+    def test_announced_daemons_are_counted_before_their_first_digest(
+        self,
+    ) -> None:
         async def scenario() -> None:
             fleet = view.FleetView("entry-1")
             fleet.note_listed({"entry-1", "entry-2", "entry-3"})
@@ -80,7 +82,7 @@
 
         self.run_clocked(scenario)
 
-    def test_in_a_large_fleet_the_sums_of_zones_count(self) -> None:
+    def test_a_large_fleet_is_known_by_the_sums_of_its_zones(self) -> None:
         async def scenario() -> None:
             fleet = view.FleetView("entry-1")
             fleet.is_mesh = False
@@ -107,7 +109,9 @@
 
         self.run_clocked(scenario)
 
-    def test_a_window_has_closed_when_all_say_so(self) -> None:
+    def test_a_window_has_closed_when_all_digests_are_of_a_later_one(
+        self,
+    ) -> None:
         async def scenario() -> None:
             fleet = view.FleetView("entry-1")
             fleet.apply_digest(builders.build_digest(window=7))
--- a/tests/test_fleet/test_zone_mode.py
+++ b/tests/test_fleet/test_zone_mode.py
@@ -1,4 +1,4 @@
-"""A zone goes by one hub's reading of the log while that is fresh."""
+"""A zone must not rely on a hub that is silent or has lost the log."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 _FIRST = topology.PeerAddress("127.0.0.1:1", "a", 100.0)
 _SECOND = topology.PeerAddress("127.0.0.1:2", "a", 90.0)
-_OTHERS = [
+_SUBSCRIBERS = [
     topology.PeerAddress(f"127.0.0.1:{number}", "a", 10.0)
     for number in range(3, 16)
 ]
 
 
 class ZoneModeTest(clocked.ClockedTestCase):
-    def _build(self, place: topology.PeerAddress) -> zone_mode.ZoneMode:
+    def _build(self, own_address: topology.PeerAddress) -> zone_mode.ZoneMode:
         records = builders.FakeRecords()
         self.contact = contact.LogContact()
         directory = runner_directory.RunnerDirectory(records, self.contact)
@@ -53,16 +53,18 @@
         self.follower = follower
         fleet = view.FleetView("entry-9")
         fleet.is_mesh = False
-        return zone_mode.ZoneMode(place, fleet, state, timing.ZONE_INTERVALS)
+        return zone_mode.ZoneMode(
+            own_address, fleet, state, timing.ZONE_INTERVALS
+        )
 
-    def _report(self, one: zone_mode.ZoneMode, number: int, age_ms: int):
+    def _apply_report(self, mode: zone_mode.ZoneMode, number: int, age_ms: int):
         summary = builders.build_summary(
             zone="a",
             address=_FIRST.address,
             number=number,
             log_age_ms=age_ms,
         )
-        return one.apply_report(
+        return mode.apply_report(
             messages.FleetReport(
                 "entry-1.aa",
                 [summary],
@@ -75,15 +77,15 @@
             )
         )
 
-    def test_entries_are_as_old_as_the_hubs_when_it_heard_this_daemon(
+    def test_entries_are_confirmed_as_of_the_digest_that_the_hub_had(
         self,
     ) -> None:
         async def scenario() -> None:
-            one = self._build(_OTHERS[0])
-            one.select_peers([_FIRST, _SECOND, *_OTHERS[1:]])
+            mode = self._build(_SUBSCRIBERS[0])
+            mode.select_peers([_FIRST, _SECOND, *_SUBSCRIBERS[1:]])
             self.follower.skip_to(5)
-            one.create_digest_messages(builders.build_digest(number=7))
-            told_at = trio.current_time()
+            mode.create_digest_messages(builders.build_digest(number=7))
+            digest_sent_at = trio.current_time()
             await trio.sleep(0.4)
             summary = builders.build_summary(
                 zone="a", address=_FIRST.address, runners_age_ms=600
@@ -98,18 +100,18 @@
                 [],
                 messages.NO_RUNNER_REPORTS,
             )
-            one.apply_report(report)
-            # However late the report is, it was made after that digest.
+            mode.apply_report(report)
+            # The report was made after that digest, however late it arrives.
             confirmed_at = self.follower.copy_age.confirmed_at
-            self.assertAlmostEqual(told_at - 0.6, confirmed_at)
+            self.assertAlmostEqual(digest_sent_at - 0.6, confirmed_at)
 
         self.run_clocked(scenario)
 
-    def test_a_hub_that_knows_more_says_nothing_of_entries_here(self) -> None:
+    def test_a_hub_with_newer_entries_does_not_confirm_those_here(self) -> None:
         async def scenario() -> None:
-            one = self._build(_OTHERS[0])
-            one.select_peers([_FIRST, _SECOND, *_OTHERS[1:]])
-            one.create_digest_messages(builders.build_digest(number=7))
+            mode = self._build(_SUBSCRIBERS[0])
+            mode.select_peers([_FIRST, _SECOND, *_SUBSCRIBERS[1:]])
+            mode.create_digest_messages(builders.build_digest(number=7))
             summary = builders.build_summary(
                 zone="a", address=_FIRST.address, runners_changed=40
             )
@@ -123,56 +125,58 @@
                 [],
                 messages.NO_RUNNER_REPORTS,
             )
-            one.apply_report(report)
+            mode.apply_report(report)
             self.assertEqual(math.inf, self.follower.copy_age.age_s)
 
         self.run_clocked(scenario)
 
-    def test_the_second_hub_leads_when_the_first_has_lost_the_log(self) -> None:
+    def test_the_second_hub_reads_the_log_when_the_first_has_lost_it(
+        self,
+    ) -> None:
         async def scenario() -> None:
-            one = self._build(_SECOND)
-            one.select_peers([_FIRST, *_OTHERS])
-            self.assertTrue(one.is_hub)
-            self._report(one, 1, 100)
-            self.assertFalse(one.is_log_reader())
-            self._report(one, 2, 1500)
-            self.assertTrue(one.is_log_reader())
-            self._report(one, 3, 100)
-            self.assertFalse(one.is_log_reader())
+            mode = self._build(_SECOND)
+            mode.select_peers([_FIRST, *_SUBSCRIBERS])
+            self.assertTrue(mode.is_hub)
+            self._apply_report(mode, 1, 100)
+            self.assertFalse(mode.is_log_reader())
+            self._apply_report(mode, 2, 1500)
+            self.assertTrue(mode.is_log_reader())
+            self._apply_report(mode, 3, 100)
+            self.assertFalse(mode.is_log_reader())
             await trio.sleep(2.0)
-            self.assertTrue(one.is_log_reader())
+            self.assertTrue(mode.is_log_reader())
 
         self.run_clocked(scenario)
 
-    def test_a_daemon_is_served_while_a_hub_reports_and_reads(self) -> None:
+    def test_the_log_is_relayed_while_a_hub_reports_and_reads_it(self) -> None:
         async def scenario() -> None:
-            one = self._build(_OTHERS[0])
-            one.select_peers([_FIRST, _SECOND, *_OTHERS[1:]])
-            self.assertFalse(one.is_log_relayed())
-            self._report(one, 1, 100)
-            self.assertTrue(one.is_log_relayed())
-            # What the hub has read lately counts as read here.
+            mode = self._build(_SUBSCRIBERS[0])
+            mode.select_peers([_FIRST, _SECOND, *_SUBSCRIBERS[1:]])
+            self.assertFalse(mode.is_log_relayed())
+            self._apply_report(mode, 1, 100)
+            self.assertTrue(mode.is_log_relayed())
+            # A relayed answer of the log counts as an answer to this daemon.
             self.assertAlmostEqual(0.1, self.contact.age_s)
-            self._report(one, 2, 1500)
-            self.assertFalse(one.is_log_relayed())
-            self._report(one, 3, 100)
+            self._apply_report(mode, 2, 1500)
+            self.assertFalse(mode.is_log_relayed())
+            self._apply_report(mode, 3, 100)
             await trio.sleep(2.0)
-            self.assertFalse(one.is_log_relayed())
+            self.assertFalse(mode.is_log_relayed())
 
         self.run_clocked(scenario)
 
-    def test_a_daemon_that_is_told_digests_reports_as_a_hub(self) -> None:
+    def test_a_daemon_that_receives_digests_becomes_a_hub(self) -> None:
         async def scenario() -> None:
-            one = self._build(_OTHERS[0])
+            mode = self._build(_SUBSCRIBERS[0])
             self.assertEqual(
                 {_FIRST.address, _SECOND.address},
-                one.select_peers([_FIRST, _SECOND, *_OTHERS[1:]]),
+                mode.select_peers([_FIRST, _SECOND, *_SUBSCRIBERS[1:]]),
             )
-            one.apply_digest(
-                builders.build_digest(zone="a", address=_OTHERS[1].address)
+            mode.apply_digest(
+                builders.build_digest(zone="a", address=_SUBSCRIBERS[1].address)
             )
-            peers = one.select_peers([_FIRST, _SECOND, *_OTHERS[1:]])
-            self.assertTrue(one.is_hub)
-            self.assertIn(_OTHERS[1].address, peers)
+            peers = mode.select_peers([_FIRST, _SECOND, *_SUBSCRIBERS[1:]])
+            self.assertTrue(mode.is_hub)
+            self.assertIn(_SUBSCRIBERS[1].address, peers)
 
         self.run_clocked(scenario)
--- a/tests/zone_fleet.py
+++ b/tests/zone_fleet.py
@@ -1,4 +1,4 @@
-"""Build the daemons of a large fleet that share allowances, without sockets."""
+"""Simulated daemons of a large fleet that share team quota, without sockets."""
 
 from __future__ import annotations
 
@@ -39,24 +39,24 @@
     import random
     from collections.abc import Callable
 
-__all__ = ["Announced", "FleetRecord", "ZoneDaemon"]
+__all__ = ["Announcement", "PlatformState", "ZoneDaemon"]
 
-_PACE = timing.ZONE_INTERVALS
-# As in `quota_client`, by which a real daemon asks.
+_INTERVALS = timing.ZONE_INTERVALS
+# As in `quota_client`, which needs sockets.
 _HEDGE_S = 0.04
-_LONGEST_S = 0.2
-# As in `links`.
-_HURRY_S = 0.04
-_MOST_ASKED = 3
+_REQUEST_TIMEOUT_S = 0.2
+# As in `links`, which needs sockets.
+_MIN_QUOTA_UPDATE_S = 0.04
+_MAX_HUBS = 3
 
 
 @dataclasses.dataclass(frozen=True)
-class Announced:
+class Announcement:
     """An announcement in the log.
 
     Attributes:
-        instance: Who announced itself.
-        is_counted: It says that all others reckon with it.
+        instance: Instance that announced itself.
+        is_counted: All others have reduced their shares for the instance.
     """
 
     instance: str
@@ -64,41 +64,41 @@
 
 
 @dataclasses.dataclass
-class FleetRecord:
-    """What the platform's log holds, and what operators configured.
+class PlatformState:
+    """Content of the platform's log, and the catalog.
 
     Attributes:
-        places: Where each instance is reached.
-        announcements: In their order.
-        records: The catalog, decoded.
+        places: Addresses of the instances, by name.
+        announcements: Announcements in the log, by offset.
+        records: Decoded catalogs.
     """
 
     places: dict[str, topology.PeerAddress]
-    announcements: list[Announced] = dataclasses.field(default_factory=list)
+    announcements: list[Announcement] = dataclasses.field(default_factory=list)
     records: builders.FakeRecords = dataclasses.field(
         default_factory=builders.FakeRecords
     )
 
     def __post_init__(self) -> None:
-        """Have one team in the catalog."""
+        """Put one team into the catalog."""
         self.records.catalogs[b"catalog"] = builders.build_catalog(
             teams=(allowance_fleet.TEAM,)
         )
 
 
 @dataclasses.dataclass
-class _Ask:
-    """A request that waits for a keeper's answer."""
+class _PendingRequest:
+    """A request for quota that waits for a hub's reply."""
 
     units: float
-    asked_at: float
-    keepers: list[str]
+    sent_at: float
+    hubs: list[str]
     number: int
 
 
 @dataclasses.dataclass
-class _Wait:
-    """A request of another daemon that waits for units here."""
+class _WaitingRequest:
+    """A request of another daemon that waits for quota transfers here."""
 
     address: str
     number: int
@@ -107,11 +107,11 @@
     until: float
 
 
-class _Links:
-    """What `QuotaExchange` asks of a daemon's links."""
+class _QuotaLinks:
+    """The methods of `FleetLinks` that `QuotaExchange` uses."""
 
     def is_mesh(self) -> bool:
-        """Tell that the fleet is large."""
+        """Return False, as the fleet is large."""
         return False
 
     def __init__(self, zone: zone_mode.ZoneMode, address: str) -> None:
@@ -120,18 +120,18 @@
 
 
 class ZoneDaemon:
-    """One daemon of a large fleet.
+    """One process of a daemon.
 
     Attributes:
-        instance: Its instance.
-        address: Where others reach it.
+        instance: Name of its instance.
+        address: Address of its fleet link.
     """
 
     def __init__(
         self,
         instance: str,
         process: int,
-        record: FleetRecord,
+        record: PlatformState,
         rng: random.Random,
         send: Callable[[str, str, messages.FleetMessage], None],
     ) -> None:
@@ -143,16 +143,16 @@
         self._record = record
         self._send = send
         self._phase = rng.random()
-        self._number = 0
-        self._end = 0
+        self._last_number = 0
+        self._read_end = 0
         self._has_announced = False
-        self._has_told = False
-        self._told_at = -math.inf
-        self._noted_at = -math.inf
-        self._is_hurried = False
-        self._asks: dict[int, _Ask] = {}
-        self._waits: list[_Wait] = []
-        self._known: dict[str, topology.PeerAddress] = {}
+        self._has_announced_share = False
+        self._digest_sent_at = -math.inf
+        self._update_sent_at = -math.inf
+        self._is_update_urgent = False
+        self._pending_requests: dict[int, _PendingRequest] = {}
+        self._waiting_requests: list[_WaitingRequest] = []
+        self._known_peers: dict[str, topology.PeerAddress] = {}
         self._roster = roster.Roster(instance)
         self._build(place, instance)
 
@@ -172,50 +172,50 @@
         )
         self._view = view.FleetView(instance)
         self._view.is_mesh = False
-        self._zone = zone_mode.ZoneMode(
+        self._zone_mode = zone_mode.ZoneMode(
             place,
             self._view,
             state_copies.FleetState(store, directory, follower, log_contact),
-            _PACE,
+            _INTERVALS,
         )
-        self._rights = refill_shares.RefillShares(
+        self._refill_shares = refill_shares.RefillShares(
             lambda: refill_shares.RateShare(
                 self._roster.find_own_share(), self._roster.share_since
             ),
             allowance_fleet.BOUNDS.window_s,
-            self._zone.find_sole_since,
+            self._zone_mode.find_sole_since,
         )
-        self.units = quota_ledger.create_quota_ledger(
-            allowance_fleet.BOUNDS, self._rights, self._hurry
+        self._ledger = quota_ledger.create_quota_ledger(
+            allowance_fleet.BOUNDS, self._refill_shares, self._notify_soon
         )
-        self.units.refill([allowance_fleet.TEAM])
-        self._news = quota_exchange.QuotaExchange(
+        self._ledger.refill([allowance_fleet.TEAM])
+        self._quota_exchange = quota_exchange.QuotaExchange(
             self._member,
             place.zone,
             store,
-            self.units,
-            gate.create_gate(self.units, allowance_fleet.OwnKeeper()),
+            self._ledger,
+            gate.create_gate(self._ledger, allowance_fleet.OwnKeeper()),
             self._roster,
-            # Only how far it has read the announcements is asked of it.
+            # `QuotaExchange` uses only the property `end` of the follower.
             self,
-            _Links(self._zone, self.address),
+            _QuotaLinks(self._zone_mode, self.address),
         )
-        self._zone.find_members_end = lambda: self._news.find_zone_end(
-            place.zone
+        self._zone_mode.find_members_end = lambda: (
+            self._quota_exchange.find_zone_end(place.zone)
         )
 
     @property
     def end(self) -> int:
-        """Up to where it has read who announced themselves."""
-        return self._end
+        """Offset up to which it has read the announcements."""
+        return self._read_end
 
-    def _hurry(self) -> None:
-        self._is_hurried = True
+    def _notify_soon(self) -> None:
+        self._is_update_urgent = True
 
     def read_log(self) -> None:
-        """Read who is announced, and announce this daemon."""
+        """Read new announcements and announce this daemon."""
         found = self._record.announcements
-        for offset in range(self._end, len(found)):
+        for offset in range(self._read_end, len(found)):
             one = found[offset]
             place = self._record.places[one.instance]
             self._roster.note_listed(
@@ -225,216 +225,245 @@
                 zone=place.zone,
             )
             if one.instance != self.instance:
-                self._known[place.address] = place
-        self._end = len(found)
+                self._known_peers[place.address] = place
+        self._read_end = len(found)
         is_counted = self._roster.counted.is_set()
-        if not self._has_announced or (is_counted and not self._has_told):
+        if not self._has_announced or (
+            is_counted and not self._has_announced_share
+        ):
             self._has_announced = True
-            self._has_told = is_counted
-            found.append(Announced(self.instance, is_counted))
+            self._has_announced_share = is_counted
+            found.append(Announcement(self.instance, is_counted))
 
-    def act(self) -> None:
-        """Do what is due, several times a second."""
+    def run_due_work(self) -> None:
+        """Send the digest, reports and quota update that are due."""
         now = trio.current_time()
-        self._zone.select_peers(self._known.values())
-        if now >= self._told_at + _PACE.digest_s:
-            self._tell_own(now)
-        if self._zone.is_report_due(is_hurried=False):
-            self._report()
-        self._tell_units(now)
-
-    def act_often(self) -> None:
-        """Do what is not to wait for the next look at what is due."""
+        self._zone_mode.select_peers(self._known_peers.values())
+        if now >= self._digest_sent_at + _INTERVALS.digest_s:
+            self._send_digest(now)
+        if self._zone_mode.is_report_due(is_hurried=False):
+            self._send_reports()
+        self._send_quota_update(now)
+
+    def run_urgent_work(self) -> None:
+        """Send an urgent quota update, hedged requests and late replies."""
         now = trio.current_time()
-        if self._is_hurried:
-            self._tell_units(now)
-        self._hedge(now)
-        self._take_waits(now)
-
-    def ask(self, units: float) -> bool:
-        """Ask for units for the team; tell whether they may be spent now."""
-        keepers = self._zone.list_quota_hubs()[:_MOST_ASKED]
-        self._number += 1
-        one = _Ask(units, trio.current_time(), keepers, self._number)
-        if keepers and not self._zone.is_quota_hub():
-            self._asks[one.number] = one
-            self._ask_next(one)
+        if self._is_update_urgent:
+            self._send_quota_update(now)
+        self._send_hedged_requests(now)
+        self._retry_waiting_requests(now)
+
+    def request_units(self, units: float) -> bool:
+        """Request units; return whether they may be spent at once."""
+        hubs = self._zone_mode.list_quota_hubs()[:_MAX_HUBS]
+        self._last_number += 1
+        one = _PendingRequest(
+            units, trio.current_time(), hubs, self._last_number
+        )
+        if hubs and not self._zone_mode.is_quota_hub():
+            self._pending_requests[one.number] = one
+            self._ask_next_hub(one)
             return False
-        one.keepers = []
-        match self.units.try_spend(
+        one.hubs = []
+        match self._ledger.try_spend(
             allowance_fleet.TEAM, terms.AdmissionRequest(units)
         ):
             case terms.Admitted():
                 return True
             case terms.HeldElsewhere(holder=holder) if holder:
-                self._asks[one.number] = one
-                self._ask_at(holder, one, is_redirected=True)
+                self._pending_requests[one.number] = one
+                self._ask_address(holder, one, is_redirected=True)
         return False
 
-    def hear(self, address: str, message: messages.FleetMessage) -> float:
-        """Take a message; return units that it lets a request spend."""
+    def handle_message(
+        self, address: str, message: messages.FleetMessage
+    ) -> float:
+        """Process a message; return the units that it grants in time."""
         match message:
             case messages.DigestMessage(digest=digest):
-                self._hear_digest(digest)
+                self._handle_digest(digest)
             case messages.ZoneExchange():
-                self._zone.apply_exchange(message)
+                self._zone_mode.apply_exchange(message)
             case messages.FleetReport():
-                if self._zone.apply_report(message):
-                    self._hear_zones(message)
+                if self._zone_mode.apply_report(message):
+                    self._apply_zone_read_ends(message)
             case messages.QuotaUpdate():
-                self._news.apply_update(message)
+                self._quota_exchange.apply_update(message)
             case messages.QuotaRequest():
-                self._decide(address, message)
+                self._handle_request(address, message)
             case messages.QuotaReply():
-                return self._hear_reply(message)
+                return self._handle_reply(message)
         return 0.0
 
-    def _hear_digest(self, digest: messages.Digest) -> None:
+    def _handle_digest(self, digest: messages.Digest) -> None:
         if not self._view.apply_digest(digest):
             return
-        self._zone.apply_digest(digest)
+        self._zone_mode.apply_digest(digest)
         if digest.zone != self._place.zone:
             return
         delegation = digest.delegation
-        reported_at = delegation and self._zone.find_report_time(
+        reported_at = delegation and self._zone_mode.find_report_time(
             delegation.heard
         )
-        self._news.apply_subscriber_digest(digest, reported_at)
+        self._quota_exchange.apply_subscriber_digest(digest, reported_at)
 
-    def _hear_zones(self, report: messages.FleetReport) -> None:
+    def _apply_zone_read_ends(self, report: messages.FleetReport) -> None:
         for summary in report.zones:
             self._roster.note_zone_read_end(summary.zone, summary.members_end)
 
-    def _hear_reply(self, reply: messages.QuotaReply) -> float:
-        one = self._asks.get(reply.number)
+    def _handle_reply(self, reply: messages.QuotaReply) -> float:
+        one = self._pending_requests.get(reply.number)
         match reply.verdict:
             case _ if one is None:
                 return 0.0
             case messages.QuotaVerdict.WAITING:
-                one.keepers.clear()
+                one.hubs.clear()
                 return 0.0
             case messages.QuotaVerdict.PASSED:
-                if one.keepers:
-                    self._ask_next(one)
+                if one.hubs:
+                    self._ask_next_hub(one)
                 return 0.0
             case messages.QuotaVerdict.REDIRECTED:
-                one.keepers.clear()
-                self._ask_at(reply.holder, one, is_redirected=True)
+                one.hubs.clear()
+                self._ask_address(reply.holder, one, is_redirected=True)
                 return 0.0
             case messages.QuotaVerdict.REFUSED:
                 return 0.0
-        del self._asks[reply.number]
-        is_late = trio.current_time() - one.asked_at > _LONGEST_S
+        del self._pending_requests[reply.number]
+        is_late = trio.current_time() - one.sent_at > _REQUEST_TIMEOUT_S
         return 0.0 if is_late else one.units
 
-    def _decide(self, address: str, want: messages.QuotaRequest) -> None:
-        wish = terms.AdmissionRequest(want.units, want.reserve, want.is_late)
-        if self._rights.find_usable_share() <= 0:
+    def _handle_request(
+        self, address: str, request: messages.QuotaRequest
+    ) -> None:
+        admission = terms.AdmissionRequest(
+            request.units, request.reserve, request.is_late
+        )
+        if self._refill_shares.find_usable_share() <= 0:
             passed = messages.QuotaVerdict.PASSED
-            self._tell(address, messages.QuotaReply(want.number, passed))
+            self._send_message(
+                address, messages.QuotaReply(request.number, passed)
+            )
             return
-        is_again = want.is_redirected
-        match self.units.try_spend(
-            allowance_fleet.TEAM, wish, is_again=is_again
+        is_again = request.is_redirected
+        match self._ledger.try_spend(
+            allowance_fleet.TEAM, admission, is_again=is_again
         ):
             case terms.Admitted():
-                self._reply(address, want.number, 0.0)
-            case terms.HeldElsewhere() if want.is_redirected:
-                self._reply(address, want.number, 0.5)
+                self._reply(address, request.number, 0.0)
+            case terms.HeldElsewhere() if request.is_redirected:
+                self._reply(address, request.number, 0.5)
             case terms.HeldElsewhere(holder=holder) if holder:
                 redirected = messages.QuotaVerdict.REDIRECTED
-                self._tell(
+                self._send_message(
                     address,
-                    messages.QuotaReply(want.number, redirected, holder=holder),
+                    messages.QuotaReply(
+                        request.number, redirected, holder=holder
+                    ),
                 )
             case terms.HeldElsewhere(missing=missing):
                 waiting = messages.QuotaVerdict.WAITING
-                self._tell(address, messages.QuotaReply(want.number, waiting))
-                self.units.note_shortage(allowance_fleet.TEAM, missing)
+                self._send_message(
+                    address, messages.QuotaReply(request.number, waiting)
+                )
+                self._ledger.note_shortage(allowance_fleet.TEAM, missing)
                 until = trio.current_time() + quota_client.HUB_WAIT_S
-                self._waits.append(
-                    _Wait(address, want.number, want.units, missing, until)
+                self._waiting_requests.append(
+                    _WaitingRequest(
+                        address, request.number, request.units, missing, until
+                    )
                 )
             case _:
-                self._reply(address, want.number, 0.5)
+                self._reply(address, request.number, 0.5)
 
-    def _tell_units(self, now: float) -> None:
-        due_s = _HURRY_S if self._is_hurried else _PACE.quota_update_s
-        if now < self._noted_at + due_s or not self._zone.is_quota_hub():
+    def _send_quota_update(self, now: float) -> None:
+        due_s = (
+            _MIN_QUOTA_UPDATE_S
+            if self._is_update_urgent
+            else _INTERVALS.quota_update_s
+        )
+        if (
+            now < self._update_sent_at + due_s
+            or not self._zone_mode.is_quota_hub()
+        ):
             return
-        self._noted_at = now
-        self._is_hurried = False
-        note = self._news.create_update()
-        for address in self._zone.list_other_quota_hubs():
-            self._tell(address, note)
-
-    def _take_waits(self, now: float) -> None:
-        for one in list(self._waits):
-            verdict = self.units.try_spend(
+        self._update_sent_at = now
+        self._is_update_urgent = False
+        quota_update = self._quota_exchange.create_update()
+        for address in self._zone_mode.list_other_quota_hubs():
+            self._send_message(address, quota_update)
+
+    def _retry_waiting_requests(self, now: float) -> None:
+        for one in list(self._waiting_requests):
+            verdict = self._ledger.try_spend(
                 allowance_fleet.TEAM,
                 terms.AdmissionRequest(one.units),
                 is_again=True,
             )
             is_admitted = isinstance(verdict, terms.Admitted)
             if is_admitted or now >= one.until:
-                self.units.note_shortage(allowance_fleet.TEAM, -one.missing)
-                self._waits.remove(one)
+                self._ledger.note_shortage(allowance_fleet.TEAM, -one.missing)
+                self._waiting_requests.remove(one)
                 self._reply(one.address, one.number, 0.0 if is_admitted else 1)
 
-    def _hedge(self, now: float) -> None:
-        for one in list(self._asks.values()):
-            if now - one.asked_at > _LONGEST_S:
-                del self._asks[one.number]
-            elif one.keepers and now - one.asked_at >= _HEDGE_S:
-                self._ask_next(one)
+    def _send_hedged_requests(self, now: float) -> None:
+        for one in list(self._pending_requests.values()):
+            if now - one.sent_at > _REQUEST_TIMEOUT_S:
+                del self._pending_requests[one.number]
+            elif one.hubs and now - one.sent_at >= _HEDGE_S:
+                self._ask_next_hub(one)
 
-    def _ask_next(self, one: _Ask) -> None:
-        self._ask_at(one.keepers.pop(0), one)
+    def _ask_next_hub(self, one: _PendingRequest) -> None:
+        self._ask_address(one.hubs.pop(0), one)
 
-    def _ask_at(
-        self, address: str, one: _Ask, *, is_redirected: bool = False
+    def _ask_address(
+        self, address: str, one: _PendingRequest, *, is_redirected: bool = False
     ) -> None:
         team = allowance_fleet.TEAM.name
-        want = messages.QuotaRequest(
+        request = messages.QuotaRequest(
             one.number, team, one.units, 0, False, is_redirected
         )
-        self._tell(address, want)
+        self._send_message(address, request)
 
     def _reply(self, address: str, number: int, retry_s: float) -> None:
         verdict = messages.QuotaVerdict.GRANTED
         if retry_s > 0:
             verdict = messages.QuotaVerdict.REFUSED
         reply = messages.QuotaReply(number, verdict, retry_s)
-        self._tell(address, reply)
+        self._send_message(address, reply)
 
-    def _tell_own(self, now: float) -> None:
-        self._told_at = now if self._number else now - self._phase * 0.5
-        self._number += 1
-        members_end = self._news.find_members_end()
+    def _send_digest(self, now: float) -> None:
+        self._digest_sent_at = (
+            now if self._last_number else now - self._phase * 0.5
+        )
+        self._last_number += 1
+        members_end = self._quota_exchange.find_members_end()
         digest = builders.build_digest(
             member=self._member,
             instance=self.instance,
             zone=self._place.zone,
             address=self.address,
-            number=self._number,
+            number=self._last_number,
             capacity=self._place.capacity,
-            delegation=self._news.create_delegation(),
+            delegation=self._quota_exchange.create_delegation(),
             members_end=members_end,
         )
-        self._zone.set_own_digest(digest)
-        for one in self._zone.create_digest_messages(digest):
-            self._tell(one.address, messages.decode_message(one.raw))
-            self._zone.note_sent(one.address)
-
-    def _report(self) -> None:
-        for one in self._zone.create_exchanges():
-            self._tell(one.address, messages.decode_message(one.raw))
-            self._zone.note_sent(one.address)
-        own, reports = self._zone.create_reports()
-        if self._zone.apply_report(own):
-            self._hear_zones(own)
+        self._zone_mode.set_own_digest(digest)
+        for one in self._zone_mode.create_digest_messages(digest):
+            self._send_message(one.address, messages.decode_message(one.raw))
+            self._zone_mode.note_sent(one.address)
+
+    def _send_reports(self) -> None:
+        for one in self._zone_mode.create_exchanges():
+            self._send_message(one.address, messages.decode_message(one.raw))
+            self._zone_mode.note_sent(one.address)
+        own, reports = self._zone_mode.create_reports()
+        if self._zone_mode.apply_report(own):
+            self._apply_zone_read_ends(own)
         for one in reports:
-            self._tell(one.address, messages.decode_message(one.raw))
+            self._send_message(one.address, messages.decode_message(one.raw))
 
-    def _tell(self, address: str, message: messages.FleetMessage) -> None:
+    def _send_message(
+        self, address: str, message: messages.FleetMessage
+    ) -> None:
         self._send(self.address, address, message)
