--- a/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
@@ -305,8 +305,8 @@
         Hubs of other zones come last, for when this zone's quota is spent or
         its hubs do not answer.
         """
-        keeper = self.find_quota_hub()
-        own = [keeper.address] if keeper is not None else []
+        quota_hub = self.find_quota_hub()
+        own = [quota_hub.address] if quota_hub is not None else []
         own += [a for a in self._own_hubs if a not in own]
         key = self._own_address.address
         foreign = [
@@ -369,12 +369,14 @@
     def _list_foreign_hubs(
         self, by_zone: dict[str, list[topology.PeerAddress]], now: float
     ) -> Iterator[str]:
-        """Return other zones' hubs, elected here or heard from as hubs."""
-        heard = set(self._election.list_reporting(now))
+        """Return other zones' hubs, elected here or recently reporting."""
+        reporting = set(self._election.list_reporting(now))
         for peers in by_zone.values():
             chosen = self._election.elect_hubs(peers, now)
             yield from chosen
-            yield from heard.intersection(p.address for p in peers) - {*chosen}
+            yield from reporting.intersection(p.address for p in peers) - {
+                *chosen
+            }
 
     def _create_hub_state(self) -> hub.HubState:
         state = self._state
--- a/packages/daemon/src/martenquay_daemon/membership/__init__.py
+++ b/packages/daemon/src/martenquay_daemon/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Detect failed daemons by heartbeats and spread which runners are leaving."""
+"""Detect failed daemons by heartbeats and gossip which runners are leaving."""
