--- a/bench/capacity/control_slopes.py
+++ b/bench/capacity/control_slopes.py
@@ -47,11 +47,11 @@
     members = _build_members(50)
 
     def run() -> None:
-        members.changes_since(members.version, 500)
+        members.list_changes_since(members.version, 500)
         raw = messages.encode_message(beat)
         received = messages.decode_message(raw)
         members.note_applied(received.member, received.applied)
-        members.judge_sender(received.member)
+        members.list_reports_to_refute(received.member)
         answer = messages.decode_message(messages.encode_message(reply))
         members.note_applied(answer.member, answer.applied)
 
@@ -77,7 +77,7 @@
 
     def run() -> None:
         members.merge(_build_update(7, incarnation=next(numbers)))
-        members.changes_since(members.version - 1, 500)
+        members.list_changes_since(members.version - 1, 500)
 
     wire = len(
         messages.encode_message(
--- a/packages/daemon/src/martenquay_daemon/fleet/hub.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/hub.py
@@ -1,4 +1,4 @@
-"""Report, as a hub, to the daemons of its zone and to the other zones' hubs."""
+"""Aggregate a zone's digests at its hub and create the hub's messages."""
 
 from __future__ import annotations
 
@@ -12,24 +12,26 @@
 if TYPE_CHECKING:
     from martenquay_daemon.fleet import zones
 
-__all__ = ["HubFacts", "ZoneHub"]
+__all__ = ["HubState", "ZoneHub"]
 
-# A daemon that has not told anything for so long is not reported to.
-_SUBSCRIBED_S = 3.0
+# Reports to a daemon end when its digests have not come for this long.
+_SUBSCRIPTION_TIMEOUT_S = 3.0
 
 
 @dataclasses.dataclass(frozen=True)
-class HubFacts:
-    """What a hub tells beside the sums over its zone.
+class HubState:
+    """State of a hub itself, sent beside the sums over its zone.
 
     Attributes:
-        catalog_version: The version in force here.
-        runners_changed: Up to where the runners' entries are known here.
-        runners_age_ms: Since all of them were known here.
-        log_age_ms: Since the log last answered.
-        members_end: Up to where all of the zone's listed daemons have read
-            who announced themselves.
-        runner_reports: What is known here of what runners say of themselves.
+        catalog_version: Version of the catalog in force at the hub.
+        runners_changed: Offset up to which the hub has applied changed runner
+            entries.
+        runners_age_ms: Time since the hub's runner entries were known to be
+            complete.
+        log_age_ms: Time since the log last answered the hub.
+        members_end: Offset up to which all listed daemons of the zone have
+            read the announcements.
+        runner_reports: Limits and drains of runners known to the hub.
     """
 
     catalog_version: int
@@ -47,141 +49,146 @@
 
 
 class ZoneHub:
-    """What this daemon knows and tells if it is a hub."""
+    """Aggregates the digests of a zone and creates exchanges and reports."""
 
-    def __init__(self, table: zones.ZoneTable) -> None:
-        self._table = table
-        self._sum = zone_aggregator.ZoneAggregator()
+    def __init__(self, known_zones: zones.ZoneTable) -> None:
+        self._zones = known_zones
+        self._aggregator = zone_aggregator.ZoneAggregator()
         self._subscribers: dict[str, _Subscriber] = {}
-        self._own: messages.Digest | None = None
-        self._number = 0
-        self._rounds = 0
+        self._own_digest: messages.Digest | None = None
+        self._summary_number = 0
+        self._report_round = 0
 
-    def take(self, digest: messages.Digest, now: float) -> bool:
-        """Take a digest of a daemon of this zone; tell whether it is news."""
-        if not self._sum.take(digest, now):
+    def apply_digest(self, digest: messages.Digest, now: float) -> bool:
+        """Apply a digest from this zone; return whether it is newer."""
+        if not self._aggregator.apply_digest(digest, now):
             return False
         self._subscribers[digest.address] = _Subscriber(digest, now)
         return True
 
     def set_own_digest(self, digest: messages.Digest, now: float) -> None:
-        """Take this daemon's own digest."""
-        self._own = digest
-        self._sum.take(digest, now)
+        """Set this daemon's newest digest."""
+        self._own_digest = digest
+        self._aggregator.apply_digest(digest, now)
 
     def list_subscribers(self, now: float) -> dict[str, messages.Digest]:
-        """Return the newest digests of those to report to, by address."""
-        oldest = now - _SUBSCRIBED_S
+        """Return the newest digests of the daemons to report to, by address."""
+        oldest = now - _SUBSCRIPTION_TIMEOUT_S
         return {
-            address: one.digest
-            for address, one in self._subscribers.items()
-            if one.heard_at >= oldest
+            address: subscriber.digest
+            for address, subscriber in self._subscribers.items()
+            if subscriber.heard_at >= oldest
         }
 
-    def forget_old(self, now: float) -> None:
-        """Drop daemons that are long gone."""
-        self._sum.forget_old(now)
+    def drop_expired(self, now: float) -> None:
+        """Drop daemons whose last digest is too old."""
+        self._aggregator.drop_expired(now)
         kept = self.list_subscribers(now)
         for address in set(self._subscribers) - set(kept):
             del self._subscribers[address]
 
     def create_exchange(
-        self, facts: HubFacts, now: float, silent_s: float
+        self, hub_state: HubState, now: float, silent_s: float
     ) -> messages.ZoneExchange:
-        """Return what to tell the hubs of other zones."""
-        part = self._sum.add_up(now, silent_s)
+        """Return the message for the hubs of other zones."""
+        totals = self._aggregator.sum_digests(now, silent_s)
         return messages.ZoneExchange(
-            self._summarize(part, facts), part.loads, facts.runner_reports
+            self._summarize(totals, hub_state),
+            totals.loads,
+            hub_state.runner_reports,
         )
 
     def create_reports(
-        self, facts: HubFacts, now: float, silent_s: float
+        self, hub_state: HubState, now: float, silent_s: float
     ) -> dict[str, messages.FleetReport]:
-        """Return what to tell each subscriber, by address, and itself."""
-        assert self._own is not None, "its own digest comes first"
-        total = self._sum.add_up(now, silent_s)
+        """Return the reports to the subscribers and to itself, by address."""
+        assert self._own_digest is not None, "set_own_digest was not called"
+        total = self._aggregator.sum_digests(now, silent_s)
         others = [
             known
-            for known in self._table.list_active()
-            if known.summary.zone != self._own.zone
+            for known in self._zones.list_active()
+            if known.summary.zone != self._own_digest.zone
         ]
         receivers = self.list_subscribers(now)
-        receivers[self._own.address] = self._own
-        self._rounds += 1
+        receivers[self._own_digest.address] = self._own_digest
+        self._report_round += 1
         reports = {}
         for address, digest in receivers.items():
-            part = self._sum.leave_out(total, digest.member, now, silent_s)
-            # Duties are candidates' work, and those are hubs.
-            is_full = digest.lease is not None or digest is self._own
+            totals = self._aggregator.exclude_member(
+                total, digest.member, now, silent_s
+            )
+            # Only the holder of the duties' lease needs all fields; this hub
+            # may acquire the lease at any time.
+            is_full = digest.lease is not None or digest is self._own_digest
             reports[address] = self._create_report(
-                part, others, facts, digest.number, is_full=is_full
+                totals, others, hub_state, digest.number, is_full=is_full
             )
         return reports
 
     def _create_report(
         self,
-        part: zone_aggregator.ZoneTotals,
+        totals: zone_aggregator.ZoneTotals,
         others: list[zones.KnownSummary],
-        facts: HubFacts,
-        heard: int,
+        hub_state: HubState,
+        digest_number: int,
         *,
         is_full: bool,
     ) -> messages.FleetReport:
-        assert self._own is not None, "its own digest comes first"
-        summaries = [self._summarize(part, facts)]
+        assert self._own_digest is not None, "set_own_digest was not called"
+        summaries = [self._summarize(totals, hub_state)]
         summaries += [known.summary for known in others]
-        loads = dict(part.loads)
-        reading = dict(part.reading)
+        loads = dict(totals.loads)
+        prefill = dict(totals.reading)
         for known in others:
             zone_aggregator.add_loads(loads, known.loads, 1)
-            zone_aggregator.add_reading(reading, known.summary.reading, 1)
+            zone_aggregator.add_reading(prefill, known.summary.reading, 1)
         if not is_full:
-            summaries = [_shorten(summary) for summary in summaries]
+            summaries = [_strip_duty_fields(summary) for summary in summaries]
         return messages.FleetReport(
-            self._own.member,
+            self._own_digest.member,
             summaries,
             loads,
-            heard,
-            self._rounds,
-            reading,
-            self._own.orders,
-            facts.runner_reports,
+            digest_number,
+            self._report_round,
+            prefill,
+            self._own_digest.orders,
+            hub_state.runner_reports,
         )
 
     def _summarize(
-        self, part: zone_aggregator.ZoneTotals, facts: HubFacts
+        self, totals: zone_aggregator.ZoneTotals, hub_state: HubState
     ) -> messages.ZoneSummary:
-        own = self._own
-        assert own is not None, "its own digest comes first"
-        self._number += 1
+        own = self._own_digest
+        assert own is not None, "set_own_digest was not called"
+        self._summary_number += 1
         return messages.ZoneSummary(
             zone=own.zone,
             hub=own.member,
             instance=own.instance,
             address=own.address,
-            number=self._number,
-            daemons=part.daemons,
-            catalog_version=facts.catalog_version,
-            runners_changed=facts.runners_changed,
-            runners_age_ms=facts.runners_age_ms,
-            log_age_ms=facts.log_age_ms,
-            lease=part.lease,
-            lease_member=part.lease_member,
-            leaving=part.leaving,
-            window=own.window if part.window is None else part.window,
-            members_end=facts.members_end,
-            begun=part.begun,
-            demand=part.demand,
-            reading=part.reading,
-            trials=trial_entries.encode_trials(part.trials),
+            number=self._summary_number,
+            daemons=totals.daemons,
+            catalog_version=hub_state.catalog_version,
+            runners_changed=hub_state.runners_changed,
+            runners_age_ms=hub_state.runners_age_ms,
+            log_age_ms=hub_state.log_age_ms,
+            lease=totals.lease,
+            lease_member=totals.lease_member,
+            leaving=totals.leaving,
+            window=own.window if totals.window is None else totals.window,
+            members_end=hub_state.members_end,
+            begun=totals.begun,
+            demand=totals.demand,
+            reading=totals.reading,
+            trials=trial_entries.encode_trials(totals.trials),
         )
 
 
-def _shorten(summary: messages.ZoneSummary) -> messages.ZoneSummary:
-    """Return a summary without what only holders of duties need.
+def _strip_duty_fields(summary: messages.ZoneSummary) -> messages.ZoneSummary:
+    """Return a summary without the fields that the duties alone need.
 
-    How fast engines read is told once, for all zones together. Who takes the
-    duties over knows by the window that the zone's usage is still to be told.
+    Prefill sums are reported once, for all zones together. `NO_WINDOW` keeps a
+    new holder of the lease from closing a window whose counts were left out.
     """
     return msgspec.structs.replace(
         summary,
--- a/packages/daemon/src/martenquay_daemon/fleet/topology.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/topology.py
@@ -1,9 +1,8 @@
-"""Choose which daemons of a fleet talk to each other.
+"""Elect the hubs through which the daemons of a large fleet gossip.
 
-A small fleet is a full mesh. In a large one a few daemons of each zone are
-its hubs: the others tell them of themselves and hear of the fleet from them,
-and the hubs of all zones tell each other. So the messages of a daemon do not
-grow with the fleet.
+A small fleet is a full mesh. In a large one, daemons send digests to the hubs
+of their zone and receive reports on the fleet, and the hubs of all zones
+exchange summaries. So a daemon's traffic does not grow with the fleet.
 """
 
 from __future__ import annotations
@@ -16,28 +15,28 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-__all__ = ["FULL_MESH", "HubBoard", "PeerAddress"]
+__all__ = ["MAX_MESH_PEERS", "HubElection", "PeerAddress"]
 
-# Up to so many other daemons, each is linked to all.
-FULL_MESH = 12
-# One may be lost or cut off without anybody waiting for a successor.
-_HUBS = 2
-# A hub reports several times a second; one that was told something and does
-# not report for so long is passed over.
-_PATIENCE_S = 2.0
-# Then it is tried again.
-_PASSED_OVER_S = 5.0
-_KEY = "hub"
+# Above this number of other daemons, the fleet gossips through hubs.
+MAX_MESH_PEERS = 12
+# With two, the loss of one leaves no daemon without reports until the next
+# election.
+_HUBS_PER_ZONE = 2
+# A hub that was sent messages and does not report for this long is not elected.
+_REPORT_TIMEOUT_S = 2.0
+# Time after which messages are sent to it again, beside the elected hubs.
+_RETRY_AFTER_S = 5.0
+_HASH_KEY = "hub"
 
 
 @dataclasses.dataclass(frozen=True)
 class PeerAddress:
-    """Where another daemon is.
+    """Address of a daemon and what its election as a hub depends on.
 
     Attributes:
-        address: Its fleet link.
-        zone: Its availability zone; empty if not known.
-        capacity: Of its instance's link, in Mbit/s; 0 if not known.
+        address: Address of its fleet link.
+        zone: Its availability zone; empty if unknown.
+        capacity: Bandwidth of its instance's link in Mbit/s; 0 if unknown.
     """
 
     address: str
@@ -45,69 +44,73 @@
     capacity: float = 0.0
 
 
-class HubBoard:
-    """Which daemons are hubs, as far as this one can tell."""
+class HubElection:
+    """Elects hubs by link bandwidth, without those that do not report.
+
+    Attributes:
+        own_address: Address of this daemon's fleet link.
+    """
 
     def __init__(self, own_address: str) -> None:
         self.own_address = own_address
-        self._asked_at: dict[str, float] = {}
+        self._awaiting_since: dict[str, float] = {}
         self._heard_at: dict[str, float] = {}
-        self._passed_over: dict[str, float] = {}
+        self._retry_at: dict[str, float] = {}
 
-    def choose(self, peers: Iterable[PeerAddress], now: float) -> list[str]:
-        """Return the addresses of one zone's hubs, the first choice first.
+    def elect_hubs(self, peers: Iterable[PeerAddress], now: float) -> list[str]:
+        """Return the addresses of one zone's hubs, by preference.
 
-        One that was passed over is told things again after a while, beside
-        the others: it may be gone for good.
+        A hub that did not report is added again after a while, but does not
+        count towards the number of hubs: it may be gone for good.
 
         Args:
             peers: The zone's daemons.
             now: In trio's time.
         """
         chosen: list[str] = []
-        trusted = 0
-        for peer in sorted(peers, key=_rank):
-            if trusted == _HUBS:
+        reporting = 0
+        for peer in sorted(peers, key=_sort_key):
+            if reporting == _HUBS_PER_ZONE:
                 break
-            self._check_answer(peer.address, now)
-            if peer.address not in self._passed_over:
-                trusted += 1
+            self._check_report(peer.address, now)
+            if peer.address not in self._retry_at:
+                reporting += 1
                 chosen.append(peer.address)
-            elif now >= self._passed_over[peer.address]:
+            elif now >= self._retry_at[peer.address]:
                 chosen.append(peer.address)
         return chosen
 
-    def is_first(self, chosen: list[str]) -> bool:
-        """Tell whether this daemon is the first of the hubs that answer."""
-        answering = [a for a in chosen if a not in self._passed_over]
+    def is_first_hub(self, chosen: list[str]) -> bool:
+        """Return whether this daemon is the first of the hubs that report."""
+        answering = [a for a in chosen if a not in self._retry_at]
         return bool(answering) and answering[0] == self.own_address
 
-    def note_asked(self, address: str, now: float) -> None:
-        """Note that a hub was told something and should report."""
-        self._asked_at.setdefault(address, now)
+    def note_message_sent(self, address: str, now: float) -> None:
+        """Note that a message was sent to a hub, which should report."""
+        self._awaiting_since.setdefault(address, now)
 
-    def note_heard(self, address: str, now: float) -> None:
+    def note_report(self, address: str, now: float) -> None:
         """Note that a hub reported."""
         self._heard_at[address] = now
-        self._asked_at[address] = now
-        self._passed_over.pop(address, None)
+        self._awaiting_since[address] = now
+        self._retry_at.pop(address, None)
 
-    def list_heard(self, now: float) -> list[str]:
-        """Return the hubs that reported lately."""
-        oldest = now - _PATIENCE_S
+    def list_reporting(self, now: float) -> list[str]:
+        """Return the addresses of the hubs that reported recently."""
+        oldest = now - _REPORT_TIMEOUT_S
         return [
             a for a, heard_at in self._heard_at.items() if heard_at > oldest
         ]
 
-    def _check_answer(self, address: str, now: float) -> None:
-        """Pass a hub over that was told something and has not reported."""
-        asked_at = self._asked_at.get(address)
-        if address == self.own_address or asked_at is None:
+    def _check_report(self, address: str, now: float) -> None:
+        """Exclude a hub from elections if it has not reported in time."""
+        awaiting_since = self._awaiting_since.get(address)
+        if address == self.own_address or awaiting_since is None:
             return
-        if now - asked_at >= _PATIENCE_S:
-            self._passed_over[address] = now + _PASSED_OVER_S
-            del self._asked_at[address]
+        if now - awaiting_since >= _REPORT_TIMEOUT_S:
+            self._retry_at[address] = now + _RETRY_AFTER_S
+            del self._awaiting_since[address]
 
 
-def _rank(peer: PeerAddress) -> tuple[float, int]:
-    return -peer.capacity, rendezvous.score_candidate(_KEY, peer.address)
+def _sort_key(peer: PeerAddress) -> tuple[float, int]:
+    return -peer.capacity, rendezvous.score_candidate(_HASH_KEY, peer.address)
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_aggregator.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_aggregator.py
@@ -1,4 +1,4 @@
-"""Add up, at a hub, what the daemons of its zone tell."""
+"""Sum the digests of a zone's daemons at its hub."""
 
 from __future__ import annotations
 
@@ -15,8 +15,9 @@
 
 __all__ = ["ZoneTotals", "ZoneAggregator", "add_loads", "add_reading"]
 
-# Usage counts of a daemon that ended are kept until they are reported.
-_KEEP_COUNTS_S = 40.0
+# Request counts of a daemon that ended are lost if its digest is dropped before
+# its last usage window is reported.
+_FORGET_AFTER_S = 40.0
 _MS = 1000
 
 
@@ -25,16 +26,17 @@
     """Sums over daemons of a zone.
 
     Attributes:
-        daemons: How many are heard.
-        window: The earliest usage window that is now for one of them.
-        leaving: Members that are stopping.
-        lease: What the lease's holder tells, if it is one of them.
-        lease_member: That holder.
-        loads: What they have at runners, by runner id.
-        begun: Requests begun, by window and team.
-        demand: Prompt tokens a second, by service.
-        reading: What their results say of engines, by service.
-        trials: What versions on trial answered, by service.
+        daemons: Number of daemons that are not silent.
+        window: Earliest current usage window of the daemons; None if there is
+            no daemon.
+        leaving: Member ids of the daemons that are shutting down.
+        lease: State of the duties' lease, if one of the daemons holds it.
+        lease_member: Member id of the lease's holder.
+        loads: Load at runners, by runner id.
+        begun: Requests started, by usage window and team.
+        demand: Prompt tokens a second sent for prefill, by service.
+        reading: Prefill sums, by service.
+        trials: Canary results, by service.
     """
 
     daemons: int = 0
@@ -61,13 +63,13 @@
 
 
 class ZoneAggregator:
-    """The newest digests of a zone's daemons and their sums."""
+    """Holds the newest digest of each daemon of a zone and sums them."""
 
     def __init__(self) -> None:
         self._members: dict[str, _Member] = {}
 
-    def take(self, digest: messages.Digest, now: float) -> bool:
-        """Take a daemon's digest; tell whether it is news."""
+    def apply_digest(self, digest: messages.Digest, now: float) -> bool:
+        """Apply a daemon's digest; return whether it is newer."""
         known = self._members.get(digest.member)
         if known is not None and digest.number <= known.digest.number:
             return False
@@ -81,66 +83,76 @@
             known.heard_at = now
         return True
 
-    def forget_old(self, now: float) -> None:
-        """Drop daemons that are long gone."""
+    def drop_expired(self, now: float) -> None:
+        """Drop daemons whose last digest is too old."""
         for member, known in list(self._members.items()):
-            if now - known.heard_at > _KEEP_COUNTS_S:
+            if now - known.heard_at > _FORGET_AFTER_S:
                 del self._members[member]
 
     def list_fresh(self, now: float, silent_s: float) -> list[messages.Digest]:
-        """Return the digests of the daemons that are heard."""
+        """Return the digests of the daemons that are not silent."""
         return [known.digest for known in self._list_heard(now, silent_s)]
 
-    def add_up(self, now: float, silent_s: float) -> ZoneTotals:
-        """Return the sums over all daemons."""
+    def sum_digests(self, now: float, silent_s: float) -> ZoneTotals:
+        """Return the sums over all daemons.
+
+        Request counts include silent and replaced daemons, whose requests were
+        started all the same.
+
+        Args:
+            now: In trio's time.
+            silent_s: Time without digests after which a daemon is silent.
+        """
         heard = list(self._list_heard(now, silent_s))
-        part = ZoneTotals(daemons=len(heard))
+        totals = ZoneTotals(daemons=len(heard))
         for known in self._members.values():
             for window, teams in known.digest.begun.items():
-                _add(part.begun.setdefault(window, {}), teams, 1)
+                _add_amounts(totals.begun.setdefault(window, {}), teams, 1)
         for known in heard:
             digest = known.digest
-            add_loads(part.loads, digest.loads, 1)
-            _add(part.demand, digest.demand, 1)
-            add_reading(part.reading, digest.reading, 1)
+            add_loads(totals.loads, digest.loads, 1)
+            _add_amounts(totals.demand, digest.demand, 1)
+            add_reading(totals.reading, digest.reading, 1)
             if digest.is_leaving:
-                part.leaving.append(digest.member)
+                totals.leaving.append(digest.member)
             if digest.lease is not None:
-                part.lease = _age(digest.lease, now - known.heard_at)
-                part.lease_member = digest.member
-        part.window = self._find_window("")
-        part.trials = _add_trials(heard)
-        return part
-
-    def leave_out(
+                totals.lease = _reduce_validity(
+                    digest.lease, now - known.heard_at
+                )
+                totals.lease_member = digest.member
+        totals.window = self._find_earliest_window("")
+        totals.trials = _add_trials(heard)
+        return totals
+
+    def exclude_member(
         self, total: ZoneTotals, member: str, now: float, silent_s: float
     ) -> ZoneTotals:
-        """Return sums without one daemon's part."""
+        """Return the sums over all daemons but one, from the total."""
         known = self._members.get(member)
         if known is None:
             return total
         is_heard = now - known.heard_at <= silent_s and not known.is_replaced
-        part = dataclasses.replace(
+        totals = dataclasses.replace(
             total,
             daemons=total.daemons - is_heard,
-            window=self._find_window(member),
+            window=self._find_earliest_window(member),
             begun={w: dict(teams) for w, teams in total.begun.items()},
         )
         for window, teams in known.digest.begun.items():
-            _add(part.begun[window], teams, -1)
+            _add_amounts(totals.begun[window], teams, -1)
         if is_heard:
-            part.loads = dict(total.loads)
-            part.demand = dict(total.demand)
-            part.reading = dict(total.reading)
-            add_loads(part.loads, known.digest.loads, -1)
-            _add(part.demand, known.digest.demand, -1)
-            add_reading(part.reading, known.digest.reading, -1)
-            part.trials = _add_trials(
+            totals.loads = dict(total.loads)
+            totals.demand = dict(total.demand)
+            totals.reading = dict(total.reading)
+            add_loads(totals.loads, known.digest.loads, -1)
+            _add_amounts(totals.demand, known.digest.demand, -1)
+            add_reading(totals.reading, known.digest.reading, -1)
+            totals.trials = _add_trials(
                 other
                 for other in self._list_heard(now, silent_s)
                 if other is not known
             )
-        return part
+        return totals
 
     def _list_heard(self, now: float, silent_s: float) -> Iterable[_Member]:
         return (
@@ -149,7 +161,7 @@
             if not known.is_replaced and now - known.heard_at <= silent_s
         )
 
-    def _find_window(self, excluded: str) -> int | None:
+    def _find_earliest_window(self, excluded: str) -> int | None:
         return min(
             (
                 known.digest.window
@@ -162,7 +174,7 @@
         )
 
 
-def _add(
+def _add_amounts(
     total: dict[str, float] | dict[str, int],
     amounts: Mapping[str, float] | Mapping[str, int],
     sign: int,
@@ -176,11 +188,11 @@
     loads: Mapping[str, messages.LoadEntry],
     sign: int,
 ) -> None:
-    """Add loads to a sum, or take them away with a sign of -1."""
-    for runner_id, line in loads.items():
+    """Add loads to a total, or subtract them with a sign of -1."""
+    for runner_id, entry in loads.items():
         known = total.get(runner_id)
-        requests = sign * line.requests + (known.requests if known else 0)
-        unread = sign * line.unread_tokens
+        requests = sign * entry.requests + (known.requests if known else 0)
+        unread = sign * entry.unread_tokens
         unread += known.unread_tokens if known else 0
         if requests <= 0 and unread <= 0:
             total.pop(runner_id, None)
@@ -193,13 +205,13 @@
     reading: Mapping[str, messages.PrefillEntry],
     sign: int,
 ) -> None:
-    """Add what results say to a sum, or take it away with a sign of -1."""
-    for service, line in reading.items():
+    """Add prefill sums to a total, or subtract them with a sign of -1."""
+    for service, entry in reading.items():
         known = total.get(service, messages.PrefillEntry(0, 0, 0))
         total[service] = messages.PrefillEntry(
-            known.results + sign * line.results,
-            known.spread + sign * line.spread,
-            known.slowing_ms + sign * line.slowing_ms,
+            known.results + sign * entry.results,
+            known.spread + sign * entry.spread,
+            known.slowing_ms + sign * entry.slowing_ms,
         )
 
 
@@ -209,10 +221,10 @@
     )
 
 
-def _age(
-    news: messages.LeaseStatus, age_s: float
+def _reduce_validity(
+    status: messages.LeaseStatus, age_s: float
 ) -> messages.LeaseStatus | None:
-    left_ms = news.left_ms - int(age_s * _MS)
+    left_ms = status.left_ms - int(age_s * _MS)
     if left_ms <= 0:
         return None
-    return messages.LeaseStatus(news.fence, news.end, left_ms)
+    return messages.LeaseStatus(status.fence, status.end, left_ms)
