--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -119,15 +119,15 @@
     Mutation(
         "lapsed entries may come back",
         f"{DAEMON}/discovery/runner_directory.py",
-        "_RETURN_S = 2.2",
-        "_RETURN_S = 0.0",
+        "_REREGISTRATION_GRACE_S = 2.2",
+        "_REREGISTRATION_GRACE_S = 0.0",
         "tests.test_discovery.test_runner_directory",
     ),
     Mutation(
         "a lost call is no outage",
         f"{DAEMON}/discovery/contact.py",
-        "_OUTAGE_S = 2.0",
-        "_OUTAGE_S = 0.0",
+        "_MIN_OUTAGE_S = 2.0",
+        "_MIN_OUTAGE_S = 0.0",
         "tests.test_discovery.test_runner_directory",
     ),
     Mutation(
--- a/packages/daemon/src/martenquay_daemon/configuration/changes.py
+++ b/packages/daemon/src/martenquay_daemon/configuration/changes.py
@@ -19,12 +19,12 @@
     from martenquay_daemon.configuration import store
     from martenquay_daemon.membership import links, table
 
-__all__ = ["ChangeDesk", "Spread"]
+__all__ = ["ChangeDesk", "PropagationStatus"]
 
 _LOG = logs.create_log("configuration")
-_READ_BACK_S = 5.0
+_VERDICT_TIMEOUT_S = 5.0
 
-_CODES = {
+_CODES_BY_VERDICT = {
     fold.Verdict.CONFLICT: results.ResultCode.CONFLICT,
     fold.Verdict.FORBIDDEN: results.ResultCode.FORBIDDEN,
     fold.Verdict.INVALID: results.ResultCode.INVALID_VALUE,
@@ -32,7 +32,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Spread:
+class PropagationStatus:
     """Where a change is in force.
 
     Attributes:
@@ -59,7 +59,7 @@
         members: table.MemberTable,
         peers: links.PeerLinks,
         zones: list[str],
-        spread_s: float,
+        propagation_timeout_s: float,
     ) -> None:
         self._client = client
         self._config = config
@@ -67,7 +67,7 @@
         self._members = members
         self._peers = peers
         self._zones = zones
-        self._spread_s = spread_s
+        self._propagation_timeout_s = propagation_timeout_s
 
     async def submit(
         self, change: records.Change
@@ -79,7 +79,7 @@
         """
         known = self._find_judgement(change.change_id)
         if known is not None:
-            return _judge(known)
+            return _convert_judgement(known)
         payload = records.encode_change(change, self._signer)
         appended = await self._client.append(follower.CONFIG_STREAM, [payload])
         _LOG.write(
@@ -94,13 +94,15 @@
             code = results.ResultCode.CHANGE_NOT_MADE
             message = f"the log refused: {appended.error.message}"
             return Error(results.Failure(code, message, retry_after_s=2.0))
-        with trio.move_on_after(_READ_BACK_S):
-            return _judge(await self._read_back(change.change_id))
+        with trio.move_on_after(_VERDICT_TIMEOUT_S):
+            return _convert_judgement(
+                await self._wait_for_judgement(change.change_id)
+            )
         code = results.ResultCode.CHANGE_UNKNOWN
         message = f"no verdict yet; ask again with id {change.change_id}"
         return Error(results.Failure(code, message, retry_after_s=2.0))
 
-    async def wait_in_force(self, offset: int) -> Spread:
+    async def wait_in_force(self, offset: int) -> PropagationStatus:
         """Wait until every daemon reports the offset, or name missing zones.
 
         Each daemon is asked once and answers when it has the offset in force.
@@ -109,34 +111,38 @@
         reporting: set[str] = set()
 
         async def ask(member: messages.MemberUpdate) -> None:
-            if await self._wait_at(member.member, offset):
+            if await self._wait_applied_at(member.member, offset):
                 reporting.add(member.member)
 
-        with trio.move_on_after(self._spread_s):
+        with trio.move_on_after(self._propagation_timeout_s):
             async with trio.open_nursery() as nursery:
                 for member in members:
                     nursery.start_soon(ask, member)
-        served = {member.zone for member in members}
-        silent = {m.zone for m in members if m.member not in reporting}
-        whole = served - silent
-        return Spread(
-            [zone for zone in self._zones if zone in whole],
-            [zone for zone in self._zones if zone not in whole],
+        serving_zones = {member.zone for member in members}
+        unreported_zones = {
+            m.zone for m in members if m.member not in reporting
+        }
+        complete_zones = serving_zones - unreported_zones
+        return PropagationStatus(
+            [zone for zone in self._zones if zone in complete_zones],
+            [zone for zone in self._zones if zone not in complete_zones],
         )
 
-    async def _wait_at(self, member: str, offset: int) -> bool:
+    async def _wait_applied_at(self, member: str, offset: int) -> bool:
         if member == self._members.me.member:
             await self._config.applied.wait_for(offset)
             return True
-        message = messages.WaitApplied(offset, self._spread_s)
-        reply = await self._peers.request(member, message, self._spread_s)
+        message = messages.WaitApplied(offset, self._propagation_timeout_s)
+        reply = await self._peers.request(
+            member, message, self._propagation_timeout_s
+        )
         match reply:
             case Result(tag="ok", ok=messages.AppliedReply(applied=applied)):
                 return applied >= offset
             case _:
                 return False
 
-    async def _read_back(self, change_id: str) -> fold.Judgement:
+    async def _wait_for_judgement(self, change_id: str) -> fold.Judgement:
         while True:
             applied = self._config.applied.value
             known = self._find_judgement(change_id)
@@ -149,9 +155,11 @@
         return own.judged.get(change_id)
 
 
-def _judge(
+def _convert_judgement(
     judgement: fold.Judgement,
 ) -> Result[fold.Judgement, results.Failure]:
     if judgement.verdict is fold.Verdict.ACCEPTED:
         return Ok(judgement)
-    return Error(results.Failure(_CODES[judgement.verdict], judgement.reason))
+    return Error(
+        results.Failure(_CODES_BY_VERDICT[judgement.verdict], judgement.reason)
+    )
--- a/packages/daemon/src/martenquay_daemon/configuration/follower.py
+++ b/packages/daemon/src/martenquay_daemon/configuration/follower.py
@@ -23,10 +23,10 @@
 _LOG = logs.create_log("configuration")
 CONFIG_STREAM = "config"
 SNAPSHOT_STREAM = "config-snapshots"
-_WAIT_S = 20.0
+_LONG_POLL_S = 20.0
 _PEER_TIMEOUT_S = 1.0
 _RETRY_S = 0.25
-_GRACE_S = 0.25
+_LOG_DELAY_S = 0.25
 
 
 class ConfigFollower:
@@ -64,7 +64,7 @@
         while True:
             # Before the first page, and after a failure, an answer at once
             # says more than one that waits for news.
-            wait_s = _WAIT_S if self.ready.is_set() else 0.0
+            wait_s = _LONG_POLL_S if self.ready.is_set() else 0.0
             if not self._health.is_up:
                 wait_s = 0.0
             page = await self._client.read(
@@ -78,7 +78,7 @@
                 continue
             self._health.note_answer()
             if self._config.can_continue(page.ok.start):
-                self._take_page(page.ok)
+                self._apply_page(page.ok)
             else:
                 await self._close_gap(page.ok.start)
 
@@ -91,7 +91,7 @@
         highest = self._members.highest_applied
         while True:
             await highest.wait_beyond(self._config.applied.value)
-            with trio.move_on_after(_GRACE_S):
+            with trio.move_on_after(_LOG_DELAY_S):
                 await self._config.applied.wait_for(highest.value)
                 continue
             applied = self._config.applied.value
@@ -99,7 +99,7 @@
             if self._config.applied.value == applied:
                 await trio.sleep(_RETRY_S)
 
-    def _take_page(self, page: log.LogPage) -> None:
+    def _apply_page(self, page: log.LogPage) -> None:
         for record in page.records:
             self._config.apply(record.offset, record.payload)
         self._members.announce_applied(self._config.applied.value)
@@ -125,7 +125,7 @@
                 buffer.add(record.payload)
                 offset = record.offset + 1
         self._config.take_snapshots(buffer)
-        self._keep_whole(buffer)
+        self._keep_complete_snapshots(buffer)
 
     def _list_peers(self) -> list[str]:
         """Return all other daemons, those of the own zone first."""
@@ -143,19 +143,19 @@
             reply = await self._peers.request(member, message, _PEER_TIMEOUT_S)
             match reply:
                 case Result(tag="ok", ok=messages.ConfigReply() as found):
-                    self._take_reply(member, found)
+                    self._apply_reply(member, found)
                     return
                 case _:
                     continue
 
-    def _take_reply(self, peer: str, reply: messages.ConfigReply) -> None:
+    def _apply_reply(self, peer: str, reply: messages.ConfigReply) -> None:
         before = self._config.applied.value
         if reply.chunks:
             buffer = snapshot.SnapshotBuffer(self._verifier)
             for chunk in reply.chunks:
                 buffer.add(chunk)
             self._config.take_snapshots(buffer)
-            self._keep_whole(buffer)
+            self._keep_complete_snapshots(buffer)
         first = reply.records[0][0] if reply.records else reply.applied + 1
         if not self._config.can_continue(first):
             return
@@ -170,7 +170,7 @@
                 f"from {peer}, for the log has not given it."
             )
 
-    def _keep_whole(self, buffer: snapshot.SnapshotBuffer) -> None:
+    def _keep_complete_snapshots(self, buffer: snapshot.SnapshotBuffer) -> None:
         for partner, chunks in buffer.whole_chunks().items():
             applied = buffer.best[partner].applied
             self._config.keep_chunks(partner, applied, chunks)
--- a/packages/daemon/src/martenquay_daemon/configuration/store.py
+++ b/packages/daemon/src/martenquay_daemon/configuration/store.py
@@ -37,10 +37,12 @@
         self.state = fold.create_state(partners)
         self.applied = progress.Progress()
         self._verifier = verifier
-        self._tail: collections.deque[tuple[int, bytes]] = collections.deque()
-        self._chunks: dict[str, list[bytes]] = {}
-        self._chunk_offsets = dict.fromkeys(partners, 0)
-        self._typed: dict[
+        self._recent_records: collections.deque[tuple[int, bytes]] = (
+            collections.deque()
+        )
+        self._snapshot_chunks: dict[str, list[bytes]] = {}
+        self._snapshot_offsets = dict.fromkeys(partners, 0)
+        self._checked_objects: dict[
             objects.ObjectKey, tuple[int, objects.ConfigObject]
         ] = {}
 
@@ -49,7 +51,7 @@
         if offset <= self.applied.value:
             return None
         judgement = fold.apply_record(self.state, offset, raw, self._verifier)
-        self._tail.append((offset, raw))
+        self._recent_records.append((offset, raw))
         self.applied.advance(offset)
         verdict = judgement.verdict.value if judgement else "not signed"
         _LOG.write(f"Record {offset}: {verdict}.", offset=offset)
@@ -66,7 +68,7 @@
             if current is None or newer.applied <= current.applied:
                 continue
             self.state.partners[partner] = newer
-            self._typed.clear()
+            self._checked_objects.clear()
             _LOG.write(
                 f"Took {partner}'s snapshot up to {newer.applied}.",
                 partner=partner,
@@ -78,29 +80,39 @@
         self, partner: str, applied: int, chunks: list[bytes]
     ) -> None:
         """Keep a signed snapshot for peers and drop records it covers."""
-        if applied <= self._chunk_offsets[partner]:
+        if applied <= self._snapshot_offsets[partner]:
             return
-        self._chunks[partner] = chunks
-        self._chunk_offsets[partner] = applied
-        covered = min(self._chunk_offsets.values())
-        while self._tail and self._tail[0][0] <= covered:
-            self._tail.popleft()
+        self._snapshot_chunks[partner] = chunks
+        self._snapshot_offsets[partner] = applied
+        covered = min(self._snapshot_offsets.values())
+        while self._recent_records and self._recent_records[0][0] <= covered:
+            self._recent_records.popleft()
 
     def snapshot_offset(self, partner: str) -> int:
         """Return the offset of the latest kept snapshot, 0 for none."""
-        return self._chunk_offsets[partner]
+        return self._snapshot_offsets[partner]
 
     def serve_peer(self, from_offset: int) -> messages.ConfigReply:
         """Return what a peer at this offset lacks."""
-        first = self._tail[0][0] if self._tail else self.applied.value + 1
+        first = (
+            self._recent_records[0][0]
+            if self._recent_records
+            else self.applied.value + 1
+        )
         chunks: list[bytes] = []
         if from_offset < first:
-            chunks = [piece for kept in self._chunks.values() for piece in kept]
+            chunks = [
+                piece
+                for kept in self._snapshot_chunks.values()
+                for piece in kept
+            ]
         records_after = [
-            (offset, raw) for offset, raw in self._tail if offset >= from_offset
+            (offset, raw)
+            for offset, raw in self._recent_records
+            if offset >= from_offset
         ]
         if chunks:
-            records_after = list(self._tail)
+            records_after = list(self._recent_records)
         return messages.ConfigReply(chunks, records_after, self.applied.value)
 
     async def wait_applied(
@@ -134,13 +146,13 @@
         stored = self.state.find(key)
         if stored is None:
             return None
-        kept = self._typed.get(key)
+        kept = self._checked_objects.get(key)
         if kept is not None and kept[0] == stored.version:
             return kept[1]
         checked = objects.check_object(key.kind, stored.fields)
         if checked.is_error():
             return None
-        self._typed[key] = (stored.version, checked.ok)
+        self._checked_objects[key] = (stored.version, checked.ok)
         return checked.ok
 
     def list_objects(
--- a/packages/daemon/src/martenquay_daemon/discovery/catalog_store.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/catalog_store.py
@@ -17,9 +17,9 @@
 _LOG = logs.create_log("catalog")
 # The fastest: 1,400 routes, 275 kB, take 0.8 ms and become 9 kB; higher levels
 # save nothing more.
-_LEVEL = 1
+_COMPRESSION_LEVEL = 1
 # Far above what the log takes as one record; bounds the memory of a bad copy.
-_MOST_BYTES = 16_777_216
+_MAX_CATALOG_BYTES = 16_777_216
 
 
 class CatalogStore:
@@ -45,7 +45,7 @@
         with 39 daemons, and the hub's answers on allowances with it.
         """
         if self.raw and not self._packed:
-            self._packed = zlib.compress(self.raw, _LEVEL)
+            self._packed = zlib.compress(self.raw, _COMPRESSION_LEVEL)
         return self._packed
 
     @property
@@ -59,7 +59,7 @@
             return False
         unpacker = zlib.decompressobj()
         try:
-            raw = unpacker.decompress(packed, _MOST_BYTES)
+            raw = unpacker.decompress(packed, _MAX_CATALOG_BYTES)
         except zlib.error as error:
             raw = b""
             problem = str(error)
--- a/packages/daemon/src/martenquay_daemon/discovery/contact.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/contact.py
@@ -13,7 +13,7 @@
 _LOG = logs.create_log("platform-log")
 # A shorter silence is a lost call, not an outage: runners miss no heartbeat
 # that would make their entries lapse (three of 1.2 s).
-_OUTAGE_S = 2.0
+_MIN_OUTAGE_S = 2.0
 
 
 class LogContact:
@@ -42,7 +42,7 @@
         away_s = now - self.last_answer_at
         if self.is_lost:
             _LOG.write("The log answers again.", away_s=round(away_s, 3))
-            if away_s > _OUTAGE_S:
+            if away_s > _MIN_OUTAGE_S:
                 self.regained_at = now
         self.is_lost = False
         self.last_answer_at = now
--- a/packages/daemon/src/martenquay_daemon/discovery/copy_age.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/copy_age.py
@@ -51,15 +51,15 @@
     def confirm(self, at: float, step: Step) -> None:
         """Note that the copy holds all that was acknowledged until a time."""
         # What the wait for this news had let the copy come to.
-        self._tell(step)
+        self._observe_age(step)
         self.confirmed_at = max(self.confirmed_at, at)
 
     def note_use(self) -> int | None:
         """Return the age in ms for the line of a decision, if it is known."""
-        self._tell(Step.USED)
+        self._observe_age(Step.USED)
         return round(self.age_s * 1000) if self._is_known() else None
 
-    def _tell(self, step: Step) -> None:
+    def _observe_age(self, step: Step) -> None:
         if self._is_known():
             self.observe(step, self.age_s)
 
--- a/packages/daemon/src/martenquay_daemon/discovery/first_reading.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/first_reading.py
@@ -16,7 +16,7 @@
 _LOG = logs.create_log("catalog")
 # The first reads of the log take 20 to 60 ms, when all daemons start at once.
 # Longer than this the log is away, and callers are better told so.
-_LONGEST_S = 0.25
+_MAX_WAIT_S = 0.25
 
 
 class FirstReading:
@@ -30,13 +30,13 @@
 
     def __init__(self, sources: Mapping[str, trio.Event]) -> None:
         self._sources = dict(sources)
-        self._ends_at = trio.current_time() + _LONGEST_S
+        self._deadline = trio.current_time() + _MAX_WAIT_S
 
     async def wait(self) -> None:
         """Return when all is read, or when that takes too long."""
         if not self._sources:
             return
-        with trio.move_on_at(self._ends_at):
+        with trio.move_on_at(self._deadline):
             for event in list(self._sources.values()):
                 await event.wait()
         missing = [
@@ -44,7 +44,7 @@
         ]
         if missing:
             _LOG.write("Decided before all was read.", missing=missing)
-        if not missing or trio.current_time() >= self._ends_at:
+        if not missing or trio.current_time() >= self._deadline:
             # From now on nobody waits.
             self._sources.clear()
 
--- a/packages/daemon/src/martenquay_daemon/discovery/keyed_follower.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/keyed_follower.py
@@ -24,9 +24,9 @@
 # Refused calls are paid for like others; a second is soon enough to be up to
 # date when an outage ends.
 _FIRST_RETRY_S = 0.2
-_LONGEST_RETRY_S = 1.0
+_MAX_RETRY_S = 1.0
 # Whoever writes such records may go on; a line in this time says it.
-_UNREADABLE_LINE_S = 10.0
+_UNREADABLE_LOG_INTERVAL_S = 10.0
 
 
 def _ignore(topic: str) -> None:
@@ -49,17 +49,17 @@
 
     Attributes:
         wait_s: How long one read waits for a record.
-        rest_s: Between two reads, so that records come in batches.
-        crowded_wait_s: Like `wait_s`, in a large fleet, whose reads add up.
-        crowded_rest_s: Like `rest_s`, in a large fleet.
+        pause_s: Between two reads, so that records come in batches.
+        large_fleet_wait_s: Like `wait_s`, in a large fleet, whose reads add up.
+        large_fleet_pause_s: Like `pause_s`, in a large fleet.
         idle_s: While the topic need not be read, between two looks whether it
             is needed again.
     """
 
     wait_s: float
-    rest_s: float = 0.0
-    crowded_wait_s: float | None = None
-    crowded_rest_s: float = 0.0
+    pause_s: float = 0.0
+    large_fleet_wait_s: float | None = None
+    large_fleet_pause_s: float = 0.0
     idle_s: float = 0.1
 
 
@@ -79,46 +79,48 @@
         contact: contact.LogContact,
         topic: str,
         sink: RecordSink,
-        pace: ReadSchedule,
-        is_crowded: Callable[[], bool] = lambda: False,
+        schedule: ReadSchedule,
+        is_large_fleet: Callable[[], bool] = lambda: False,
         is_needed: Callable[[], bool] = lambda: True,
     ) -> None:
         self.end = -1
         self.first_read = trio.Event()
         self.copy_age = copy_age.CopyAge()
         self.on_unreadable: Callable[[str], None] = _ignore
-        self._told_unreadable_at = -math.inf
-        self._is_crowded = is_crowded
+        self._unreadable_logged_at = -math.inf
+        self._is_large_fleet = is_large_fleet
         self._is_needed = is_needed
         self._log = log
         self._contact = contact
         self._topic = topic
         self._sink = sink
-        self._pace = pace
+        self._schedule = schedule
 
     async def run(self) -> None:
         """Follow until cancelled."""
         retry_s = _FIRST_RETRY_S
         while True:
             if self.end >= 0 and not self._is_needed():
-                await trio.sleep(self._pace.idle_s)
-            elif await self._read_once(self._find_wait()):
+                await trio.sleep(self._schedule.idle_s)
+            elif await self._read_once(self._find_wait_s()):
                 retry_s = _FIRST_RETRY_S
-                await self._rest()
+                await self._pause()
             else:
                 await trio.sleep(retry_s)
-                retry_s = min(2 * retry_s, _LONGEST_RETRY_S)
+                retry_s = min(2 * retry_s, _MAX_RETRY_S)
 
-    def _find_wait(self) -> float:
-        crowded_s = self._pace.crowded_wait_s
-        if crowded_s is not None and self._is_crowded():
+    def _find_wait_s(self) -> float:
+        crowded_s = self._schedule.large_fleet_wait_s
+        if crowded_s is not None and self._is_large_fleet():
             return crowded_s
-        return self._pace.wait_s
+        return self._schedule.wait_s
 
-    async def _rest(self) -> None:
-        pace = self._pace
-        is_crowded = self._is_crowded()
-        await trio.sleep(pace.crowded_rest_s if is_crowded else pace.rest_s)
+    async def _pause(self) -> None:
+        schedule = self._schedule
+        is_large_fleet = self._is_large_fleet()
+        await trio.sleep(
+            schedule.large_fleet_pause_s if is_large_fleet else schedule.pause_s
+        )
 
     def skip_to(self, end: int) -> None:
         """Read on from `end`: a peer has told the sink all before it."""
@@ -154,7 +156,7 @@
                 # First, or a record that nobody can read would be read again
                 # by each new start of the task, and none behind it.
                 self.end = offset + 1
-                self._take(payload, offset)
+                self._apply_payload(payload, offset)
         if self.end >= found.end:
             # Without a record the log has waited as long as it was asked to.
             waited_s = 0.0 if found.records else wait_s
@@ -162,22 +164,22 @@
             self.copy_age.confirm(complete_at, copy_age.Step.READ)
         return True
 
-    def _take(self, payload: bytes, offset: int) -> None:
+    def _apply_payload(self, payload: bytes, offset: int) -> None:
         try:
             record = self._log.split_keyed(payload, offset)
         except ValueError as error:
-            self._note_unreadable(1, str(error))
+            self._report_unreadable(1, str(error))
             return
         self._sink.apply_change(record)
 
-    def _note_unreadable(self, count: int, problem: str) -> None:
+    def _report_unreadable(self, count: int, problem: str) -> None:
         """Count records that say nothing of any key; the others hold."""
         for _ in range(count):
             self.on_unreadable(self._topic)
         now = trio.current_time()
-        if now < self._told_unreadable_at + _UNREADABLE_LINE_S:
+        if now < self._unreadable_logged_at + _UNREADABLE_LOG_INTERVAL_S:
             return
-        self._told_unreadable_at = now
+        self._unreadable_logged_at = now
         _LOG.write(
             f"Records of {self._topic} cannot be read: {problem}.",
             topic=self._topic,
@@ -194,7 +196,7 @@
                 self._contact.note_failure(snapshot.error.message)
                 return False
         if found.unreadable:
-            self._note_unreadable(found.unreadable, "their keys")
+            self._report_unreadable(found.unreadable, "their keys")
         if found.end >= self.end:
             self._sink.replace_all(found)
             self.end = found.end
--- a/packages/daemon/src/martenquay_daemon/discovery/refresher.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/refresher.py
@@ -24,16 +24,16 @@
 _LOG = logs.create_log("platform-log")
 # A read takes 4 to 30 ms; on a connection that has gone silent 0.3 s, and the
 # requests that come meanwhile wait no longer than this.
-_WAIT_S = 0.15
+_MAX_WAIT_S = 0.15
 # Between two reads of a log that is away.
-_PAUSE_S = 0.5
+_RETRY_INTERVAL_S = 0.5
 # It is read on until it is back, so that the next request need not wait, for
 # so long after the last one that wanted it.
-_INTEREST_S = 3.0
+_RETRY_PERIOD_S = 3.0
 
 
 @dataclasses.dataclass
-class _Round:
+class _ReadRound:
     """One read that requests may wait for."""
 
     done: trio.Event = dataclasses.field(default_factory=trio.Event)
@@ -50,55 +50,55 @@
         self,
         follower: keyed_follower.KeyedFollower,
         name: str,
-        oldest_s: float,
+        max_age_s: float,
     ) -> None:
         self.age: copy_age.CopyAge = follower.copy_age
         self._follower = follower
         self._name = name
-        self._oldest_s = oldest_s
-        self._wanted = trio.Event()
-        self._round = _Round()
-        self._is_away = False
-        self._wanted_at = -math.inf
+        self._max_age_s = max_age_s
+        self._read_requested = trio.Event()
+        self._round = _ReadRound()
+        self._is_log_down = False
+        self._requested_at = -math.inf
 
     async def run(self) -> None:
         """Read when it is asked for, until cancelled."""
         while True:
-            await self._wanted.wait()
-            await self._read()
+            await self._read_requested.wait()
+            await self._read_log()
             self._round.done.set()
-            self._round = _Round()
-            if self._is_away:
-                await trio.sleep(_PAUSE_S)
-            if not self._is_away or not self._is_of_interest():
-                self._wanted = trio.Event()
+            self._round = _ReadRound()
+            if self._is_log_down:
+                await trio.sleep(_RETRY_INTERVAL_S)
+            if not self._is_log_down or not self._was_requested_recently():
+                self._read_requested = trio.Event()
 
     async def refresh(self) -> None:
         """Return when the copy is young enough or nothing newer is to be had.
 
         Takes no time while it is.
         """
-        if self.age.age_s <= self._oldest_s:
+        if self.age.age_s <= self._max_age_s:
             return
-        self._wanted_at = trio.current_time()
-        self._wanted.set()
+        self._requested_at = trio.current_time()
+        self._read_requested.set()
         # A log that is away would hold up each request and tell none of them
         # anything; one that is back has been read when the next one comes.
-        if self._is_away:
+        if self._is_log_down:
             return
-        with trio.move_on_after(_WAIT_S) as limit:
+        with trio.move_on_after(_MAX_WAIT_S) as limit:
             await self._round.done.wait()
         if limit.cancelled_caught:
-            self._is_away = True
+            self._is_log_down = True
 
-    def _is_of_interest(self) -> bool:
-        return trio.current_time() - self._wanted_at < _INTEREST_S
+    def _was_requested_recently(self) -> bool:
+        return trio.current_time() - self._requested_at < _RETRY_PERIOD_S
 
-    async def _read(self) -> None:
+    async def _read_log(self) -> None:
         before_s = self.age.age_s
         started = trio.current_time()
         is_read = await self._follower.read_now()
-        self._is_away = not is_read
+        self._is_log_down = not is_read
         _LOG.write(
             f"The {self._name} were too old and are read before use.",
             age_ms=round(before_s * 1000) if before_s < math.inf else None,
@@ -108,13 +108,13 @@
 
 
 def create_refresher(
-    follower: keyed_follower.KeyedFollower, name: str, oldest_s: float
+    follower: keyed_follower.KeyedFollower, name: str, max_age_s: float
 ) -> CopyRefresher:
     """Return a refresher; its task is to be run.
 
     Args:
         follower: Reads the topic.
         name: Of what the topic holds, for the log.
-        oldest_s: A copy that is older is read before it is used.
+        max_age_s: A copy that is older is read before it is used.
     """
-    return CopyRefresher(follower, name, oldest_s)
+    return CopyRefresher(follower, name, max_age_s)
--- a/packages/daemon/src/martenquay_daemon/discovery/runner_directory.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/runner_directory.py
@@ -22,10 +22,10 @@
 _LOG = logs.create_log("runners")
 # A live runner whose entry lapsed while the log was away writes it again
 # within this time of the log's return.
-_RETURN_S = 2.2
+_REREGISTRATION_GRACE_S = 2.2
 # A runner that answered for another one's id is remembered as gone for this
 # long; by then its entry has lapsed (three heartbeats) or been replaced.
-_GONE_S = 30.0
+_ADDRESS_TAKEN_S = 30.0
 
 
 def _ignore(runner_id: str) -> None:
@@ -52,12 +52,12 @@
         self.on_unusable: Callable[[str], None] = _ignore
         self._contact = log_contact
         self._runners: dict[str, runners.Runner] = {}
-        self._lapsing: dict[str, float] = {}
-        self._gone: dict[str, float] = {}
-        self._left: dict[str, float] = {}
-        self._replaced: set[str] = set()
-        self._unusable: set[str] = set()
-        self._zones: dict[str, set[str]] = {}
+        self._removal_deadlines: dict[str, float] = {}
+        self._address_taken_until: dict[str, float] = {}
+        self._departure_times: dict[str, float] = {}
+        self._replaced_ids: set[str] = set()
+        self._unusable_ids: set[str] = set()
+        self._zones_by_service: dict[str, set[str]] = {}
 
     def replace_all(self, snapshot: ports.Snapshot) -> None:
         """Take the newest entries; runners without one are gone."""
@@ -65,7 +65,7 @@
 
     def apply_change(self, record: ports.KeyedRecord) -> None:
         """Take one entry, or the end of one."""
-        self._apply([self.entries.take(record)])
+        self._apply([self.entries.apply_record(record)])
 
     def apply_copies(
         self,
@@ -82,16 +82,16 @@
 
     def find(self, runner_id: str) -> runners.Runner | None:
         """Return a runner by id."""
-        self._expire()
+        self._apply_deadlines()
         return self._runners.get(runner_id)
 
     def list_all(self, service: str) -> list[runners.Runner]:
         """Return the runners of a service, those that leave too."""
-        self._expire()
+        self._apply_deadlines()
         return [
             runner
             for runner in self._runners.values()
-            if runner.service == service and runner.id not in self._replaced
+            if runner.service == service and runner.id not in self._replaced_ids
         ]
 
     def list_usable(self, service: str) -> list[runners.Runner]:
@@ -99,7 +99,8 @@
         return [
             runner
             for runner in self.list_all(service)
-            if not self.is_leaving(runner) and runner.id not in self._gone
+            if not self.is_leaving(runner)
+            and runner.id not in self._address_taken_until
         ]
 
     def is_leaving(self, runner: runners.Runner) -> bool:
@@ -108,42 +109,51 @@
 
     def list_zones(self, service: str) -> set[str]:
         """Return the zones in which a service has ever had a runner."""
-        return set(self._zones.get(service, ()))
+        return set(self._zones_by_service.get(service, ()))
 
     def note_gone(self, runner_id: str) -> None:
         """Note that another runner answered at this one's address."""
-        if runner_id in self._runners and runner_id not in self._gone:
+        if (
+            runner_id in self._runners
+            and runner_id not in self._address_taken_until
+        ):
             _LOG.write(
                 f"Another runner has the address of {runner_id}.",
                 runner=runner_id,
             )
-            self._gone[runner_id] = trio.current_time() + _GONE_S
+            self._address_taken_until[runner_id] = (
+                trio.current_time() + _ADDRESS_TAKEN_S
+            )
 
     def find_time_left(self, runner_id: str) -> float:
         """Return the seconds until a leaving runner ends, if it said so."""
-        return self._left.get(runner_id, math.inf) - trio.current_time()
+        return (
+            self._departure_times.get(runner_id, math.inf) - trio.current_time()
+        )
 
     def _apply(self, changes: Iterable[runner_entries.EntryChange]) -> None:
         for change in changes:
             match change:
                 case runner_entries.EntryUpdated(runner=runner):
-                    self._note_told(runner)
-                case runner_entries.Ended(runner_id=runner_id):
-                    self._unusable.discard(runner_id)
-                    self._note_ended(runner_id)
-                case runner_entries.Unusable(
+                    self._store_runner(runner)
+                case runner_entries.EntryRemoved(runner_id=runner_id):
+                    self._unusable_ids.discard(runner_id)
+                    self._handle_removal(runner_id)
+                case runner_entries.EntryUnusable(
                     runner_id=runner_id, problem=problem
                 ):
-                    self._note_unusable(runner_id, problem)
+                    self._handle_unusable(runner_id, problem)
                 case runner_entries.EntryConfirmed():
                     pass
 
-    def _note_told(self, runner: runners.Runner) -> None:
+    def _store_runner(self, runner: runners.Runner) -> None:
         previous = self._runners.get(runner.id)
-        self._lapsing.pop(runner.id, None)
-        self._unusable.discard(runner.id)
+        self._removal_deadlines.pop(runner.id, None)
+        self._unusable_ids.discard(runner.id)
         self._runners[runner.id] = runner
-        self._zones.setdefault(runner.service, set()).add(runner.zone)
+        self._zones_by_service.setdefault(runner.service, set()).add(
+            runner.zone
+        )
         if previous is None:
             _LOG.write(
                 f"Runner {runner.id} is known.",
@@ -154,13 +164,13 @@
                 software=runner.software,
             )
         elif runner.born_ms != previous.born_ms:
-            self._note_restart(runner, previous)
+            self._handle_restart(runner, previous)
         if previous is None or previous.address != runner.address:
-            self._replace_at_address(runner)
+            self._resolve_address_conflict(runner)
         if runner.is_leaving and not (previous and previous.is_leaving):
-            self._note_leaving(runner)
+            self._record_departure(runner)
 
-    def _note_restart(
+    def _handle_restart(
         self, runner: runners.Runner, previous: runners.Runner
     ) -> None:
         _LOG.write(
@@ -169,78 +179,78 @@
             born_ms=runner.born_ms,
             previous_born_ms=previous.born_ms,
         )
-        self._gone.pop(runner.id, None)
-        self._left.pop(runner.id, None)
-        self._replaced.discard(runner.id)
-        self._replace_at_address(runner)
+        self._address_taken_until.pop(runner.id, None)
+        self._departure_times.pop(runner.id, None)
+        self._replaced_ids.discard(runner.id)
+        self._resolve_address_conflict(runner)
         self.on_restart(runner.id)
 
-    def _replace_at_address(self, runner: runners.Runner) -> None:
+    def _resolve_address_conflict(self, runner: runners.Runner) -> None:
         """Note which runner is at an address that two entries name."""
         for other in self._runners.values():
             if other.address != runner.address or other.id == runner.id:
                 continue
             older, newer = other, runner
-            if _is_born_later(other, runner):
+            if _has_started_later(other, runner):
                 older, newer = runner, other
-            if older.id not in self._replaced:
+            if older.id not in self._replaced_ids:
                 _LOG.write(
                     f"Runner {older.id} is gone: {newer.id} took its address.",
                     runner=older.id,
                 )
-                self._replaced.add(older.id)
+                self._replaced_ids.add(older.id)
 
-    def _note_leaving(self, runner: runners.Runner) -> None:
+    def _record_departure(self, runner: runners.Runner) -> None:
         left_s = runner.leaves_in_s
         if left_s is not None:
-            self._left[runner.id] = trio.current_time() + left_s
+            self._departure_times[runner.id] = trio.current_time() + left_s
         _LOG.write(
             f"Runner {runner.id} is leaving.", runner=runner.id, left_s=left_s
         )
 
-    def _note_unusable(self, runner_id: str, problem: str) -> None:
+    def _handle_unusable(self, runner_id: str, problem: str) -> None:
         self.on_unusable(runner_id)
-        if runner_id in self._unusable:
+        if runner_id in self._unusable_ids:
             # Its writer may go on; one line says it.
             return
-        self._unusable.add(runner_id)
+        self._unusable_ids.add(runner_id)
         _LOG.write(
             f"Entry of {runner_id} names no runner to use: {problem}.",
             runner=runner_id,
         )
-        self._forget(runner_id)
+        self._remove(runner_id)
 
-    def _note_ended(self, runner_id: str) -> None:
+    def _handle_removal(self, runner_id: str) -> None:
         if runner_id not in self._runners:
             return
-        until = self._contact.regained_at + _RETURN_S
+        until = self._contact.regained_at + _REREGISTRATION_GRACE_S
         if trio.current_time() < until:
-            self._lapsing.setdefault(runner_id, until)
+            self._removal_deadlines.setdefault(runner_id, until)
             return
         _LOG.write(f"Runner {runner_id} is gone.", runner=runner_id)
-        self._forget(runner_id)
+        self._remove(runner_id)
 
-    def _expire(self) -> None:
+    def _apply_deadlines(self) -> None:
         now = trio.current_time()
-        for runner_id, until in list(self._lapsing.items()):
+        for runner_id, until in list(self._removal_deadlines.items()):
             if now >= until:
                 _LOG.write(
                     f"Runner {runner_id} did not come back with the log.",
                     runner=runner_id,
                 )
-                self._forget(runner_id)
-        for runner_id, until in list(self._gone.items()):
+                self._remove(runner_id)
+        for runner_id, until in list(self._address_taken_until.items()):
             if now >= until:
-                del self._gone[runner_id]
+                del self._address_taken_until[runner_id]
 
-    def _forget(self, runner_id: str) -> None:
+    def _remove(self, runner_id: str) -> None:
         self._runners.pop(runner_id, None)
-        self._lapsing.pop(runner_id, None)
-        self._left.pop(runner_id, None)
-        self._replaced.discard(runner_id)
+        self._removal_deadlines.pop(runner_id, None)
+        self._departure_times.pop(runner_id, None)
+        self._replaced_ids.discard(runner_id)
 
 
-def _is_born_later(one: runners.Runner, other: runners.Runner) -> bool:
+def _has_started_later(one: runners.Runner, other: runners.Runner) -> bool:
     """Tell whether a runner's process is surely the later one."""
     if one.born_ms is None or other.born_ms is None:
         return False
--- a/packages/daemon/src/martenquay_daemon/discovery/runner_entries.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/runner_entries.py
@@ -18,13 +18,13 @@
     from martenquay_core.serving import ports, runners
 
 __all__ = [
-    "Ended",
+    "EntryRemoved",
     "EntryChange",
     "EntryConfirmed",
     "RunnerCopy",
     "RunnerEntries",
     "EntryUpdated",
-    "Unusable",
+    "EntryUnusable",
 ]
 
 
@@ -61,7 +61,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Ended:
+class EntryRemoved:
     """A runner has no entry any more.
 
     Attributes:
@@ -72,7 +72,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Unusable:
+class EntryUnusable:
     """An entry names no runner that could be used.
 
     Attributes:
@@ -84,7 +84,7 @@
     problem: str
 
 
-EntryChange = EntryUpdated | EntryConfirmed | Ended | Unusable
+EntryChange = EntryUpdated | EntryConfirmed | EntryRemoved | EntryUnusable
 
 
 @dataclasses.dataclass(frozen=True)
@@ -109,22 +109,22 @@
 
     def replace_all(self, snapshot: ports.Snapshot) -> list[EntryChange]:
         """Take the newest records; entries without one have ended."""
-        changes = [self.take(record) for record in snapshot.records]
-        kept = {r.key for r in snapshot.records if r.value is not None}
-        ended = self._end_others(kept)
+        changes = [self.apply_record(record) for record in snapshot.records]
+        kept_ids = {r.key for r in snapshot.records if r.value is not None}
+        ended = self._remove_all_except(kept_ids)
         if ended:
-            self._note_change(snapshot.end - 1)
+            self._advance_changed_end(snapshot.end - 1)
         return changes + ended
 
-    def take(self, record: ports.KeyedRecord) -> EntryChange:
+    def apply_record(self, record: ports.KeyedRecord) -> EntryChange:
         """Take one record."""
         if record.value is not None:
             copy = RunnerCopy(record.key, record.offset, record.value)
             return self._store(copy)
         self._entries.pop(record.key, None)
         # Also if it was not known here: it may be to those that copy this.
-        self._note_change(record.offset)
-        return Ended(record.key)
+        self._advance_changed_end(record.offset)
+        return EntryRemoved(record.key)
 
     def apply_copies(
         self, copies: Iterable[RunnerCopy], runner_ids: set[str]
@@ -137,7 +137,7 @@
         """
         ordered = sorted(copies, key=lambda copy: copy.offset)
         changes = [self._store(copy) for copy in ordered]
-        return changes + self._end_others(runner_ids)
+        return changes + self._remove_all_except(runner_ids)
 
     def list_copies(self) -> list[RunnerCopy]:
         """Return all entries for a peer that cannot read the log."""
@@ -156,15 +156,15 @@
             runner = self._codec.decode_runner(copy.key, copy.value)
         except ValueError as error:
             return self._store_unusable(copy, known, str(error))
-        if previous is not None and _is_older(runner, previous):
+        if previous is not None and _is_from_earlier_process(runner, previous):
             # Written by the process before, and late.
             return EntryConfirmed()
-        if previous is not None and not _is_change(previous, runner):
+        if previous is not None and not _is_changed(previous, runner):
             # The copy stays at the record that said this first: heartbeats
             # of a thousand runners are not worth handing on.
             return EntryConfirmed()
         self._entries[copy.key] = _Entry(copy, runner)
-        self._note_change(copy.offset)
+        self._advance_changed_end(copy.offset)
         return EntryUpdated(runner, previous)
 
     def _store_unusable(
@@ -172,27 +172,29 @@
     ) -> EntryChange:
         if known is None or known.runner is not None:
             self._entries[copy.key] = _Entry(copy, None)
-            self._note_change(copy.offset)
-        return Unusable(copy.key, problem)
+            self._advance_changed_end(copy.offset)
+        return EntryUnusable(copy.key, problem)
 
-    def _end_others(self, kept: set[str]) -> list[EntryChange]:
-        ended = sorted(set(self._entries) - kept)
+    def _remove_all_except(self, kept_ids: set[str]) -> list[EntryChange]:
+        ended = sorted(set(self._entries) - kept_ids)
         for key in ended:
             del self._entries[key]
-        return [Ended(key) for key in ended]
+        return [EntryRemoved(key) for key in ended]
 
-    def _note_change(self, offset: int) -> None:
+    def _advance_changed_end(self, offset: int) -> None:
         self.changed_end = max(self.changed_end, offset + 1)
 
 
-def _is_older(runner: runners.Runner, previous: runners.Runner) -> bool:
+def _is_from_earlier_process(
+    runner: runners.Runner, previous: runners.Runner
+) -> bool:
     """Tell whether an entry is of an earlier process than the one known."""
     if runner.born_ms is None or previous.born_ms is None:
         return False
     return runner.born_ms < previous.born_ms
 
 
-def _is_change(previous: runners.Runner, runner: runners.Runner) -> bool:
+def _is_changed(previous: runners.Runner, runner: runners.Runner) -> bool:
     """Tell whether an entry says more than that its runner still lives.
 
     How long a leaving runner stays is told once; it only grows less.
--- a/packages/daemon/src/martenquay_daemon/operators/app.py
+++ b/packages/daemon/src/martenquay_daemon/operators/app.py
@@ -22,12 +22,12 @@
 __all__ = ["OperatorApp"]
 
 _LOG = logs.create_log("operators")
-_BODY_LIMIT = 100_000
+_MAX_BODY_BYTES = 100_000
 _BODY_TIMEOUT_S = 5.0
 _BEARER = "Bearer "
 
 
-class _Order(pydantic.BaseModel):
+class _StatementRequest(pydantic.BaseModel):
     """A statement as it comes over HTTP."""
 
     model_config = pydantic.ConfigDict(extra="forbid")
@@ -69,7 +69,7 @@
             await replies.send_failure(send, "", results.Failure(code, message))
             return
         body = await serving.read_body(
-            receive, limit=_BODY_LIMIT, timeout_s=_BODY_TIMEOUT_S
+            receive, limit=_MAX_BODY_BYTES, timeout_s=_BODY_TIMEOUT_S
         )
         answered = await self._answer(scope["path"], operator, body)
         if answered.is_error():
@@ -91,14 +91,14 @@
         self, path: str, operator: str, body: bytes
     ) -> Result[bytes, results.Failure]:
         try:
-            order = _Order.model_validate_json(body)
+            request = _StatementRequest.model_validate_json(body)
         except pydantic.ValidationError as error:
             code = results.ResultCode.MALFORMED_REQUEST
             return Error(results.Failure(code, error.errors()[0]["msg"]))
-        parsed = parser.parse_statement(order.text)
+        parsed = parser.parse_statement(request.text)
         if parsed.is_error():
             code = results.ResultCode.SYNTAX_ERROR
-            message = parsed.error.point_at(order.text)
+            message = parsed.error.point_at(request.text)
             return Error(results.Failure(code, message))
         match path, parsed.ok:
             case "/v1/query", statements.Show() | statements.Why():
@@ -106,7 +106,7 @@
             case "/v1/command", (
                 statements.Create() | statements.Set() | statements.Drop()
             ):
-                return await self._answer_command(operator, order, parsed.ok)
+                return await self._answer_command(operator, request, parsed.ok)
             case "/v1/query" | "/v1/command", _:
                 code = results.ResultCode.MALFORMED_REQUEST
                 message = f"{path} does not take this statement"
@@ -122,12 +122,15 @@
         return answered.map(msgspec.json.encode)
 
     async def _answer_command(
-        self, operator: str, order: _Order, command: statements.Command
+        self,
+        operator: str,
+        request: _StatementRequest,
+        command: statements.Command,
     ) -> Result[bytes, results.Failure]:
-        change_id = order.change_id or f"change-{secrets.token_hex(8)}"
-        _LOG.write(f"Operator {operator}: {order.text}", change=change_id)
-        answered = await self._commands.carry_out(
-            commands.CommandOrder(operator, change_id, command, order.wait)
+        change_id = request.change_id or f"change-{secrets.token_hex(8)}"
+        _LOG.write(f"Operator {operator}: {request.text}", change=change_id)
+        answered = await self._commands.execute(
+            commands.CommandRequest(operator, change_id, command, request.wait)
         )
         if answered.is_error():
             return Error(answered.error)
--- a/packages/daemon/src/martenquay_daemon/operators/commands.py
+++ b/packages/daemon/src/martenquay_daemon/operators/commands.py
@@ -14,13 +14,13 @@
 if TYPE_CHECKING:
     from martenquay_daemon.configuration import changes, store
 
-__all__ = ["CommandAnswer", "CommandDesk", "CommandOrder"]
+__all__ = ["CommandResult", "CommandDesk", "CommandRequest"]
 
 _LOG = logs.create_log("operators")
 
 
 @dataclasses.dataclass(frozen=True)
-class CommandOrder:
+class CommandRequest:
     """A command and who gives it.
 
     Attributes:
@@ -37,7 +37,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class CommandAnswer:
+class CommandResult:
     """What an accepted command came to.
 
     Attributes:
@@ -68,34 +68,38 @@
         self._config = config
         self._changes = change_desk
 
-    async def carry_out(
-        self, order: CommandOrder
-    ) -> Result[CommandAnswer, results.Failure]:
+    async def execute(
+        self, request: CommandRequest
+    ) -> Result[CommandResult, results.Failure]:
         """Put a command into force."""
-        key = self._find_key(order.command)
+        key = self._find_key(request.command)
         if key.partner != self._partner:
             code = results.ResultCode.FORBIDDEN
             return Error(results.Failure(code, f"{key} is not yours to change"))
-        built = self._build_change(order, key)
+        built = self._build_change(request, key)
         if built.is_error():
             return Error(built.error)
         judged = await self._changes.submit(built.ok)
         if judged.is_error():
             _LOG.write(
-                f"Change {order.change_id} to {key}: {judged.error.message}.",
+                f"Change {request.change_id} to {key}: {judged.error.message}.",
                 code=judged.error.code.value,
             )
             return Error(judged.error)
         offset = judged.ok.offset
-        _LOG.write(f"Accepted {order.operator}'s change to {key} at {offset}.")
-        if not order.wait:
-            return Ok(CommandAnswer(str(key), offset, order.change_id, [], []))
+        _LOG.write(
+            f"Accepted {request.operator}'s change to {key} at {offset}."
+        )
+        if not request.wait:
+            return Ok(
+                CommandResult(str(key), offset, request.change_id, [], [])
+            )
         spread = await self._changes.wait_in_force(offset)
         return Ok(
-            CommandAnswer(
+            CommandResult(
                 str(key),
                 offset,
-                order.change_id,
+                request.change_id,
                 spread.reported,
                 spread.missing,
             )
@@ -108,22 +112,22 @@
         )
 
     def _build_change(
-        self, order: CommandOrder, key: objects.ObjectKey
+        self, request: CommandRequest, key: objects.ObjectKey
     ) -> Result[records.Change, results.Failure]:
         stored = self._config.state.find(key)
         fields: dict[str, Any] | None
-        match order.command:
+        match request.command:
             case statements.Create(assignments=assignments):
                 base = 0
-                fields = _collect(assignments)
+                fields = _collect_fields(assignments)
             case statements.Set(assignments=assignments, version=version):
                 if stored is None:
-                    return Error(_explain_missing(key))
+                    return Error(_create_not_found(key))
                 base = stored.version if version is None else version
-                fields = stored.fields | _collect(assignments)
+                fields = stored.fields | _collect_fields(assignments)
             case statements.Drop(version=version):
                 if stored is None:
-                    return Error(_explain_missing(key))
+                    return Error(_create_not_found(key))
                 base = stored.version if version is None else version
                 fields = None
         problem = self._find_problem(key, fields)
@@ -133,8 +137,8 @@
         return Ok(
             records.Change(
                 self._partner,
-                order.operator,
-                order.change_id,
+                request.operator,
+                request.change_id,
                 key.partner,
                 key.kind,
                 key.name,
@@ -148,26 +152,29 @@
     ) -> str:
         """Return what would make the change useless, or an empty text."""
         if fields is None:
-            return self._find_use(key)
+            return self._find_dependent(key)
         checked = objects.check_object(key.kind, fields)
         if checked.is_error():
             return checked.error
         match checked.ok:
             case objects.Route(pool=pool) | objects.Limit(pool=pool):
-                return self._miss(objects.Kind.POOL, pool)
+                return self._explain_absence(objects.Kind.POOL, pool)
             case objects.Share(pool=pool):
-                return self._miss(objects.Kind.POOL, pool)
+                return self._explain_absence(objects.Kind.POOL, pool)
             case objects.Rule(route=route, team=team):
-                missing_team = self._miss(objects.Kind.TEAM, team)
-                return self._miss(objects.Kind.ROUTE, route) or missing_team
+                missing_team = self._explain_absence(objects.Kind.TEAM, team)
+                return (
+                    self._explain_absence(objects.Kind.ROUTE, route)
+                    or missing_team
+                )
             case _:
                 return ""
 
-    def _miss(self, kind: objects.Kind, name: str) -> str:
+    def _explain_absence(self, kind: objects.Kind, name: str) -> str:
         key = objects.ObjectKey(self._partner, kind, name)
         return "" if self._config.find(key) else f"there is no {key}"
 
-    def _find_use(self, key: objects.ObjectKey) -> str:
+    def _find_dependent(self, key: objects.ObjectKey) -> str:
         if key.kind is not objects.Kind.POOL:
             return ""
         for name, route in self._config.list_objects(
@@ -178,11 +185,11 @@
         return ""
 
 
-def _collect(
+def _collect_fields(
     assignments: tuple[statements.Assignment, ...],
 ) -> dict[str, Any]:
     return {assignment.field: assignment.value for assignment in assignments}
 
 
-def _explain_missing(key: objects.ObjectKey) -> results.Failure:
+def _create_not_found(key: objects.ObjectKey) -> results.Failure:
     return results.Failure(results.ResultCode.NOT_FOUND, f"there is no {key}")
--- a/packages/daemon/src/martenquay_daemon/operators/queries.py
+++ b/packages/daemon/src/martenquay_daemon/operators/queries.py
@@ -25,11 +25,11 @@
     from martenquay_daemon.membership import directory, links, table
     from martenquay_daemon.routing import loads
 
-__all__ = ["QueryAnswer", "QueryDesk"]
+__all__ = ["QueryResult", "QueryDesk"]
 
 _PEER_TIMEOUT_S = 1.0
 _HIDDEN_FIELDS = {"credential"}
-_KINDS = {
+_KINDS_BY_NOUN = {
     "teams": objects.Kind.TEAM,
     "pools": objects.Kind.POOL,
     "routes": objects.Kind.ROUTE,
@@ -38,12 +38,12 @@
     "shares": objects.Kind.SHARE,
 }
 # What each daemon knows only of itself; all of the partner's are asked.
-_SPREAD_NOUNS = {"requests", "tickets", "config"}
+_PER_DAEMON_NOUNS = {"requests", "tickets", "config"}
 _WHY = "why"
 
 
 @dataclasses.dataclass(frozen=True)
-class QueryAnswer:
+class QueryResult:
     """The rows of a query.
 
     Attributes:
@@ -82,33 +82,35 @@
 
     async def answer(
         self, query: statements.Query
-    ) -> Result[QueryAnswer, results.Failure]:
+    ) -> Result[QueryResult, results.Failure]:
         """Return the rows of a query."""
         match query:
             case statements.Why(request_id=request_id):
-                found = await self._gather(_WHY, request_id)
+                found = await self._collect_from_daemons(_WHY, request_id)
                 if not found.rows:
                     message = f"no decision on {request_id!r} is kept"
                     code = results.ResultCode.NOT_FOUND
                     return Error(results.Failure(code, message))
                 return Ok(found)
-            case statements.Show(noun=noun) if noun in _SPREAD_NOUNS:
-                found = await self._gather(noun, "")
+            case statements.Show(noun=noun) if noun in _PER_DAEMON_NOUNS:
+                found = await self._collect_from_daemons(noun, "")
             case statements.Show(noun=noun):
-                found = QueryAnswer(self._list_shared(noun), [])
+                found = QueryResult(self._list_shared(noun), [])
         kept = rows.filter_rows(found.rows, query)
         if query.name is not None and not kept:
             message = f"no {query.noun} named {query.name.name!r}"
             code = results.ResultCode.NOT_FOUND
             return Error(results.Failure(code, message))
-        return Ok(QueryAnswer(kept, found.silent))
+        return Ok(QueryResult(kept, found.silent))
 
     def answer_peer(self, message: messages.FetchRows) -> messages.Message:
         """Return this daemon's own rows to a peer."""
         own = self._list_own(message.noun, message.argument)
         return messages.RowsReply(msgspec.json.encode(own))
 
-    async def _gather(self, noun: str, argument: str) -> QueryAnswer:
+    async def _collect_from_daemons(
+        self, noun: str, argument: str
+    ) -> QueryResult:
         found = self._list_own(noun, argument)
         silent: list[str] = []
         me = self._members.me
@@ -129,7 +131,7 @@
                     nursery.start_soon(ask, member.member)
         if noun == "tickets":
             found = list({row["name"]: row for row in found}.values())
-        return QueryAnswer(found, sorted(silent))
+        return QueryResult(found, sorted(silent))
 
     def _list_own(self, noun: str, argument: str) -> list[dict[str, Any]]:
         match noun:
@@ -151,7 +153,9 @@
             case "daemons":
                 return rows.render_rows(self._list_daemons())
             case _:
-                return rows.render_rows(self._list_objects(_KINDS[noun]))
+                return rows.render_rows(
+                    self._list_objects(_KINDS_BY_NOUN[noun])
+                )
 
     def _list_runners(self) -> list[rows.RunnerRow]:
         return [
--- a/tests/test_quarantine/test_manager.py
+++ b/tests/test_quarantine/test_manager.py
@@ -17,7 +17,7 @@
 # The shortest that any deployment gives.
 _CONTACT_S = 3.0
 # As a large fleet reads.
-_PACE = keyed_follower.ReadSchedule(wait_s=30.0, rest_s=0.3)
+_PACE = keyed_follower.ReadSchedule(wait_s=30.0, pause_s=0.3)
 
 
 class DeskTest(clocked.ClockedTestCase):
