--- a/packages/daemon/src/martenquay_daemon/configuration/__init__.py
+++ b/packages/daemon/src/martenquay_daemon/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Keep the configuration in force, follow it, publish it and change it."""
+"""Follow, store, change and snapshot the configuration."""
--- a/packages/daemon/src/martenquay_daemon/configuration/changes.py
+++ b/packages/daemon/src/martenquay_daemon/configuration/changes.py
@@ -1,4 +1,4 @@
-"""Put an operator's change into the log and tell its verdict."""
+"""Append operators' configuration changes to the log."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class PropagationStatus:
-    """Where a change is in force.
+    """Availability zones in which a change is in force.
 
     Attributes:
-        reported: Availability zones all of whose daemons report it.
-        missing: Zones that have not reported it, or have no daemon alive.
+        reported: Zones in which all daemons report it.
+        missing: Zones in which a daemon has not reported it, or none is alive.
     """
 
     reported: list[str]
@@ -45,10 +45,10 @@
 
 
 class ChangeDesk:
-    """Take changes from operators.
+    """Appends changes to the log and waits for their verdicts.
 
-    A change counts as accepted only once this daemon has read its own record
-    back and judged it, as every other daemon will.
+    The log's order decides between concurrent changes, so a change is accepted
+    only once this daemon has read its record back from the log and applied it.
     """
 
     def __init__(
@@ -74,8 +74,11 @@
     ) -> Result[fold.Judgement, results.Failure]:
         """Append a change and wait for its verdict.
 
-        The same change id sent again gives the first verdict again, so an
-        operator may repeat a change whose outcome is unknown.
+        Idempotent by change id: an operator may repeat a change whose outcome
+        is unknown, and gets the first verdict.
+
+        Returns:
+            The judgement if the change was accepted, else a failure.
         """
         known = self._find_judgement(change.change_id)
         if known is not None:
@@ -103,9 +106,9 @@
         return Error(results.Failure(code, message, retry_after_s=2.0))
 
     async def wait_in_force(self, offset: int) -> PropagationStatus:
-        """Wait until every daemon reports the offset, or name missing zones.
+        """Wait until every daemon has applied an offset, or for a time limit.
 
-        Each daemon is asked once and answers when it has the offset in force.
+        Each daemon is asked once and answers when it has applied the offset.
         """
         members = self._members.list_serving()
         reporting: set[str] = set()
--- a/packages/daemon/src/martenquay_daemon/configuration/follower.py
+++ b/packages/daemon/src/martenquay_daemon/configuration/follower.py
@@ -1,4 +1,4 @@
-"""Follow the configuration: from the log, or else from peers."""
+"""Keep the configuration up to date from the log, or else from peers."""
 
 from __future__ import annotations
 
@@ -26,14 +26,16 @@
 _LONG_POLL_S = 20.0
 _PEER_TIMEOUT_S = 1.0
 _RETRY_S = 0.25
+# How long the log may be behind a peer before that one is asked.
 _LOG_DELAY_S = 0.25
 
 
 class ConfigFollower:
-    """Keep the store up to date.
+    """Reads configuration records and snapshots into the store.
 
     Attributes:
-        ready: Set once the store holds a configuration without a gap.
+        ready: Set once the store has all records up to the end of the log, or
+            up to the offset of a peer that answered.
     """
 
     def __init__(
@@ -54,7 +56,7 @@
         self._peers = peers
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Read until cancelled."""
         await self._read_snapshots()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._watch_peers)
@@ -62,8 +64,8 @@
 
     async def _follow_log(self) -> None:
         while True:
-            # Before the first page, and after a failure, an answer at once
-            # says more than one that waits for news.
+            # Before the first page and after a failure, a long poll would
+            # delay the news that the log answers.
             wait_s = _LONG_POLL_S if self.ready.is_set() else 0.0
             if not self._health.is_up:
                 wait_s = 0.0
@@ -83,10 +85,10 @@
                 await self._close_gap(page.ok.start)
 
     async def _watch_peers(self) -> None:
-        """Ask a peer that is ahead when the log itself says nothing.
+        """Fetch from peers that are ahead when the log gives no records.
 
-        A log that cannot be reached may look like one without news, so what
-        the peers have in force is the better sign.
+        A log that can't be reached may look like one without new records, so
+        the offsets that peers gossip are compared with the one in force here.
         """
         highest = self._members.highest_applied
         while True:
@@ -114,7 +116,7 @@
             await trio.sleep(_RETRY_S)
 
     async def _read_snapshots(self) -> None:
-        """Read the snapshots that the log holds and take the newest."""
+        """Read the snapshots in the log; apply each partner's newest."""
         buffer = snapshot.SnapshotBuffer(self._verifier)
         offset = 1
         while True:
@@ -128,7 +130,7 @@
         self._keep_complete_snapshots(buffer)
 
     def _list_peers(self) -> list[str]:
-        """Return all other daemons, those of the own zone first."""
+        """Return all other serving daemons, this daemon's zone first."""
         me = self._members.me
         peers = sorted(
             self._members.list_serving(),
@@ -137,7 +139,7 @@
         return [peer.member for peer in peers if peer.member != me.member]
 
     async def _ask_peers(self, peers: list[str]) -> None:
-        """Ask one peer after the other until one answers."""
+        """Fetch the configuration from the first peer that answers."""
         for member in peers:
             message = messages.FetchConfig(self._config.applied.value + 1)
             reply = await self._peers.request(member, message, _PEER_TIMEOUT_S)
--- a/packages/daemon/src/martenquay_daemon/configuration/publisher.py
+++ b/packages/daemon/src/martenquay_daemon/configuration/publisher.py
@@ -1,4 +1,4 @@
-"""Publish signed snapshots well before the log forgets the records."""
+"""Publish signed snapshots before the log drops the records in them."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 
 class SnapshotPublisher:
-    """Publish the own partner's state from time to time.
+    """Publishes snapshots of this partner's configuration at intervals.
 
-    Any daemon may; a second snapshot of the same state is harmless. The
-    daemon that ranks first among the serving ones goes first, and the others
-    only take over when its snapshot does not show.
+    A daemon's interval grows with its rendezvous rank among the partner's
+    serving daemons, so the first one publishes most. Two snapshots of the same
+    state are harmless.
     """
 
     def __init__(
@@ -52,13 +52,14 @@
                 await self.publish()
 
     async def publish(self) -> bool:
-        """Publish one snapshot; tell whether the log took it."""
+        """Publish one snapshot; return whether the log confirmed it."""
         state = self._config.state.partners[self._signer.partner]
         applied = state.applied
         digest = fold.digest_partner(state)
         chunks = snapshot.encode_snapshot(state, self._signer)
         result = await self._client.append(follower.SNAPSHOT_STREAM, chunks)
-        # Peers may have these even when the log's answer was lost.
+        # Signed, so valid for peers even if the append failed or its answer was
+        # lost.
         self._config.keep_chunks(self._signer.partner, applied, chunks)
         if result.is_error():
             _LOG.write(f"Snapshot not published: {result.error.message}.")
--- a/packages/daemon/src/martenquay_daemon/configuration/store.py
+++ b/packages/daemon/src/martenquay_daemon/configuration/store.py
@@ -1,9 +1,4 @@
-"""Keep the configuration in force with what peers need to catch up.
-
-Beside the folded state the store keeps the latest signed snapshots and every
-raw record after them, so that a peer that cannot read the log can fold the
-same records itself.
-"""
+"""Hold the configuration in force, and what peers need to catch up."""
 
 from __future__ import annotations
 
@@ -28,9 +23,12 @@
 class ConfigStore:
     """The configuration in force.
 
+    Also keeps the newest signed snapshots and each encoded record after them,
+    so that a peer that can't read the log can verify and apply them itself.
+
     Attributes:
-        state: The folded state of all partners.
-        applied: The offset in force; it only grows.
+        state: The state of all partners, with all records applied.
+        applied: Offset of the last applied record; it never falls.
     """
 
     def __init__(self, partners: list[str], verifier: records.Verifier) -> None:
@@ -47,7 +45,7 @@
         ] = {}
 
     def apply(self, offset: int, raw: bytes) -> fold.Judgement | None:
-        """Fold the next record in; an older one changes nothing."""
+        """Apply the next record; one already applied changes nothing."""
         if offset <= self.applied.value:
             return None
         judgement = fold.apply_record(self.state, offset, raw, self._verifier)
@@ -58,11 +56,11 @@
         return judgement
 
     def can_continue(self, start: int) -> bool:
-        """Tell whether a log that starts there leaves no gap."""
+        """Tell whether records from this offset on leave no gap."""
         return start <= self.state.applied + 1
 
     def take_snapshots(self, buffer: snapshot.SnapshotBuffer) -> None:
-        """Replace each partner's state by a newer snapshot of it."""
+        """Replace the state of each partner that has a newer snapshot."""
         for partner, newer in buffer.best.items():
             current = self.state.partners.get(partner)
             if current is None or newer.applied <= current.applied:
@@ -79,7 +77,13 @@
     def keep_chunks(
         self, partner: str, applied: int, chunks: list[bytes]
     ) -> None:
-        """Keep a signed snapshot for peers and drop records it covers."""
+        """Keep a signed snapshot for peers and drop the records it covers.
+
+        Args:
+            partner: The snapshot's partner.
+            applied: Offset of the last record in the snapshot.
+            chunks: All signed chunks of the snapshot.
+        """
         if applied <= self._snapshot_offsets[partner]:
             return
         self._snapshot_chunks[partner] = chunks
@@ -89,11 +93,11 @@
             self._recent_records.popleft()
 
     def snapshot_offset(self, partner: str) -> int:
-        """Return the offset of the latest kept snapshot, 0 for none."""
+        """Return the offset of the newest kept snapshot, 0 for none."""
         return self._snapshot_offsets[partner]
 
     def serve_peer(self, from_offset: int) -> messages.ConfigReply:
-        """Return what a peer at this offset lacks."""
+        """Return the records, and if needed the snapshots, a peer lacks."""
         first = (
             self._recent_records[0][0]
             if self._recent_records
@@ -118,31 +122,35 @@
     async def wait_applied(
         self, offset: int, wait_s: float
     ) -> messages.AppliedReply:
-        """Tell a peer what is in force once an offset is, or time is up."""
+        """Wait until an offset is applied, at most `wait_s` seconds.
+
+        Returns:
+            The reply to a peer, with the offset in force.
+        """
         with trio.move_on_after(wait_s):
             await self.applied.wait_for(offset)
         return messages.AppliedReply(self.applied.value)
 
     def find_team(self, partner: str, name: str) -> objects.Team | None:
-        """Return a team."""
+        """Return a team, None if there is none of that name."""
         key = objects.ObjectKey(partner, objects.Kind.TEAM, name)
         found = self.find(key)
         return found if isinstance(found, objects.Team) else None
 
     def find_route(self, partner: str, name: str) -> objects.Route | None:
-        """Return a route."""
+        """Return a route, None if there is none of that name."""
         key = objects.ObjectKey(partner, objects.Kind.ROUTE, name)
         found = self.find(key)
         return found if isinstance(found, objects.Route) else None
 
     def find_pool(self, partner: str, name: str) -> objects.Pool | None:
-        """Return a pool."""
+        """Return a pool, None if there is none of that name."""
         key = objects.ObjectKey(partner, objects.Kind.POOL, name)
         found = self.find(key)
         return found if isinstance(found, objects.Pool) else None
 
     def find(self, key: objects.ObjectKey) -> objects.ConfigObject | None:
-        """Return an object, typed; the checked form is kept."""
+        """Return an object, decoded and checked once a version."""
         stored = self.state.find(key)
         if stored is None:
             return None
@@ -158,7 +166,7 @@
     def list_objects(
         self, partner: str, kind: objects.Kind
     ) -> list[tuple[str, objects.ConfigObject]]:
-        """Return the partner's objects of a kind with their names."""
+        """Return a partner's valid objects of a kind with their names."""
         found = []
         for key, _ in self.state.iterate(kind):
             typed = self.find(key) if key.partner == partner else None
--- a/packages/daemon/src/martenquay_daemon/discovery/__init__.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Follow the catalog and the runners in the platform's log."""
+"""Follow the catalog, the runners and other topics of the platform's log."""
--- a/packages/daemon/src/martenquay_daemon/discovery/catalog_sink.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/catalog_sink.py
@@ -1,4 +1,4 @@
-"""Feed the catalog's topic into the store."""
+"""Pass catalog records of the log to the catalog store."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 class CatalogSink:
-    """Implement `keyed_follower.RecordSink` for the catalog."""
+    """A `keyed_follower.RecordSink` that passes records to the store."""
 
     def __init__(self, store: catalog_store.CatalogStore, key: str) -> None:
         self._store = store
         self._key = key
 
     def replace_all(self, snapshot: ports.Snapshot) -> None:
-        """Take the newest records; a missing one changes nothing."""
+        """Offer each record; the version in force stays if there is none."""
         for record in snapshot.records:
             self.apply_change(record)
 
     def apply_change(self, record: ports.KeyedRecord) -> None:
-        """Offer the record to the store if it is the catalog."""
+        """Offer the record to the store if it has the catalog's key."""
         if record.key == self._key and record.value is not None:
             self._store.offer(record.value, f"log offset {record.offset}")
--- a/packages/daemon/src/martenquay_daemon/discovery/catalog_store.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/catalog_store.py
@@ -1,4 +1,4 @@
-"""Hold the catalog in force; it never goes back to an older version."""
+"""Hold the catalog in force; only a newer version replaces it."""
 
 from __future__ import annotations
 
@@ -15,19 +15,18 @@
 __all__ = ["CatalogStore", "create_store"]
 
 _LOG = logs.create_log("catalog")
-# The fastest: 1,400 routes, 275 kB, take 0.8 ms and become 9 kB; higher levels
-# save nothing more.
+# The fastest level; higher ones make a catalog hardly smaller.
 _COMPRESSION_LEVEL = 1
-# Far above what the log takes as one record; bounds the memory of a bad copy.
+# Bounds the memory that a malformed copy takes; a record of the log is smaller.
 _MAX_CATALOG_BYTES = 16_777_216
 
 
 class CatalogStore:
-    """The catalog in force.
+    """The catalog in force, decoded, encoded and compressed.
 
     Attributes:
-        table: Its lookups.
-        raw: The record that it was decoded from; empty before the first.
+        table: Lookups in the catalog by route and team.
+        raw: Encoded record of the catalog; empty before the first version.
     """
 
     def __init__(self, codec: ports.PlatformCodec) -> None:
@@ -38,11 +37,10 @@
 
     @property
     def packed(self) -> bytes:
-        """The record for other daemons, compressed; empty before the first.
+        """Compressed record for other daemons; empty before the first version.
 
-        A hub hands it to all daemons of its zone. As it came from the log, a
-        configuration with 1,400 routes held up a link of 10 Mbit/s for 8.6 s
-        with 39 daemons, and the hub's answers on allowances with it.
+        A hub sends it to all daemons of its zone. Uncompressed, a large catalog
+        would delay the hub's quota replies on a slow link by seconds.
         """
         if self.raw and not self._packed:
             self._packed = zlib.compress(self.raw, _COMPRESSION_LEVEL)
@@ -50,11 +48,19 @@
 
     @property
     def version(self) -> int:
-        """The version in force; 0 before the first."""
+        """Number of the version in force; 0 before the first."""
         return self.table.catalog.version
 
     def offer_packed(self, packed: bytes, source: str) -> bool:
-        """Put a peer's version in force if it is newer; tell whether it was."""
+        """Put a peer's compressed catalog in force if it is newer.
+
+        Args:
+            packed: The peer's compressed record.
+            source: Who sent it, for the log line.
+
+        Returns:
+            Whether it was valid and newer.
+        """
         if packed == self._packed:
             return False
         unpacker = zlib.decompressobj()
@@ -77,7 +83,15 @@
         return True
 
     def offer(self, raw: bytes, source: str) -> bool:
-        """Put a version in force if it is newer; tell whether it was."""
+        """Put an encoded catalog in force if it is newer.
+
+        Args:
+            raw: The encoded record.
+            source: Where it came from, for the log line.
+
+        Returns:
+            Whether it was valid and newer.
+        """
         if raw == self.raw:
             return False
         try:
@@ -106,5 +120,5 @@
 
 
 def create_store(codec: ports.PlatformCodec) -> CatalogStore:
-    """Return a store that knows no version yet."""
+    """Return a store without a catalog."""
     return CatalogStore(codec)
--- a/packages/daemon/src/martenquay_daemon/discovery/contact.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/contact.py
@@ -1,4 +1,4 @@
-"""Remember how fresh what was read from the platform's log is."""
+"""Track when the platform's log last answered, and outages of it."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 __all__ = ["LogContact"]
 
 _LOG = logs.create_log("platform-log")
-# A shorter silence is a lost call, not an outage: runners miss no heartbeat
-# that would make their entries lapse (three of 1.2 s).
+# In a shorter gap no runner's entry lapses (three heartbeats of 1.2 s).
 _MIN_OUTAGE_S = 2.0
 
 
 class LogContact:
-    """Whether the log answers this daemon.
+    """Whether and when the platform's log answered.
 
     Attributes:
         is_lost: The last call failed.
-        last_answer_at: When it last answered, in trio's time.
-        regained_at: When it answered again after an outage; minus infinity
-            if there was none.
+        last_answer_at: When the log last answered, in trio's time; minus
+            infinity before the first answer.
+        regained_at: When the log answered again after the last outage, in
+            trio's time; minus infinity if there was none.
     """
 
     def __init__(self) -> None:
@@ -37,7 +37,7 @@
         return trio.current_time() - self.last_answer_at
 
     def note_answer(self) -> None:
-        """Note an answer."""
+        """Record that a call was answered."""
         now = trio.current_time()
         away_s = now - self.last_answer_at
         if self.is_lost:
@@ -53,17 +53,29 @@
         return trio.current_time() - self.regained_at
 
     def note_regained_elsewhere(self, at: float) -> None:
-        """Note when a daemon that reads for this one had the log again."""
+        """Record the end of an outage that a peer saw.
+
+        Args:
+            at: When the log answered the peer again, in trio's time.
+        """
         self.regained_at = max(self.regained_at, at)
 
     def note_relayed(self, age_s: float) -> None:
-        """Note that a daemon that reads for this one had an answer lately."""
+        """Record an answer to the hub that reads the log for this daemon.
+
+        Args:
+            age_s: Seconds since that answer.
+        """
         self.is_lost = False
         answered_at = trio.current_time() - age_s
         self.last_answer_at = max(self.last_answer_at, answered_at)
 
     def note_failure(self, message: str) -> None:
-        """Note a call without an answer."""
+        """Record that a call failed.
+
+        Args:
+            message: Why, for the log line.
+        """
         if not self.is_lost:
             _LOG.write(f"The log does not answer: {message}.")
         self.is_lost = True
--- a/packages/daemon/src/martenquay_daemon/discovery/copy_age.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/copy_age.py
@@ -1,4 +1,4 @@
-"""Know how old this daemon's copy of a topic is."""
+"""Track how old this daemon's copy of a topic is."""
 
 from __future__ import annotations
 
@@ -15,7 +15,14 @@
 
 
 class Step(enum.StrEnum):
-    """By which way a copy was found to be complete, or what it served for."""
+    """Event at which the age of a copy is observed.
+
+    Attributes:
+        READ: This daemon read the topic to its end.
+        REPORTED: A hub reported how far it has read.
+        COPIED: A peer sent its copy.
+        USED: A request used the copy.
+    """
 
     READ = "read"
     REPORTED = "reported"
@@ -28,15 +35,15 @@
 
 
 class CopyAge:
-    """How long ago the copy of a topic was complete for the last time.
+    """Time since the copy of a topic was last known to be complete.
 
-    That the log answers does not tell it: reads of one topic may hang while
+    `contact.LogContact` can't tell this: reads of one topic may hang while
     others are answered.
 
     Attributes:
-        confirmed_at: All that was acknowledged until then is in the copy; in
-            trio's time.
-        observe: Told the age at each step, in seconds.
+        confirmed_at: All records acknowledged until then are in the copy; in
+            trio's time, minus infinity before the first confirmation.
+        observe: Called with the age in seconds at each event.
     """
 
     def __init__(self) -> None:
@@ -45,17 +52,23 @@
 
     @property
     def age_s(self) -> float:
-        """Seconds since the copy was complete for the last time."""
+        """Seconds since the copy was last known to be complete."""
         return trio.current_time() - self.confirmed_at
 
     def confirm(self, at: float, step: Step) -> None:
-        """Note that the copy holds all that was acknowledged until a time."""
-        # What the wait for this news had let the copy come to.
+        """Record that the copy holds all records acknowledged until a time.
+
+        Args:
+            at: That time, in trio's time.
+            step: How this was found.
+        """
+        # Before the confirmation resets it, so that the metric has the age
+        # that the copy reached.
         self._observe_age(step)
         self.confirmed_at = max(self.confirmed_at, at)
 
     def note_use(self) -> int | None:
-        """Return the age in ms for the line of a decision, if it is known."""
+        """Observe the age at a use; return it in ms, or None if unknown."""
         self._observe_age(Step.USED)
         return round(self.age_s * 1000) if self._is_known() else None
 
--- a/packages/daemon/src/martenquay_daemon/discovery/first_reading.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/first_reading.py
@@ -1,4 +1,4 @@
-"""Wait for what a daemon has to read before it can decide on requests."""
+"""Hold requests until a starting daemon has read its topics once."""
 
 from __future__ import annotations
 
@@ -14,18 +14,16 @@
 __all__ = ["FirstReading", "create_first_reading"]
 
 _LOG = logs.create_log("catalog")
-# The first reads of the log take 20 to 60 ms, when all daemons start at once.
-# Longer than this the log is away, and callers are better told so.
+# The first reads take less, even when all daemons start at once; if the log is
+# down, callers get their error after this time.
 _MAX_WAIT_S = 0.25
 
 
 class FirstReading:
-    """Hold requests that come while a daemon reads the log for the first time.
+    """Waits for the first read of each topic.
 
-    When all daemons restart, callers that waited for them connect within
-    milliseconds. Told to come back, each spends its only retry: of the
-    requests of the two seconds around such a restart 15 to 30% were refused
-    for nothing but that.
+    When all daemons restart, callers reconnect within milliseconds. A rejection
+    then would use up the only retry that a caller has.
     """
 
     def __init__(self, sources: Mapping[str, trio.Event]) -> None:
@@ -33,7 +31,7 @@
         self._deadline = trio.current_time() + _MAX_WAIT_S
 
     async def wait(self) -> None:
-        """Return when all is read, or when that takes too long."""
+        """Return when all topics are read, or at the deadline."""
         if not self._sources:
             return
         with trio.move_on_at(self._deadline):
@@ -45,10 +43,14 @@
         if missing:
             _LOG.write("Decided before all was read.", missing=missing)
         if not missing or trio.current_time() >= self._deadline:
-            # From now on nobody waits.
+            # Otherwise each later request would write the line above.
             self._sources.clear()
 
 
 def create_first_reading(sources: Mapping[str, trio.Event]) -> FirstReading:
-    """Return a wait for all of these events, from now on."""
+    """Return a wait whose time limit starts now.
+
+    Args:
+        sources: Events that are set after the first read, by name for the log.
+    """
     return FirstReading(sources)
--- a/packages/daemon/src/martenquay_daemon/discovery/joint_sink.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/joint_sink.py
@@ -1,4 +1,4 @@
-"""Feed one topic to several parts that each take their own records of it."""
+"""Pass the records of one topic to several sinks."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 
 class JointSink:
-    """Implement `keyed_follower.RecordSink` for several."""
+    """A `keyed_follower.RecordSink` that calls several others in order."""
 
     def __init__(self, *sinks: keyed_follower.RecordSink) -> None:
         self._sinks = sinks
 
     def replace_all(self, snapshot: ports.Snapshot) -> None:
-        """Tell all."""
+        """Pass the snapshot to each sink."""
         for sink in self._sinks:
             sink.replace_all(snapshot)
 
     def apply_change(self, record: ports.KeyedRecord) -> None:
-        """Tell all."""
+        """Pass the record to each sink."""
         for sink in self._sinks:
             sink.apply_change(record)
--- a/packages/daemon/src/martenquay_daemon/discovery/keyed_follower.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/keyed_follower.py
@@ -1,4 +1,4 @@
-"""Follow a keyed topic of the platform's log from its newest records on."""
+"""Keep a sink up to date with a keyed topic of the platform's log."""
 
 from __future__ import annotations
 
@@ -21,11 +21,10 @@
 __all__ = ["ReadSchedule", "KeyedFollower", "RecordSink"]
 
 _LOG = logs.create_log("platform-log")
-# Refused calls are paid for like others; a second is soon enough to be up to
-# date when an outage ends.
+# Failed calls are billed like others, so retries back off.
 _FIRST_RETRY_S = 0.2
 _MAX_RETRY_S = 1.0
-# Whoever writes such records may go on; a line in this time says it.
+# A faulty writer may go on; a line a record would flood the log.
 _UNREADABLE_LOG_INTERVAL_S = 10.0
 
 
@@ -34,26 +33,27 @@
 
 
 class RecordSink(Protocol):
-    """Takes the records of a topic."""
+    """Receives the records of a topic."""
 
     def replace_all(self, snapshot: ports.Snapshot) -> None:
-        """Take the newest record of each key; other keys are gone."""
+        """Apply the newest record of each key; other keys are removed."""
 
     def apply_change(self, record: ports.KeyedRecord) -> None:
-        """Take one more record."""
+        """Apply a record that is newer than those before."""
 
 
 @dataclasses.dataclass(frozen=True)
 class ReadSchedule:
-    """How a topic is read.
+    """Waits and pauses, in seconds, of the reads of a topic.
 
     Attributes:
-        wait_s: How long one read waits for a record.
-        pause_s: Between two reads, so that records come in batches.
-        large_fleet_wait_s: Like `wait_s`, in a large fleet, whose reads add up.
-        large_fleet_pause_s: Like `pause_s`, in a large fleet.
-        idle_s: While the topic need not be read, between two looks whether it
-            is needed again.
+        wait_s: How long one read waits for a record (long poll).
+        pause_s: Pause between two reads, so that records come in batches.
+        large_fleet_wait_s: Replaces `wait_s` in a large fleet, where the reads
+            of all daemons add up; None keeps `wait_s`.
+        large_fleet_pause_s: Replaces `pause_s` in a large fleet.
+        idle_s: While the topic need not be read, pause between two checks
+            whether it is needed again.
     """
 
     wait_s: float
@@ -64,13 +64,18 @@
 
 
 class KeyedFollower:
-    """Keep a sink up to date with one topic.
+    """Reads one topic and passes its records to a sink.
+
+    The first read, and each read after records were lost, gets the newest
+    record of each key; the others get the records since the last read.
 
     Attributes:
-        end: The offset up to which the sink has been told; -1 before that.
-        first_read: Set once the sink has been told what there is.
+        end: Offset after the last record that the sink holds; -1 before the
+            first read.
+        first_read: Set once the sink holds a copy of the topic.
         copy_age: How old the sink's copy is.
-        on_unreadable: Told the topic of each record that has no key.
+        on_unreadable: Called with the topic for each record without a
+            readable key.
     """
 
     def __init__(
@@ -97,7 +102,7 @@
         self._schedule = schedule
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Read the topic until cancelled."""
         retry_s = _FIRST_RETRY_S
         while True:
             if self.end >= 0 and not self._is_needed():
@@ -123,15 +128,18 @@
         )
 
     def skip_to(self, end: int) -> None:
-        """Read on from `end`: a peer has told the sink all before it."""
+        """Continue at `end`, as a peer has sent the sink all before it."""
         self.end = max(self.end, end)
         self.first_read.set()
 
     async def read_now(self) -> bool:
-        """Read what there is, beside the following; tell whether it could.
+        """Read the topic at once, beside `run`.
+
+        A daemon that leaves reading to a hub may be many records behind, so it
+        reads only the newest of each key.
 
-        A daemon for which others read may be far behind in the records; the
-        newest of each key are fewer.
+        Returns:
+            Whether the log answered.
         """
         if self._is_needed():
             return await self._read_once(0.0)
@@ -151,14 +159,15 @@
         if found.is_lost:
             return await self._read_newest()
         for offset, payload in enumerate(found.records, found.start):
-            # A peer may have told newer records while this read waited.
+            # A peer may have sent newer records while this read waited.
             if offset >= self.end:
-                # First, or a record that nobody can read would be read again
-                # by each new start of the task, and none behind it.
+                # Before the sink is called: if a record makes it raise, the
+                # restarted task would read that one again and none after it.
                 self.end = offset + 1
                 self._apply_payload(payload, offset)
         if self.end >= found.end:
-            # Without a record the log has waited as long as it was asked to.
+            # A page without records shows the topic complete until the end of
+            # the long poll; one with records, only until its start.
             waited_s = 0.0 if found.records else wait_s
             complete_at = min(started_at + waited_s, trio.current_time())
             self.copy_age.confirm(complete_at, copy_age.Step.READ)
@@ -173,7 +182,7 @@
         self._sink.apply_change(record)
 
     def _report_unreadable(self, count: int, problem: str) -> None:
-        """Count records that say nothing of any key; the others hold."""
+        """Count records without a readable key; log them at intervals."""
         for _ in range(count):
             self.on_unreadable(self._topic)
         now = trio.current_time()
--- a/packages/daemon/src/martenquay_daemon/discovery/paces.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/paces.py
@@ -1,4 +1,4 @@
-"""Say how often each topic of the platform's log is read."""
+"""How often the daemon reads each topic of the platform's log."""
 
 from __future__ import annotations
 
@@ -6,30 +6,28 @@
 
 __all__ = ["CATALOG", "MEMBERS", "RUNNERS", "STEPS", "STRIKES"]
 
-# Operators' changes are rare and wanted at once. A poll that was lost in a cut
-# is found out when its wait is over, or when another call shows that the log
-# is well; digests tell of a newer version earlier.
+# Operators' changes are rare and needed at once. The wait bounds how long a
+# poll that a network partition cut off goes unnoticed.
 CATALOG = keyed_follower.ReadSchedule(wait_s=2.0, large_fleet_wait_s=5.0)
-# Runners write their entries all the time; a leaving one may get requests
-# for 2 s more, so reading twice a second is early enough. In a large fleet
-# that is for one hub of each zone; the others read to take over.
+# Runners write heartbeats all the time, and a draining one accepts requests for
+# 2 s more. In a large fleet one hub of each zone reads at this rate; the others
+# read less often, to take over.
 RUNNERS = keyed_follower.ReadSchedule(
     wait_s=1.0, pause_s=0.5, large_fleet_pause_s=1.2
 )
-# Daemons that start announce themselves to their seeds as well, and all at
-# once when all start; each record alone would wake each daemon.
+# Daemons that start announce themselves to their seeds as well. Without the
+# pause each record would wake each daemon when all start at once.
 MEMBERS = keyed_follower.ReadSchedule(
     wait_s=30.0, pause_s=1.0, large_fleet_pause_s=5.0
 )
-# Strikes are rare, and wanted at once: a request that crashed a runner is back
-# 40 ms later at another daemon. Many requests end with a runner, so in a large
-# fleet their strikes come in batches. A poll that was lost in a cut is found
-# out when another call shows that the log is well.
+# Crash records are rare and needed at once: the request that crashed a runner
+# is retried at another daemon within milliseconds. In a large fleet the pause
+# batches the records of all requests that ended with one runner.
 STRIKES = keyed_follower.ReadSchedule(
     wait_s=10.0, large_fleet_wait_s=30.0, large_fleet_pause_s=0.3
 )
-# Steps are wanted at once while an order is open, and not read before. A poll
-# that was lost in a cut is found out when its wait is over.
+# Rollout steps are needed at once while a rollout order is open, and not read
+# otherwise. The wait bounds how long a cut-off poll goes unnoticed.
 STEPS = keyed_follower.ReadSchedule(
     wait_s=2.0, large_fleet_wait_s=5.0, idle_s=1.0
 )
--- a/packages/daemon/src/martenquay_daemon/discovery/refresher.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/refresher.py
@@ -1,10 +1,4 @@
-"""Have a copy of a topic read anew before it is used too old.
-
-However the news of a topic come, by a read of one's own, a hub's report or a
-peer's copy, each step may be late. What decides is how old the copy is when it
-is used, so that is where it is looked at. A copy may be too old because the
-log is away; then it goes on serving, for nothing newer is to be had.
-"""
+"""Read a topic again before a copy of it that is too old is used."""
 
 from __future__ import annotations
 
@@ -22,13 +16,11 @@
 __all__ = ["CopyRefresher", "create_refresher"]
 
 _LOG = logs.create_log("platform-log")
-# A read takes 4 to 30 ms; on a connection that has gone silent 0.3 s, and the
-# requests that come meanwhile wait no longer than this.
+# Longest wait of a request; a read takes less unless its connection is silent.
 _MAX_WAIT_S = 0.15
-# Between two reads of a log that is away.
 _RETRY_INTERVAL_S = 0.5
-# It is read on until it is back, so that the next request need not wait, for
-# so long after the last one that wanted it.
+# A log that is down is read again for this long after the last request, so that
+# the next one need not wait when it is back.
 _RETRY_PERIOD_S = 3.0
 
 
@@ -40,7 +32,10 @@
 
 
 class CopyRefresher:
-    """Read a topic before its copy is used at too high an age.
+    """Reads a topic when its copy is too old at the time of use.
+
+    Reads, hub reports and peers' copies may each be late, so only the age at
+    the use is checked. While the log is down, the old copy is used.
 
     Attributes:
         age: How old the copy is.
@@ -62,7 +57,7 @@
         self._requested_at = -math.inf
 
     async def run(self) -> None:
-        """Read when it is asked for, until cancelled."""
+        """Read when a request needs it, until cancelled."""
         while True:
             await self._read_requested.wait()
             await self._read_log()
@@ -74,16 +69,16 @@
                 self._read_requested = trio.Event()
 
     async def refresh(self) -> None:
-        """Return when the copy is young enough or nothing newer is to be had.
+        """Wait until the copy is recent enough or the log is found to be down.
 
-        Takes no time while it is.
+        Returns at once while the copy is recent enough.
         """
         if self.age.age_s <= self._max_age_s:
             return
         self._requested_at = trio.current_time()
         self._read_requested.set()
-        # A log that is away would hold up each request and tell none of them
-        # anything; one that is back has been read when the next one comes.
+        # While the log is down, each request would wait for nothing; `run` goes
+        # on reading, so later requests find the copy recent once it is back.
         if self._is_log_down:
             return
         with trio.move_on_after(_MAX_WAIT_S) as limit:
@@ -110,11 +105,11 @@
 def create_refresher(
     follower: keyed_follower.KeyedFollower, name: str, max_age_s: float
 ) -> CopyRefresher:
-    """Return a refresher; its task is to be run.
+    """Return a refresher; the caller starts its `run`.
 
     Args:
         follower: Reads the topic.
-        name: Of what the topic holds, for the log.
-        max_age_s: A copy that is older is read before it is used.
+        name: What the topic holds, for log lines.
+        max_age_s: An older copy is read again before it is used.
     """
     return CopyRefresher(follower, name, max_age_s)
--- a/packages/daemon/src/martenquay_daemon/discovery/runner_directory.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/runner_directory.py
@@ -1,4 +1,4 @@
-"""Say which runners may get work, by their entries and what was found out."""
+"""Keep the runners that may get requests."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 __all__ = ["RunnerDirectory"]
 
 _LOG = logs.create_log("runners")
-# A live runner whose entry lapsed while the log was away writes it again
-# within this time of the log's return.
+# After an outage of the log, a live runner whose entry lapsed writes it again
+# within this time.
 _REREGISTRATION_GRACE_S = 2.2
-# A runner that answered for another one's id is remembered as gone for this
-# long; by then its entry has lapsed (three heartbeats) or been replaced.
+# By then the entry of a runner that lost its address has lapsed (three
+# heartbeats) or been replaced.
 _ADDRESS_TAKEN_S = 30.0
 
 
@@ -33,14 +33,17 @@
 
 
 class RunnerDirectory:
-    """Runners by id.
+    """The known runners by id.
+
+    Combines the entries in the log with what this daemon observed: answers
+    that report draining, addresses taken over, and outages of the log.
 
     Attributes:
-        entries: What the log holds of them; goes to other daemons.
-        leaving: The runners that have said in answers that they leave.
-        on_restart: Told the id of a runner whose process is a new one and
-            knows nothing of what was learnt of the one before.
-        on_unusable: Told the key of an entry that names no runner.
+        entries: The runners' entries in the log; peers get copies of them.
+        leaving: Drain reports that runners sent in answers.
+        on_restart: Called with the id of a runner whose process has restarted,
+            to drop state of the former process.
+        on_unusable: Called with the key of each entry that can't be decoded.
     """
 
     def __init__(
@@ -60,11 +63,11 @@
         self._zones_by_service: dict[str, set[str]] = {}
 
     def replace_all(self, snapshot: ports.Snapshot) -> None:
-        """Take the newest entries; runners without one are gone."""
+        """Apply the newest entries; runners without one are removed."""
         self._apply(self.entries.replace_all(snapshot))
 
     def apply_change(self, record: ports.KeyedRecord) -> None:
-        """Take one entry, or the end of one."""
+        """Apply one runner's new entry, or the removal of it."""
         self._apply([self.entries.apply_record(record)])
 
     def apply_copies(
@@ -72,21 +75,22 @@
         copies: list[runner_entries.RunnerCopy],
         runner_ids: set[str],
     ) -> None:
-        """Take entries from a peer that has read further in the log.
+        """Apply entries of a peer that has read further in the log.
 
         Args:
-            copies: Those that this daemon may lack.
-            runner_ids: All that there are.
+            copies: Entries that this daemon may lack.
+            runner_ids: Ids of all runners that have an entry; others are
+                removed.
         """
         self._apply(self.entries.apply_copies(copies, runner_ids))
 
     def find(self, runner_id: str) -> runners.Runner | None:
-        """Return a runner by id."""
+        """Return a runner by id, None if it is not known."""
         self._apply_deadlines()
         return self._runners.get(runner_id)
 
     def list_all(self, service: str) -> list[runners.Runner]:
-        """Return the runners of a service, those that leave too."""
+        """Return the runners of a service, draining ones included."""
         self._apply_deadlines()
         return [
             runner
@@ -95,7 +99,7 @@
         ]
 
     def list_usable(self, service: str) -> list[runners.Runner]:
-        """Return the runners of a service that may get new work."""
+        """Return the runners of a service that may get new requests."""
         return [
             runner
             for runner in self.list_all(service)
@@ -104,7 +108,7 @@
         ]
 
     def is_leaving(self, runner: runners.Runner) -> bool:
-        """Tell whether a runner has said that it leaves, by whatever way."""
+        """Tell whether a runner drains, by its entry or its answers."""
         return runner.is_leaving or self.leaving.is_draining(runner)
 
     def list_zones(self, service: str) -> set[str]:
@@ -112,7 +116,7 @@
         return set(self._zones_by_service.get(service, ()))
 
     def note_gone(self, runner_id: str) -> None:
-        """Note that another runner answered at this one's address."""
+        """Leave a runner out for a while: another answers at its address."""
         if (
             runner_id in self._runners
             and runner_id not in self._address_taken_until
@@ -126,7 +130,7 @@
             )
 
     def find_time_left(self, runner_id: str) -> float:
-        """Return the seconds until a leaving runner ends, if it said so."""
+        """Return the seconds until a draining runner ends, or infinity."""
         return (
             self._departure_times.get(runner_id, math.inf) - trio.current_time()
         )
@@ -186,7 +190,7 @@
         self.on_restart(runner.id)
 
     def _resolve_address_conflict(self, runner: runners.Runner) -> None:
-        """Note which runner is at an address that two entries name."""
+        """Keep the later one of two runners with the same address."""
         for other in self._runners.values():
             if other.address != runner.address or other.id == runner.id:
                 continue
@@ -211,7 +215,8 @@
     def _handle_unusable(self, runner_id: str, problem: str) -> None:
         self.on_unusable(runner_id)
         if runner_id in self._unusable_ids:
-            # Its writer may go on; one line says it.
+            # The writer may repeat the entry with each heartbeat, and each
+            # would write a line.
             return
         self._unusable_ids.add(runner_id)
         _LOG.write(
@@ -251,7 +256,7 @@
 
 
 def _has_started_later(one: runners.Runner, other: runners.Runner) -> bool:
-    """Tell whether a runner's process is surely the later one."""
+    """Tell whether both start times are known and the first is later."""
     if one.born_ms is None or other.born_ms is None:
         return False
     return one.born_ms > other.born_ms
--- a/packages/daemon/src/martenquay_daemon/discovery/runner_entries.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/runner_entries.py
@@ -1,9 +1,4 @@
-"""Fold the runners' records into what the log holds of each runner.
-
-Only what the log says is kept here. What a daemon makes of it for reasons of
-its own, such as waiting for an entry to come back, is the directory's: a copy
-of this goes to other daemons, which then take it for the log itself.
-"""
+"""Keep the newest entry of each runner, as the log holds it."""
 
 from __future__ import annotations
 
@@ -29,12 +24,12 @@
 
 
 class RunnerCopy(msgspec.Struct, frozen=True, array_like=True):
-    """One runner's entry as it lies in the log.
+    """One runner's entry as the log holds it.
 
     Attributes:
         key: The runner's id.
-        offset: The record's offset.
-        value: The record's content.
+        offset: Offset of the record in the log.
+        value: Encoded content of the record.
     """
 
     key: str
@@ -44,11 +39,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class EntryUpdated:
-    """An entry says something new.
+    """An entry is new or has changed.
 
     Attributes:
-        runner: What it says.
-        previous: What it said before; None if there was no such entry.
+        runner: The runner by the new entry.
+        previous: The runner by the entry before; None if there was none that
+            could be decoded.
     """
 
     runner: runners.Runner
@@ -57,7 +53,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class EntryConfirmed:
-    """An entry says only that its runner still lives."""
+    """A record changes nothing: a heartbeat, or an outdated one."""
 
 
 @dataclasses.dataclass(frozen=True)
@@ -65,7 +61,7 @@
     """A runner has no entry any more.
 
     Attributes:
-        runner_id: Its id.
+        runner_id: The runner's id.
     """
 
     runner_id: str
@@ -73,11 +69,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class EntryUnusable:
-    """An entry names no runner that could be used.
+    """An entry can't be decoded.
 
     Attributes:
-        runner_id: Its key.
-        problem: What is wrong with it.
+        runner_id: Key of the entry.
+        problem: The decoder's message.
     """
 
     runner_id: str
@@ -90,16 +86,20 @@
 @dataclasses.dataclass(frozen=True)
 class _Entry:
     copy: RunnerCopy
-    # None if the record names no runner that could be used.
+    # None if the record can't be decoded.
     runner: runners.Runner | None
 
 
 class RunnerEntries:
     """The newest entry of each runner.
 
+    Holds only what the log holds: peers that get copies treat them as the log.
+    Decisions of this daemon, such as a grace time for a lapsed entry, are kept
+    in `runner_directory.RunnerDirectory`.
+
     Attributes:
-        changed_end: The end of the records up to the last one that said
-            something new; heartbeats do not count.
+        changed_end: Offset after the last record that changed an entry;
+            heartbeats don't count.
     """
 
     def __init__(self, codec: ports.PlatformCodec) -> None:
@@ -108,7 +108,7 @@
         self._entries: dict[str, _Entry] = {}
 
     def replace_all(self, snapshot: ports.Snapshot) -> list[EntryChange]:
-        """Take the newest records; entries without one have ended."""
+        """Apply the newest records; entries without one are removed."""
         changes = [self.apply_record(record) for record in snapshot.records]
         kept_ids = {r.key for r in snapshot.records if r.value is not None}
         ended = self._remove_all_except(kept_ids)
@@ -117,34 +117,35 @@
         return changes + ended
 
     def apply_record(self, record: ports.KeyedRecord) -> EntryChange:
-        """Take one record."""
+        """Apply one record; one without a value removes the entry."""
         if record.value is not None:
             copy = RunnerCopy(record.key, record.offset, record.value)
             return self._store(copy)
         self._entries.pop(record.key, None)
-        # Also if it was not known here: it may be to those that copy this.
+        # Also for an unknown key: peers that copy these entries may hold it.
         self._advance_changed_end(record.offset)
         return EntryRemoved(record.key)
 
     def apply_copies(
         self, copies: Iterable[RunnerCopy], runner_ids: set[str]
     ) -> list[EntryChange]:
-        """Take entries from a peer that has read further in the log.
+        """Apply entries of a peer that has read further in the log.
 
         Args:
-            copies: Those that this daemon may lack.
-            runner_ids: All that there are.
+            copies: Entries that this daemon may lack.
+            runner_ids: Ids of all runners that have an entry; others are
+                removed.
         """
         ordered = sorted(copies, key=lambda copy: copy.offset)
         changes = [self._store(copy) for copy in ordered]
         return changes + self._remove_all_except(runner_ids)
 
     def list_copies(self) -> list[RunnerCopy]:
-        """Return all entries for a peer that cannot read the log."""
+        """Return all entries, for a peer."""
         return [entry.copy for entry in self._entries.values()]
 
     def list_ids(self) -> set[str]:
-        """Return the ids of all entries, those that cannot be used too."""
+        """Return the ids of all entries, undecodable ones included."""
         return set(self._entries)
 
     def _store(self, copy: RunnerCopy) -> EntryChange:
@@ -157,11 +158,12 @@
         except ValueError as error:
             return self._store_unusable(copy, known, str(error))
         if previous is not None and _is_from_earlier_process(runner, previous):
-            # Written by the process before, and late.
+            # A late record of the former process must not replace the entry of
+            # the present one.
             return EntryConfirmed()
         if previous is not None and not _is_changed(previous, runner):
-            # The copy stays at the record that said this first: heartbeats
-            # of a thousand runners are not worth handing on.
+            # The stored copy stays, so that peers don't get the heartbeats of
+            # all runners.
             return EntryConfirmed()
         self._entries[copy.key] = _Entry(copy, runner)
         self._advance_changed_end(copy.offset)
@@ -188,16 +190,17 @@
 def _is_from_earlier_process(
     runner: runners.Runner, previous: runners.Runner
 ) -> bool:
-    """Tell whether an entry is of an earlier process than the one known."""
+    """Tell whether an entry was written by an earlier process."""
     if runner.born_ms is None or previous.born_ms is None:
         return False
     return runner.born_ms < previous.born_ms
 
 
 def _is_changed(previous: runners.Runner, runner: runners.Runner) -> bool:
-    """Tell whether an entry says more than that its runner still lives.
+    """Tell whether an entry is more than a heartbeat.
 
-    How long a leaving runner stays is told once; it only grows less.
+    The remaining time of a draining runner falls with each heartbeat, so only
+    the first one counts.
     """
     if previous.is_leaving and runner.is_leaving:
         runner = dataclasses.replace(runner, leaves_in_s=previous.leaves_in_s)
--- a/packages/daemon/src/martenquay_daemon/operators/__init__.py
+++ b/packages/daemon/src/martenquay_daemon/operators/__init__.py
@@ -1,1 +1,1 @@
-"""Answer operators: queries read, commands change; each in a module."""
+"""Serve operators' queries and commands over HTTP."""
--- a/packages/daemon/src/martenquay_daemon/operators/app.py
+++ b/packages/daemon/src/martenquay_daemon/operators/app.py
@@ -1,4 +1,4 @@
-"""Serve operators' HTTP: `/v1/query` and `/v1/command`."""
+"""ASGI app for operators: `/v1/query` and `/v1/command`."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class _StatementRequest(pydantic.BaseModel):
-    """A statement as it comes over HTTP."""
+    """JSON body of a request: a statement and its options."""
 
     model_config = pydantic.ConfigDict(extra="forbid")
 
@@ -40,7 +40,7 @@
 
 
 class OperatorApp:
-    """The ASGI app for operators."""
+    """Authenticates operators, parses statements and passes them on."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
         receive: serving.Receive,
         send: serving.Send,
     ) -> None:
-        """Serve as an ASGI app."""
+        """Answer one ASGI request."""
         if scope["type"] == "lifespan":
             await serving.answer_lifespan(receive, send)
             return
--- a/packages/daemon/src/martenquay_daemon/operators/commands.py
+++ b/packages/daemon/src/martenquay_daemon/operators/commands.py
@@ -1,4 +1,4 @@
-"""Carry out commands: turn each into a change and see it through."""
+"""Execute operators' commands as configuration changes."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class CommandRequest:
-    """A command and who gives it.
+    """A parsed command with its sender and options.
 
     Attributes:
-        operator: Who.
-        change_id: Names the change, so that it can be sent again.
-        command: What is to be changed.
-        wait: Answer only when it is in force in every zone.
+        operator: Name of the operator who sent it.
+        change_id: Id of the change; makes sending it again idempotent.
+        command: The parsed statement.
+        wait: Answer only once the change is in force in every zone.
     """
 
     operator: str
@@ -38,14 +38,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class CommandResult:
-    """What an accepted command came to.
+    """Result of an accepted command.
 
     Attributes:
-        key: The object.
-        version: Its version now.
-        change_id: The change.
-        reported: Zones known to have it in force; empty without waiting.
-        missing: Zones that have not reported it.
+        key: Key of the changed object.
+        version: New version of the object: the offset of the change.
+        change_id: Id of the change.
+        reported: Zones that report it in force; empty without waiting.
+        missing: Zones that have not reported it; empty without waiting.
     """
 
     key: str
@@ -56,7 +56,7 @@
 
 
 class CommandDesk:
-    """Carry out the commands of one partner's operators."""
+    """Executes the commands of one partner's operators."""
 
     def __init__(
         self,
@@ -71,7 +71,7 @@
     async def execute(
         self, request: CommandRequest
     ) -> Result[CommandResult, results.Failure]:
-        """Put a command into force."""
+        """Check a command, append its change and wait for the verdict."""
         key = self._find_key(request.command)
         if key.partner != self._partner:
             code = results.ResultCode.FORBIDDEN
@@ -150,7 +150,7 @@
     def _find_problem(
         self, key: objects.ObjectKey, fields: dict[str, Any] | None
     ) -> str:
-        """Return what would make the change useless, or an empty text."""
+        """Return why the change would be invalid, or an empty string."""
         if fields is None:
             return self._find_dependent(key)
         checked = objects.check_object(key.kind, fields)
--- a/packages/daemon/src/martenquay_daemon/operators/queries.py
+++ b/packages/daemon/src/martenquay_daemon/operators/queries.py
@@ -1,4 +1,4 @@
-"""Answer queries; nothing here changes anything."""
+"""Answer operators' queries from this daemon and its peers."""
 
 from __future__ import annotations
 
@@ -37,17 +37,17 @@
     "limits": objects.Kind.LIMIT,
     "shares": objects.Kind.SHARE,
 }
-# What each daemon knows only of itself; all of the partner's are asked.
+# Each daemon has only its own rows of these, so all of the partner's are asked.
 _PER_DAEMON_NOUNS = {"requests", "tickets", "config"}
 _WHY = "why"
 
 
 @dataclasses.dataclass(frozen=True)
 class QueryResult:
-    """The rows of a query.
+    """Result of a query.
 
     Attributes:
-        rows: One object a row.
+        rows: One JSON object a row.
         silent: Daemons that were asked and did not answer.
     """
 
@@ -56,7 +56,7 @@
 
 
 class QueryDesk:
-    """Answer queries at one daemon."""
+    """Answers queries that reach this daemon."""
 
     def __init__(
         self,
@@ -83,7 +83,7 @@
     async def answer(
         self, query: statements.Query
     ) -> Result[QueryResult, results.Failure]:
-        """Return the rows of a query."""
+        """Return the rows that match a query, or a failure if none does."""
         match query:
             case statements.Why(request_id=request_id):
                 found = await self._collect_from_daemons(_WHY, request_id)
@@ -104,7 +104,7 @@
         return Ok(QueryResult(kept, found.silent))
 
     def answer_peer(self, message: messages.FetchRows) -> messages.Message:
-        """Return this daemon's own rows to a peer."""
+        """Return this daemon's rows as the reply to a peer."""
         own = self._list_own(message.noun, message.argument)
         return messages.RowsReply(msgspec.json.encode(own))
 
--- a/packages/daemon/src/martenquay_daemon/operators/rows.py
+++ b/packages/daemon/src/martenquay_daemon/operators/rows.py
@@ -1,4 +1,4 @@
-"""Define the rows that queries give."""
+"""Rows of query results, and how they are filtered and encoded."""
 
 from __future__ import annotations
 
@@ -25,18 +25,18 @@
 
 @dataclasses.dataclass(frozen=True)
 class RunnerRow:
-    """A runner as this daemon sees it.
+    """A runner, as known to this daemon.
 
     Attributes:
-        name: The runner.
-        partner: Whose it is.
-        pool: Its pool.
-        zone: Its availability zone.
-        machine_class: Its price class.
-        price: Its price.
+        name: The runner's id.
+        partner: The partner that owns it.
+        pool: The runner's pool.
+        zone: The runner's availability zone.
+        machine_class: The runner's price class.
+        price: The runner's price.
         state: live, leaving or ejected.
-        ahead: Requests there, as well as is known.
-        in_flight: Requests of this daemon there.
+        ahead: Estimated requests in progress or queued at the runner.
+        in_flight: Requests of this daemon at the runner.
     """
 
     name: str
@@ -52,12 +52,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class DaemonRow:
-    """A daemon as this daemon sees it.
+    """A daemon, as known to this daemon.
 
     Attributes:
         name: The daemon's id.
-        partner: Its partner.
-        zone: Its availability zone.
+        partner: The daemon's partner.
+        zone: The daemon's availability zone.
         state: alive, leaving, suspect or dead.
     """
 
@@ -73,14 +73,14 @@
 
     Attributes:
         name: The request's id.
-        daemon: The daemon that answers it.
-        team: For whom it runs.
-        route: What was asked for.
-        urgency: How long it may wait.
-        runner: Where it runs; empty while it waits.
+        daemon: The daemon that received it.
+        team: The team that sent it.
+        route: The requested route.
+        urgency: The request's urgency class.
+        runner: The runner that serves it; empty while it is queued.
         zone: The runner's availability zone.
-        tokens: Tokens passed on so far.
-        age_s: Seconds since it came.
+        tokens: Tokens sent to the caller so far.
+        age_s: Seconds since it was received.
     """
 
     name: str
@@ -99,9 +99,9 @@
     """An accepted deferrable request without an answer.
 
     Attributes:
-        name: The ticket.
-        team: Who pays.
-        route: What was asked for.
+        name: The ticket's id.
+        team: The team that sent it.
+        route: The requested route.
         age_s: Seconds since its newest record was written.
     """
 
@@ -113,14 +113,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class DecisionRow:
-    """A decision on a request.
+    """A routing decision on a request.
 
     Attributes:
         name: The request's id.
         daemon: The daemon that decided.
-        at: When, in seconds since the epoch.
-        runner: The runner chosen.
-        reason: Why.
+        at: Time of the decision, in seconds since the epoch.
+        runner: The chosen runner.
+        reason: Why it was chosen.
     """
 
     name: str
@@ -132,14 +132,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class ObjectRow:
-    """A configured object.
+    """An object of the configuration.
 
     Attributes:
-        name: Its name.
-        partner: Its owner.
-        version: The offset of the change that made it so.
-        operator: Who made that change.
-        fields: Its fields; a credential is never shown.
+        name: The object's name.
+        partner: The partner that owns it.
+        version: Offset of the last change to it.
+        operator: The operator who made that change.
+        fields: The object's fields without its credential.
     """
 
     name: str
@@ -151,14 +151,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class ConfigRow:
-    """The configuration in force here.
+    """The configuration of a partner that is in force at a daemon.
 
     Attributes:
-        name: This daemon's id.
-        applied: The offset in force.
+        name: The daemon's id.
+        applied: Offset of the last applied record.
         source: log, or none while the log does not answer.
-        age_s: Seconds since the log last failed to answer; 0 while it does.
-        digest: Digest of the partner's state, to compare daemons by.
+        age_s: Seconds since the log stopped answering; 0 while it answers.
+        digest: Digest of the partner's state, to compare daemons.
         partner: The partner whose state it is.
     """
 
@@ -182,7 +182,7 @@
 
 
 def render_rows(rows: list[Row]) -> list[dict[str, Any]]:
-    """Return rows as they go out: objects with their fields side by side."""
+    """Return rows as JSON objects; `fields` are merged into their row."""
     rendered = []
     for row in rows:
         plain = msgspec.to_builtins(row)
@@ -194,7 +194,7 @@
 def filter_rows(
     rendered: list[dict[str, Any]], show: statements.Show
 ) -> list[dict[str, Any]]:
-    """Return the rows that a query's name and conditions keep."""
+    """Return the rows that match a query's name and conditions."""
     kept = rendered
     if show.name is not None:
         kept = [row for row in kept if row["name"] == show.name.name]
@@ -212,5 +212,6 @@
 
 
 def _matches(found: Any, wanted: statements.Value) -> bool:
-    # Words that look like numbers come as numbers from the parser.
+    # The parser returns a name that looks like a number as a number, which
+    # never equals the string in the row.
     return found == wanted or str(found) == str(wanted)
