--- a/packages/daemon/src/martenquay_daemon/configuration/changes.py
+++ b/packages/daemon/src/martenquay_daemon/configuration/changes.py
@@ -86,7 +86,7 @@
         payload = records.encode_change(change, self._signer)
         appended = await self._client.append(follower.CONFIG_STREAM, [payload])
         _LOG.write(
-            f"Operator {change.operator} asked to change {change.key}.",
+            f"Submitted operator {change.operator}'s change to {change.key}.",
             change=change.change_id,
             base=change.base_version,
         )
--- a/packages/daemon/src/martenquay_daemon/configuration/follower.py
+++ b/packages/daemon/src/martenquay_daemon/configuration/follower.py
@@ -109,7 +109,9 @@
             self.ready.set()
 
     async def _close_gap(self, start: int) -> None:
-        _LOG.write(f"Records before {start} are gone; looking for a snapshot.")
+        _LOG.write(
+            f"The log has no records before {start}; looking for a snapshot."
+        )
         await self._read_snapshots()
         if not self._config.can_continue(start):
             await self._ask_peers(self._list_peers())
@@ -168,8 +170,8 @@
             self.ready.set()
         if self._config.applied.value > before:
             _LOG.write(
-                f"Took the configuration up to {self._config.applied.value} "
-                f"from {peer}, for the log has not given it."
+                f"Applied the configuration up to {self._config.applied.value} "
+                f"from peer {peer}, as the log did not deliver it."
             )
 
     def _keep_complete_snapshots(self, buffer: snapshot.SnapshotBuffer) -> None:
--- a/packages/daemon/src/martenquay_daemon/configuration/store.py
+++ b/packages/daemon/src/martenquay_daemon/configuration/store.py
@@ -52,7 +52,9 @@
         self._recent_records.append((offset, raw))
         self.applied.advance(offset)
         verdict = judgement.verdict.value if judgement else "not signed"
-        _LOG.write(f"Record {offset}: {verdict}.", offset=offset)
+        _LOG.write(
+            f"Applied configuration record {offset}: {verdict}.", offset=offset
+        )
         return judgement
 
     def can_continue(self, start: int) -> bool:
@@ -68,7 +70,7 @@
             self.state.partners[partner] = newer
             self._checked_objects.clear()
             _LOG.write(
-                f"Took {partner}'s snapshot up to {newer.applied}.",
+                f"Applied {partner}'s snapshot up to {newer.applied}.",
                 partner=partner,
                 offset=newer.applied,
             )
--- a/packages/daemon/src/martenquay_daemon/discovery/catalog_store.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/catalog_store.py
@@ -70,10 +70,11 @@
             raw = b""
             problem = str(error)
         else:
-            problem = "it is cut off or too large"
+            problem = "truncated or too large"
         if not raw or not unpacker.eof:
             _LOG.write(
-                f"Kept version {self.version}: a copy is malformed: {problem}.",
+                f"Catalog version {self.version} stays in force: "
+                f"rejected a malformed copy: {problem}.",
                 learnt_from=source,
             )
             return False
@@ -98,7 +99,8 @@
             content = self._codec.decode_catalog(raw)
         except ValueError as error:
             _LOG.write(
-                f"Kept version {self.version}: a record is malformed: {error}.",
+                f"Catalog version {self.version} stays in force: "
+                f"rejected a malformed record: {error}.",
                 learnt_from=source,
             )
             return False
@@ -109,7 +111,7 @@
         self.raw = raw
         self._packed = b""
         _LOG.write(
-            f"Version {content.version} is in force.",
+            f"Catalog version {content.version} is in force.",
             version=content.version,
             previous=previous,
             learnt_from=source,
--- a/packages/daemon/src/martenquay_daemon/discovery/first_reading.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/first_reading.py
@@ -41,7 +41,10 @@
             name for name, event in self._sources.items() if not event.is_set()
         ]
         if missing:
-            _LOG.write("Decided before all was read.", missing=missing)
+            _LOG.write(
+                "Stopped waiting for the first read of all topics.",
+                missing=missing,
+            )
         if not missing or trio.current_time() >= self._deadline:
             # Otherwise each later request would write the line above.
             self._sources.clear()
--- a/packages/daemon/src/martenquay_daemon/discovery/keyed_follower.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/keyed_follower.py
@@ -205,7 +205,7 @@
                 self._contact.note_failure(snapshot.error.message)
                 return False
         if found.unreadable:
-            self._report_unreadable(found.unreadable, "their keys")
+            self._report_unreadable(found.unreadable, "no readable key")
         if found.end >= self.end:
             self._sink.replace_all(found)
             self.end = found.end
--- a/packages/daemon/src/martenquay_daemon/discovery/runner_directory.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/runner_directory.py
@@ -122,7 +122,7 @@
             and runner_id not in self._address_taken_until
         ):
             _LOG.write(
-                f"Another runner has the address of {runner_id}.",
+                f"Another runner answers at the address of {runner_id}.",
                 runner=runner_id,
             )
             self._address_taken_until[runner_id] = (
@@ -160,7 +160,7 @@
         )
         if previous is None:
             _LOG.write(
-                f"Runner {runner.id} is known.",
+                f"Discovered runner {runner.id}.",
                 runner=runner.id,
                 service=runner.service,
                 zone=runner.zone,
@@ -178,7 +178,7 @@
         self, runner: runners.Runner, previous: runners.Runner
     ) -> None:
         _LOG.write(
-            f"Runner {runner.id} has started again.",
+            f"Runner {runner.id} has restarted.",
             runner=runner.id,
             born_ms=runner.born_ms,
             previous_born_ms=previous.born_ms,
@@ -199,7 +199,7 @@
                 older, newer = runner, other
             if older.id not in self._replaced_ids:
                 _LOG.write(
-                    f"Runner {older.id} is gone: {newer.id} took its address.",
+                    f"Replaced runner {older.id} at its address by {newer.id}.",
                     runner=older.id,
                 )
                 self._replaced_ids.add(older.id)
@@ -220,7 +220,7 @@
             return
         self._unusable_ids.add(runner_id)
         _LOG.write(
-            f"Entry of {runner_id} names no runner to use: {problem}.",
+            f"Rejected the entry of runner {runner_id}: {problem}.",
             runner=runner_id,
         )
         self._remove(runner_id)
@@ -232,7 +232,9 @@
         if trio.current_time() < until:
             self._removal_deadlines.setdefault(runner_id, until)
             return
-        _LOG.write(f"Runner {runner_id} is gone.", runner=runner_id)
+        _LOG.write(
+            f"Removed runner {runner_id}: it has no entry.", runner=runner_id
+        )
         self._remove(runner_id)
 
     def _apply_deadlines(self) -> None:
@@ -240,7 +242,8 @@
         for runner_id, until in list(self._removal_deadlines.items()):
             if now >= until:
                 _LOG.write(
-                    f"Runner {runner_id} did not come back with the log.",
+                    f"Removed runner {runner_id}: its entry did not return "
+                    "after the outage of the log.",
                     runner=runner_id,
                 )
                 self._remove(runner_id)
--- a/packages/daemon/src/martenquay_daemon/operators/commands.py
+++ b/packages/daemon/src/martenquay_daemon/operators/commands.py
@@ -82,7 +82,8 @@
         judged = await self._changes.submit(built.ok)
         if judged.is_error():
             _LOG.write(
-                f"Change {request.change_id} to {key}: {judged.error.message}.",
+                f"Change {request.change_id} to {key} was not confirmed: "
+                f"{judged.error.message}.",
                 code=judged.error.code.value,
             )
             return Error(judged.error)
