--- a/tests/test_discovery/test_entry_copies.py
+++ b/tests/test_discovery/test_entry_copies.py
@@ -1,4 +1,4 @@
-"""A copy of the runners' entries holds what the age that it names says."""
+"""A copy of the runners' entries is complete up to its stated age."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 
 _DAEMONS = 3
 _RUNNERS = 2
-_STEPS = 40
+_MAX_STEPS = 40
 
 
 @dataclasses.dataclass(frozen=True)
 class _Step:
-    """One thing that happens.
+    """One step of a drawn scenario.
 
     Attributes:
-        kind: Which.
-        who: A runner or a daemon.
-        other: Another daemon.
-        wait_s: How long it takes, or time passes after it.
+        kind: What happens.
+        who: Number of the runner or the daemon.
+        other: Number of the daemon that is copied.
+        wait_s: Duration of the step, or time that passes after it.
     """
 
     kind: str
@@ -39,7 +39,7 @@
     *("read", "read", "copy", "copy", "copy"),
     *("lose", "lose", "restart", "pass"),
 )
-_DRAWN = strategies.lists(
+_STEP_LISTS = strategies.lists(
     strategies.builds(
         _Step,
         strategies.sampled_from(_KINDS),
@@ -48,11 +48,11 @@
         strategies.sampled_from((0.0, 0.1, 1.1, 2.3, 4.0)),
     ),
     min_size=4,
-    max_size=_STEPS,
+    max_size=_MAX_STEPS,
 )
 
 
-async def _do(world: entry_world.EntryWorld, step: _Step) -> None:
+async def _perform(world: entry_world.EntryWorld, step: _Step) -> None:
     daemon = world.daemons[step.who]
     runner = step.who % _RUNNERS
     match step.kind:
@@ -74,18 +74,14 @@
             await world.restart(step.who)
         case _:
             await trio.sleep(step.wait_s)
-    # What is read and what is written at one moment have no order.
+    # Without it, a read and a write at the same time would have no order.
     await trio.sleep(0.01)
 
 
 class EntryCopiesTest(clocked.ClockedTestCase):
-    # The hub of a zone read the log again after an outage; a runner that ended
-    # a moment later was kept for 2.2 s, for it might have come back. A daemon
-    # that copied the hub's entries in that time was told the end of what the
-    # hub had read, so it never read the record itself; when the hub dropped
-    # the runner, that was no news for anybody. The runner got requests 5.4 s
-    # after its entry had gone, by entries said to be 793 ms old.
-    def test_an_end_that_a_hub_defers_is_known_to_those_that_copy_it(
+    # A hub's copy sent during the grace time after an outage must have the
+    # removal: its receivers don't read that record themselves.
+    def test_a_removal_that_a_hub_defers_reaches_those_that_copy_it(
         self,
     ) -> None:
         async def scenario() -> None:
@@ -104,7 +100,7 @@
 
         self.run_clocked(scenario)
 
-    def test_a_runner_that_came_back_stays_with_those_that_copied_its_end(
+    def test_a_runner_that_returns_stays_with_those_that_copied_its_removal(
         self,
     ) -> None:
         async def scenario() -> None:
@@ -134,14 +130,14 @@
         derandomize=True,
         database=None,
     )
-    @hypothesis.given(steps=_DRAWN)
-    def test_no_daemon_knows_less_than_its_age_says(
+    @hypothesis.given(steps=_STEP_LISTS)
+    def test_a_copy_is_complete_up_to_its_stated_age(
         self, steps: list[_Step]
     ) -> None:
         async def scenario() -> None:
             world = entry_world.EntryWorld(_DAEMONS)
             for step in steps:
-                await _do(world, step)
+                await _perform(world, step)
                 for number, daemon in enumerate(world.daemons):
                     wrong = world.list_wrong(daemon)
                     self.assertEqual([], wrong, f"daemon {number}")
--- a/tests/test_discovery/test_first_reading.py
+++ b/tests/test_discovery/test_first_reading.py
@@ -1,4 +1,4 @@
-"""Requests that come while a daemon reads the log are held, but not long."""
+"""Requests wait, for a limited time, until a new daemon has read the log."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class FirstReadingTest(clocked.ClockedTestCase):
-    def test_requests_wait_until_all_is_read(self) -> None:
+    def test_requests_wait_until_all_topics_are_read(self) -> None:
         async def scenario() -> None:
             sources = {"catalog": trio.Event(), "runners": trio.Event()}
             reading = first_reading.create_first_reading(sources)
@@ -31,7 +31,7 @@
 
         self.run_clocked(scenario)
 
-    def test_nobody_waits_for_a_log_that_is_away(self) -> None:
+    def test_requests_are_held_only_briefly_while_the_log_is_down(self) -> None:
         async def scenario() -> None:
             sources = {"catalog": trio.Event()}
             reading = first_reading.create_first_reading(sources)
--- a/tests/test_discovery/test_followers.py
+++ b/tests/test_discovery/test_followers.py
@@ -1,4 +1,4 @@
-"""A follower tells each record once and in order, through gaps and outages."""
+"""A follower applies each record once and in order, also after outages."""
 
 from __future__ import annotations
 
@@ -18,34 +18,34 @@
 from tests import clocked
 from tests import serving_builders as builders
 
-_PACE = keyed_follower.ReadSchedule(wait_s=1.0)
+_SCHEDULE = keyed_follower.ReadSchedule(wait_s=1.0)
 
 
 class _Sink:
-    """Remember what was told."""
+    """Records the calls."""
 
     def __init__(self) -> None:
         self.snapshots: list[list[str]] = []
         self.records: list[tuple[int, str]] = []
 
     def replace_all(self, snapshot: ports.Snapshot) -> None:
-        """Remember a snapshot's keys."""
+        """Record a snapshot's keys."""
         self.snapshots.append(sorted(r.key for r in snapshot.records))
 
     def apply_change(self, record: ports.KeyedRecord) -> None:
-        """Remember a record."""
+        """Record the offset and the key."""
         self.records.append((record.offset, record.key))
 
 
 class _FaultySink(_Sink):
-    """Fail at one key's records."""
+    """Raises on the records of one key."""
 
     def __init__(self, bad: str) -> None:
         super().__init__()
         self._bad = bad
 
     def apply_change(self, record: ports.KeyedRecord) -> None:
-        """Remember a record, or raise."""
+        """Record the offset and the key, or raise."""
         if record.key == self._bad:
             raise ValueError("this is no record")
         super().apply_change(record)
@@ -58,7 +58,7 @@
             self.sink = _Sink()
             self.contact = contact.LogContact()
             self.follower = keyed_follower.KeyedFollower(
-                self.log, self.contact, "runners", self.sink, _PACE
+                self.log, self.contact, "runners", self.sink, _SCHEDULE
             )
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self.follower.run)
@@ -79,7 +79,7 @@
 
         self._run(scenario)
 
-    def test_a_gap_is_bridged_by_the_newest_records(self) -> None:
+    def test_after_lost_records_the_newest_of_each_key_are_read(self) -> None:
         async def scenario() -> None:
             await trio.sleep(0.1)
             self.log.faults.is_down = True
@@ -92,7 +92,7 @@
 
         self._run(scenario)
 
-    def test_loss_and_return_of_the_log_are_noted(self) -> None:
+    def test_an_outage_of_the_log_and_its_end_are_recorded(self) -> None:
         async def scenario() -> None:
             await trio.sleep(0.1)
             self.log.faults.is_down = True
@@ -105,32 +105,32 @@
 
         self._run(scenario)
 
-    def test_a_record_that_nobody_can_read_is_passed_over_once(self) -> None:
+    def test_a_record_that_makes_the_sink_raise_is_skipped(self) -> None:
         async def scenario() -> None:
             sink = _FaultySink("bad")
             follower = keyed_follower.KeyedFollower(
-                self.log, self.contact, "members", sink, _PACE
+                self.log, self.contact, "members", sink, _SCHEDULE
             )
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(
                     supervision.keep_running, "members", follower.run
                 )
                 await trio.sleep(0.1)
-                with mock.patch.object(supervision, "_LOG") as told:
+                with mock.patch.object(supervision, "_LOG") as logged:
                     for name in ("r-1", "bad", "r-2"):
                         self.log.put("members", name, b"x")
                     await trio.sleep(5.0)
                 nursery.cancel_scope.cancel()
             self.assertEqual([(0, "r-1"), (2, "r-2")], sink.records)
-            self.assertEqual(1, told.write.call_count)
-            self.assertIn("no record", told.write.call_args.args[0])
+            self.assertEqual(1, logged.write.call_count)
+            self.assertIn("no record", logged.write.call_args.args[0])
 
         self._run(scenario)
 
-    def test_a_record_without_a_key_leaves_the_others(self) -> None:
+    def test_a_record_without_a_key_is_counted_and_skipped(self) -> None:
         async def scenario() -> None:
-            noted: list[str] = []
-            self.follower.on_unreadable = noted.append
+            topics: list[str] = []
+            self.follower.on_unreadable = topics.append
             await trio.sleep(0.1)
             split = self.log.split_keyed
 
@@ -144,11 +144,11 @@
             with mock.patch.object(self.log, "split_keyed", refuse):
                 await trio.sleep(0.1)
             self.assertEqual([(0, "r-1"), (2, "r-2")], self.sink.records)
-            self.assertEqual(["runners"], noted)
+            self.assertEqual(["runners"], topics)
 
         self._run(scenario)
 
-    def test_what_a_peer_has_told_is_not_told_again(self) -> None:
+    def test_records_that_a_peer_sent_are_not_applied_again(self) -> None:
         async def scenario() -> None:
             await trio.sleep(0.1)
             self.follower.skip_to(2)
@@ -168,7 +168,7 @@
             records.catalogs[raw] = builders.build_catalog(version=version)
         return catalog_store.create_store(records)
 
-    def test_a_version_is_never_taken_back(self) -> None:
+    def test_an_older_version_never_replaces_a_newer_one(self) -> None:
         store = self._build()
         self.assertTrue(store.offer(b"4", "log"))
         self.assertFalse(store.offer(b"3", "a peer"))
@@ -176,13 +176,15 @@
         self.assertTrue(store.offer(b"8", "a peer"))
         self.assertEqual(8, store.version)
 
-    def test_a_malformed_version_leaves_the_last_good_one(self) -> None:
+    def test_a_malformed_version_does_not_replace_the_last_good_one(
+        self,
+    ) -> None:
         store = self._build()
         store.offer(b"4", "log")
         self.assertFalse(store.offer(b"broken", "log"))
         self.assertEqual(4, store.version)
 
-    def test_other_keys_of_the_topic_are_passed_over(self) -> None:
+    def test_other_keys_of_the_topic_are_ignored(self) -> None:
         store = self._build()
         sink = catalog_sink.CatalogSink(store, "config")
         sink.apply_change(ports.KeyedRecord(1, "other", b"4"))
--- a/tests/test_discovery/test_refresher.py
+++ b/tests/test_discovery/test_refresher.py
@@ -1,4 +1,4 @@
-"""A copy that is too old is read before it is used, if that can be."""
+"""A copy that is too old is read again before use, unless the log is down."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 if TYPE_CHECKING:
     from martenquay_core.serving import ports
 
-_OLDEST_S = 1.0
+_MAX_AGE_S = 1.0
 
 
 class _Sink:
-    """Remember the keys that were told."""
+    """Records the keys."""
 
     def __init__(self) -> None:
         self.keys: list[str] = []
 
     def replace_all(self, snapshot: ports.Snapshot) -> None:
-        """Take a snapshot's keys."""
+        """Record a snapshot's keys."""
         self.keys = [record.key for record in snapshot.records]
 
     def apply_change(self, record: ports.KeyedRecord) -> None:
-        """Take one key."""
+        """Record one key."""
         self.keys.append(record.key)
 
 
@@ -45,7 +45,7 @@
                 is_needed=lambda: is_needed,
             )
             self.refresher = refresher.create_refresher(
-                self.follower, "entries", _OLDEST_S
+                self.follower, "entries", _MAX_AGE_S
             )
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self.refresher.run)
@@ -55,7 +55,7 @@
 
         self.run_clocked(run)
 
-    def test_a_young_copy_is_used_as_it_is(self) -> None:
+    def test_a_recent_copy_is_used_without_a_read(self) -> None:
         async def scenario() -> None:
             self.follower.copy_age.confirmed_at = trio.current_time() - 0.9
             await self.refresher.refresh()
@@ -63,7 +63,7 @@
 
         self._run(scenario)
 
-    def test_an_old_one_is_read_once_for_all_that_wait(self) -> None:
+    def test_an_old_copy_is_read_once_for_all_waiting_requests(self) -> None:
         async def scenario() -> None:
             self.log.put("runners", "r-1", b"leaves")
             self.follower.copy_age.confirmed_at = trio.current_time() - 1.1
@@ -76,7 +76,9 @@
 
         self._run(scenario)
 
-    def test_who_follows_the_records_reads_on_from_there(self) -> None:
+    def test_a_daemon_that_follows_the_topic_reads_only_new_records(
+        self,
+    ) -> None:
         async def scenario() -> None:
             self.log.put("runners", "r-1", b"x")
             self.follower.skip_to(1)
@@ -86,13 +88,13 @@
 
         self._run(scenario, is_needed=True)
 
-    def test_nobody_waits_long_for_a_log_that_says_nothing(self) -> None:
+    def test_requests_wait_only_briefly_for_a_silent_log(self) -> None:
         async def scenario() -> None:
             self.log.faults.is_silent = True
             started = trio.current_time()
             await self.refresher.refresh()
             self.assertLessEqual(trio.current_time() - started, 0.16)
-            # Once the read has failed, the next ones do not wait at all.
+            # After a failed read, later requests do not wait.
             await trio.sleep(0.9)
             started = trio.current_time()
             await self.refresher.refresh()
@@ -100,13 +102,8 @@
 
         self._run(scenario)
 
-    def test_while_a_log_is_away_one_request_in_all_waits_for_it(self) -> None:
-        """A log that is away held up most requests by the longest wait.
-
-        Each read of it takes 1.5 s to fail, and all that came meanwhile waited
-        0.15 s, then for half a second nobody. Of 44 plain calls in 12 s without
-        the log 30 were late, with a median of 157 ms in place of 28.
-        """
+    def test_while_the_log_is_down_only_one_request_waits_for_it(self) -> None:
+        """Requests during each failing read must not wait for it."""
 
         async def scenario() -> None:
             self.log.faults.is_silent = True
@@ -120,7 +117,7 @@
 
         self._run(scenario)
 
-    def test_a_log_that_is_back_after_long_is_waited_for_again(self) -> None:
+    def test_after_an_outage_requests_wait_for_reads_again(self) -> None:
         async def scenario() -> None:
             self.log.faults.is_down = True
             for _ in range(30):
@@ -130,13 +127,13 @@
             await trio.sleep(0.6)
             self.assertLessEqual(self.follower.copy_age.age_s, 0.6)
             self.log.put("runners", "r-1", b"leaves")
-            await trio.sleep(_OLDEST_S)
+            await trio.sleep(_MAX_AGE_S)
             await self.refresher.refresh()
             self.assertEqual(["r-1"], self.sink.keys)
 
         self._run(scenario)
 
-    def test_nobody_reads_for_long_for_nobody(self) -> None:
+    def test_reads_stop_when_no_request_needs_the_topic(self) -> None:
         async def scenario() -> None:
             self.log.faults.is_down = True
             await self.refresher.refresh()
@@ -147,13 +144,13 @@
 
         self._run(scenario)
 
-    def test_a_log_that_is_back_is_read_again(self) -> None:
+    def test_after_an_outage_the_topic_is_read_without_a_request(self) -> None:
         async def scenario() -> None:
             self.log.faults.is_down = True
             await self.refresher.refresh()
             self.log.faults.is_down = False
             await trio.sleep(0.6)
-            # Before anybody asks for it, so that nobody has to wait.
+            # Read again before the next request, which then need not wait.
             self.assertAlmostEqual(0.1, self.follower.copy_age.age_s)
             started = trio.current_time()
             await self.refresher.refresh()
--- a/tests/test_discovery/test_runner_directory.py
+++ b/tests/test_discovery/test_runner_directory.py
@@ -1,4 +1,4 @@
-"""The directory knows who may get work, also around the log's outages."""
+"""The directory lists the runners that may get requests, also in outages."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
         )
         self.offset = 0
 
-    def _build_reader(self) -> None:
-        """Go on with a directory that knows nothing."""
+    def _build_empty_directory(self) -> None:
+        """Replace the directory by an empty one."""
         self.directory = runner_directory.RunnerDirectory(
             self.records, self.contact
         )
@@ -44,7 +44,7 @@
         self.offset += 1
         self.directory.apply_change(ports.KeyedRecord(self.offset, key, None))
 
-    def _list(self) -> list[str]:
+    def _list_usable(self) -> list[str]:
         return sorted(r.id for r in self.directory.list_usable("desk"))
 
     def test_a_leaving_runner_gets_no_more_work(self) -> None:
@@ -53,7 +53,7 @@
             self._put(id="r-1")
             self._put(id="r-2", address="127.0.0.1:2")
             self._put(id="r-1", is_leaving=True, leaves_in_s=2.0)
-            self.assertEqual(["r-2"], self._list())
+            self.assertEqual(["r-2"], self._list_usable())
             self.assertAlmostEqual(2.0, self.directory.find_time_left("r-1"))
 
         self.run_clocked(scenario)
@@ -76,7 +76,7 @@
 
         self.run_clocked(scenario)
 
-    def test_heartbeats_are_not_handed_on(self) -> None:
+    def test_heartbeats_are_not_copied_to_peers(self) -> None:
         async def scenario() -> None:
             self._build()
             self._put(id="r-1")
@@ -88,23 +88,25 @@
 
         self.run_clocked(scenario)
 
-    def test_copies_of_some_entries_leave_the_others(self) -> None:
+    def test_listed_entries_without_a_copy_stay_and_others_are_removed(
+        self,
+    ) -> None:
         async def scenario() -> None:
             self._build()
             self._put(id="r-1")
             self._put(id="r-2", address="127.0.0.1:2")
             self.directory.apply_copies([], {"r-2"})
-            self.assertEqual(["r-2"], self._list())
+            self.assertEqual(["r-2"], self._list_usable())
 
         self.run_clocked(scenario)
 
-    def test_a_dropped_entry_ends_at_once_while_the_log_is_well(self) -> None:
+    def test_without_an_outage_a_removed_entry_removes_its_runner(self) -> None:
         async def scenario() -> None:
             self._build()
             self.contact.note_answer()
             self._put(id="r-1")
             self._drop("r-1")
-            self.assertEqual([], self._list())
+            self.assertEqual([], self._list_usable())
 
         self.run_clocked(scenario)
 
@@ -117,11 +119,11 @@
             self.contact.note_failure("one long poll was lost")
             self.contact.note_answer()
             self._drop("r-1")
-            self.assertEqual([], self._list())
+            self.assertEqual([], self._list_usable())
 
         self.run_clocked(scenario)
 
-    def test_entries_that_lapsed_in_an_outage_have_time_to_come_back(
+    def test_entries_that_lapsed_in_an_outage_get_a_grace_time(
         self,
     ) -> None:
         async def scenario() -> None:
@@ -134,10 +136,10 @@
             self.contact.note_answer()
             self._drop("r-1")
             self._drop("r-2")
-            self.assertEqual(["r-1", "r-2"], self._list())
+            self.assertEqual(["r-1", "r-2"], self._list_usable())
             self._put(id="r-1")
             await trio.sleep(3.0)
-            self.assertEqual(["r-1"], self._list())
+            self.assertEqual(["r-1"], self._list_usable())
 
         self.run_clocked(scenario)
 
@@ -146,41 +148,43 @@
             self._build()
             self._put(id="r-1")
             self._put(id="r-9", service="other")
-            self.assertEqual([], self._list())
+            self.assertEqual([], self._list_usable())
 
         self.run_clocked(scenario)
 
-    def test_a_runner_found_to_be_gone_is_left_out_for_a_while(self) -> None:
+    def test_a_runner_whose_address_was_taken_is_left_out_for_a_while(
+        self,
+    ) -> None:
         async def scenario() -> None:
             self._build()
             self._put(id="r-1")
             self.directory.note_gone("r-1")
-            self.assertEqual([], self._list())
+            self.assertEqual([], self._list_usable())
             await trio.sleep(60.0)
-            self.assertEqual(["r-1"], self._list())
+            self.assertEqual(["r-1"], self._list_usable())
 
         self.run_clocked(scenario)
 
-    # An entry may come from another writer. What it says of its runner is
-    # not known, so that one gets no work until it says something again.
-    def test_an_entry_that_cannot_be_read_names_no_runner_to_use(self) -> None:
+    # Requests to a runner by its former entry could go to a wrong service or
+    # address.
+    def test_a_runner_with_an_undecodable_entry_gets_no_requests(self) -> None:
         async def scenario() -> None:
             self._build()
-            noted: list[str] = []
-            self.directory.on_unusable = noted.append
+            unusable_ids: list[str] = []
+            self.directory.on_unusable = unusable_ids.append
             self._put(id="r-1")
             self._put(id="r-2", address="127.0.0.1:2")
             self.directory.apply_change(ports.KeyedRecord(9, "r-1", b"broken"))
             self.directory.apply_change(ports.KeyedRecord(10, "r-1", b"broken"))
-            self.assertEqual(["r-2"], self._list())
-            self.assertEqual(["r-1", "r-1"], noted)
+            self.assertEqual(["r-2"], self._list_usable())
+            self.assertEqual(["r-1", "r-1"], unusable_ids)
             self.offset = 10
             self._put(id="r-1")
-            self.assertEqual(["r-1", "r-2"], self._list())
+            self.assertEqual(["r-1", "r-2"], self._list_usable())
 
         self.run_clocked(scenario)
 
-    def test_a_copy_with_an_entry_that_cannot_be_read_brings_the_others(
+    def test_an_undecodable_entry_in_a_copy_leaves_the_others_usable(
         self,
     ) -> None:
         async def scenario() -> None:
@@ -188,9 +192,9 @@
             self._put(id="r-1")
             good = self.directory.entries.list_copies()
             bad = runner_entries.RunnerCopy("r-2", 5, b"broken")
-            self._build_reader()
+            self._build_empty_directory()
             self.directory.apply_copies([bad, *good], {"r-1", "r-2"})
-            self.assertEqual(["r-1"], self._list())
+            self.assertEqual(["r-1"], self._list_usable())
             self.assertEqual({"r-1", "r-2"}, self.directory.entries.list_ids())
 
         self.run_clocked(scenario)
@@ -200,11 +204,11 @@
             self._build()
             self._put(id="r-1", born_ms=2000)
             self._put(id="r-1", born_ms=1000, is_leaving=True)
-            self.assertEqual(["r-1"], self._list())
+            self.assertEqual(["r-1"], self._list_usable())
 
         self.run_clocked(scenario)
 
-    def test_a_runner_that_starts_again_under_its_id_is_told_of(self) -> None:
+    def test_a_restart_under_the_same_id_is_reported(self) -> None:
         async def scenario() -> None:
             self._build()
             restarted: list[str] = []
@@ -213,7 +217,7 @@
             self.directory.note_gone("r-1")
             self._put(id="r-1", born_ms=2000)
             self.assertEqual(["r-1"], restarted)
-            self.assertEqual(["r-1"], self._list())
+            self.assertEqual(["r-1"], self._list_usable())
             self.assertEqual(math.inf, self.directory.find_time_left("r-1"))
 
         self.run_clocked(scenario)
@@ -225,9 +229,9 @@
             self._build()
             self._put(id="r-9", born_ms=2000)
             self._put(id="r-1", born_ms=1000)
-            self.assertEqual(["r-9"], self._list())
+            self.assertEqual(["r-9"], self._list_usable())
             self._put(id="r-1", born_ms=3000)
-            self.assertEqual(["r-1"], self._list())
+            self.assertEqual(["r-1"], self._list_usable())
 
         self.run_clocked(scenario)
 
@@ -237,17 +241,17 @@
             self._put(id="r-1")
             self._put(id="r-9")
             self._put(id="r-1")
-            self.assertEqual(["r-9"], self._list())
+            self.assertEqual(["r-9"], self._list_usable())
 
         self.run_clocked(scenario)
 
-    def test_a_peer_hands_on_newer_entries_only(self) -> None:
+    def test_an_older_entry_of_a_peer_is_ignored(self) -> None:
         async def scenario() -> None:
             self._build()
             self._put(id="r-1")
             old = self.directory.entries.list_copies()
             self._put(id="r-1", is_leaving=True)
             self.directory.apply_copies(old, {copy.key for copy in old})
-            self.assertEqual([], self._list())
+            self.assertEqual([], self._list_usable())
 
         self.run_clocked(scenario)
--- a/tests/test_promises/test_configuration.py
+++ b/tests/test_promises/test_configuration.py
@@ -90,7 +90,7 @@
 
 
 class OwnershipTest(scenarios.ScenarioTestCase):
-    def test_the_other_partners_side_is_refused_at_the_daemon(self):
+    def test_a_change_to_the_other_partners_objects_is_forbidden(self):
         async def scenario(scene: scenarios.Scene) -> None:
             daemons = await scene.start_daemons(partners.SERRANA, 1)
             reply = await scene.ask(
@@ -100,7 +100,7 @@
 
         self.run_scene(scenario)
 
-    def test_a_change_forged_in_the_log_is_refused_by_the_fold(self):
+    def test_a_change_forged_in_the_log_is_rejected_by_daemons(self):
         async def scenario(scene: scenarios.Scene) -> None:
             daemons = await scene.start_daemons(partners.SERRANA, 1)
             signer = scene.world.signer("lindqvist")
@@ -150,15 +150,15 @@
             daemons = await scene.start_daemons(partners.SERRANA, 2)
             text = 'create team helpers credential="sha256:' + "0" * 64 + '"'
             first = await scene.ask(daemons[0], text, change_id="change-7")
-            again = await scene.ask(daemons[1], text, change_id="change-7")
-            self.assertEqual(200, again.status)
+            repeated = await scene.ask(daemons[1], text, change_id="change-7")
+            self.assertEqual(200, repeated.status)
             self.assertEqual(
-                first.read_json()["version"], again.read_json()["version"]
+                first.read_json()["version"], repeated.read_json()["version"]
             )
 
         self.run_scene(scenario)
 
-    def test_a_refused_append_is_told_as_not_made_and_never_appears(self):
+    def test_a_refused_append_is_reported_as_not_made_and_never_appears(self):
         async def scenario(scene: scenarios.Scene) -> None:
             daemons = await scene.start_daemons(partners.SERRANA, 1)
             scene.world.log.set_faults({"down": True})
@@ -172,7 +172,7 @@
         self.run_scene(scenario)
 
 
-class ForgetfulLogTest(scenarios.ScenarioTestCase):
+class TruncatedLogTest(scenarios.ScenarioTestCase):
     def test_a_fresh_daemon_starts_from_a_snapshot_when_records_are_gone(self):
         async def scenario(scene: scenarios.Scene) -> None:
             await self._publish_and_truncate(scene)
@@ -188,12 +188,12 @@
 
             await scene.wait_until(hears_of_both)
             rows = await scene.list_rows(fresh, "show config")
-            # One digest a partner, the same at both daemons.
+            # One digest for each partner, the same at both daemons.
             self.assertEqual(2, len({row["digest"] for row in rows}))
 
         self.run_scene(scenario)
 
-    def test_a_stale_snapshot_published_late_does_not_win(self):
+    def test_a_stale_snapshot_published_late_is_ignored(self):
         async def scenario(scene: scenarios.Scene) -> None:
             stale = fold.create_state(["serrana", "lindqvist"])
             verifier = scene.world.verifier()
@@ -228,7 +228,9 @@
 
         self.run_scene(scenario)
 
-    def test_a_fresh_daemon_without_list_and_log_starts_from_its_seeds(self):
+    def test_a_fresh_daemon_without_instance_list_and_log_starts_from_seeds(
+        self,
+    ):
         async def scenario(scene: scenarios.Scene) -> None:
             older = await self._publish_and_truncate(scene)
             scene.world.log.set_faults({"down": True})
@@ -265,7 +267,7 @@
         return own[0]
 
 
-class CutZoneTest(scenarios.ScenarioTestCase):
+class PartitionedZoneTest(scenarios.ScenarioTestCase):
     def test_a_zone_cut_from_the_platform_converges_through_its_peers(self):
         async def scenario(scene: scenarios.Scene) -> None:
             daemons = await scene.start_daemons(partners.SERRANA, 3)
@@ -281,7 +283,7 @@
 
         self.run_scene(scenario, with_network=True)
 
-    def test_a_frozen_daemon_that_goes_on_catches_up_and_reverts_nothing(self):
+    def test_a_suspended_daemon_catches_up_and_reverts_nothing(self):
         async def scenario(scene: scenarios.Scene) -> None:
             daemons = await scene.start_processes(
                 partners.SERRANA, 2, timing={"snapshot_s": 0.2}
@@ -295,7 +297,7 @@
                 return await _read_weight(scene, daemons[1]) == 4
 
             await scene.wait_until(has_weight)
-            # Several snapshots of the daemon that was behind go by.
+            # Time for the resumed daemon to publish several snapshots.
             await trio.sleep(1.0)
             for daemon in daemons:
                 self.assertEqual(4, await _read_weight(scene, daemon))
