--- a/packages/daemon/src/martenquay_daemon/discovery/paces.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/read_schedules.py
@@ -4,7 +4,7 @@
 
 from martenquay_daemon.discovery import keyed_follower
 
-__all__ = ["CATALOG", "MEMBERS", "RUNNERS", "STEPS", "STRIKES"]
+__all__ = ["CATALOG", "MEMBERS", "RUNNERS", "STEPS", "CRASH_RECORDS"]
 
 # Operators' changes are rare and needed at once. The wait bounds how long a
 # poll that a network partition cut off goes unnoticed.
@@ -23,7 +23,7 @@
 # Crash records are rare and needed at once: the request that crashed a runner
 # is retried at another daemon within milliseconds. In a large fleet the pause
 # batches the records of all requests that ended with one runner.
-STRIKES = keyed_follower.ReadSchedule(
+CRASH_RECORDS = keyed_follower.ReadSchedule(
     wait_s=10.0, large_fleet_wait_s=30.0, large_fleet_pause_s=0.3
 )
 # Rollout steps are needed at once while a rollout order is open, and not read
--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -23,7 +23,7 @@
     first_reading,
     joint_sink,
     keyed_follower,
-    paces,
+    read_schedules,
     refresher,
     runner_directory,
 )
@@ -191,7 +191,7 @@
                 catalog_sink.CatalogSink(self._store, ports.topics.catalog_key),
                 self._rollouts.order_sink,
             ),
-            paces.CATALOG,
+            read_schedules.CATALOG,
             self._is_crowded,
             self._needs_log,
         )
@@ -200,7 +200,7 @@
             self._contact,
             ports.topics.runners,
             self._directory,
-            paces.RUNNERS,
+            read_schedules.RUNNERS,
             self._reads_seldom,
             self._needs_log,
         )
@@ -248,7 +248,7 @@
             self._contact,
             self._ports.topics.members,
             announcements.MemberSink(self._view, self.links, self._roster),
-            paces.MEMBERS,
+            read_schedules.MEMBERS,
             self._is_crowded,
         )
         self._announcer = announcements.Announcer(
@@ -417,7 +417,7 @@
             self._contact,
             topic,
             self._quarantine,
-            paces.STRIKES,
+            read_schedules.CRASH_RECORDS,
             self._is_crowded,
         )
         self._strike_follower.on_unreadable = self.metrics.count_unusable_record
--- a/packages/daemon/src/martenquay_daemon/rollouts/parts.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/parts.py
@@ -5,7 +5,7 @@
 import dataclasses
 from typing import TYPE_CHECKING
 
-from martenquay_daemon.discovery import keyed_follower, paces
+from martenquay_daemon.discovery import keyed_follower, read_schedules
 from martenquay_daemon.rollouts import records, registry, tallies, versions
 
 if TYPE_CHECKING:
@@ -58,7 +58,7 @@
             log_contact,
             names.rollouts,
             records.StepSink(orders),
-            paces.STEPS,
+            read_schedules.STEPS,
             is_needed=orders.has_open,
         ),
         tallies.TallyTable(),
