--- a/packages/daemon/src/martenquay_daemon/discovery/first_reading.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/initial_sync.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-__all__ = ["FirstReading", "create_first_reading"]
+__all__ = ["InitialSync", "create_initial_sync"]
 
 _LOG = logs.create_log("catalog")
 # The first reads take less, even when all daemons start at once; if the log is
@@ -19,7 +19,7 @@
 _MAX_WAIT_S = 0.25
 
 
-class FirstReading:
+class InitialSync:
     """Waits for the first read of each topic.
 
     When all daemons restart, callers reconnect within milliseconds. A rejection
@@ -50,10 +50,10 @@
             self._sources.clear()
 
 
-def create_first_reading(sources: Mapping[str, trio.Event]) -> FirstReading:
+def create_initial_sync(sources: Mapping[str, trio.Event]) -> InitialSync:
     """Return a wait whose time limit starts now.
 
     Args:
         sources: Events that are set after the first read, by name for the log.
     """
-    return FirstReading(sources)
+    return InitialSync(sources)
--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -20,7 +20,7 @@
     catalog_sink,
     catalog_store,
     contact,
-    first_reading,
+    initial_sync,
     joint_sink,
     keyed_follower,
     read_schedules,
@@ -103,7 +103,7 @@
         self._build_quarantine()
         self._build_forwarding()
         self._build_duties()
-        self._first_reading = self._create_first_reading()
+        self._initial_sync = self._create_initial_sync()
         self._share_state()
 
     def is_ready(self) -> bool:
@@ -266,7 +266,7 @@
         if self.links.is_mesh():
             self.links.notify_soon()
 
-    def _create_first_reading(self) -> first_reading.FirstReading:
+    def _create_initial_sync(self) -> initial_sync.InitialSync:
         sources = {
             "catalog": self._catalog_follower.first_read,
             "runners": self._runner_follower.first_read,
@@ -274,11 +274,11 @@
             "strikes": self._strike_follower.first_read,
             "versions": self._rollouts.follower.first_read,
         }
-        return first_reading.create_first_reading(sources)
+        return initial_sync.create_initial_sync(sources)
 
     async def _wait_until_read(self) -> None:
         # What it waits for is built after the forwarder.
-        await self._first_reading.wait()
+        await self._initial_sync.wait()
 
     def _count_daemons(self) -> int:
         # The view is built after what asks for it.
--- a/tests/test_discovery/test_first_reading.py
+++ b/tests/test_discovery/test_initial_sync.py
@@ -4,15 +4,15 @@
 
 import trio
 
-from martenquay_daemon.discovery import first_reading
+from martenquay_daemon.discovery import initial_sync
 from tests import clocked
 
 
-class FirstReadingTest(clocked.ClockedTestCase):
+class InitialSyncTest(clocked.ClockedTestCase):
     def test_requests_wait_until_all_topics_are_read(self) -> None:
         async def scenario() -> None:
             sources = {"catalog": trio.Event(), "runners": trio.Event()}
-            reading = first_reading.create_first_reading(sources)
+            reading = initial_sync.create_initial_sync(sources)
             waited: list[float] = []
 
             async def ask() -> None:
@@ -34,7 +34,7 @@
     def test_requests_are_held_only_briefly_while_the_log_is_down(self) -> None:
         async def scenario() -> None:
             sources = {"catalog": trio.Event()}
-            reading = first_reading.create_first_reading(sources)
+            reading = initial_sync.create_initial_sync(sources)
             started = trio.current_time()
             await reading.wait()
             self.assertLess(trio.current_time() - started, 0.3)
