--- a/packages/daemon/src/martenquay_daemon/discovery/joint_sink.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/fan_out_sink.py
@@ -8,10 +8,10 @@
     from martenquay_core.serving import ports
     from martenquay_daemon.discovery import keyed_follower
 
-__all__ = ["JointSink"]
+__all__ = ["FanOutSink"]
 
 
-class JointSink:
+class FanOutSink:
     """A `keyed_follower.RecordSink` that calls several others in order."""
 
     def __init__(self, *sinks: keyed_follower.RecordSink) -> None:
--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -20,8 +20,8 @@
     catalog_sink,
     catalog_store,
     contact,
+    fan_out_sink,
     initial_sync,
-    joint_sink,
     keyed_follower,
     read_schedules,
     refresher,
@@ -187,7 +187,7 @@
             ports.log,
             self._contact,
             ports.topics.catalog,
-            joint_sink.JointSink(
+            fan_out_sink.FanOutSink(
                 catalog_sink.CatalogSink(self._store, ports.topics.catalog_key),
                 self._rollouts.order_sink,
             ),
