--- a/packages/daemon/src/martenquay_daemon/discovery/copy_age.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/copy_age.py
@@ -11,10 +11,10 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-__all__ = ["CopyAge", "Step"]
+__all__ = ["CopyAge", "AgeEvent"]
 
 
-class Step(enum.StrEnum):
+class AgeEvent(enum.StrEnum):
     """Event at which the age of a copy is observed.
 
     Attributes:
@@ -30,7 +30,7 @@
     USED = "used"
 
 
-def _ignore(step: Step, age_s: float) -> None:
+def _ignore(step: AgeEvent, age_s: float) -> None:
     del step, age_s
 
 
@@ -48,14 +48,14 @@
 
     def __init__(self) -> None:
         self.confirmed_at = -math.inf
-        self.observe: Callable[[Step, float], None] = _ignore
+        self.observe: Callable[[AgeEvent, float], None] = _ignore
 
     @property
     def age_s(self) -> float:
         """Seconds since the copy was last known to be complete."""
         return trio.current_time() - self.confirmed_at
 
-    def confirm(self, at: float, step: Step) -> None:
+    def confirm(self, at: float, step: AgeEvent) -> None:
         """Record that the copy holds all records acknowledged until a time.
 
         Args:
@@ -69,10 +69,10 @@
 
     def note_use(self) -> int | None:
         """Observe the age at a use; return it in ms, or None if unknown."""
-        self._observe_age(Step.USED)
+        self._observe_age(AgeEvent.USED)
         return round(self.age_s * 1000) if self._is_known() else None
 
-    def _observe_age(self, step: Step) -> None:
+    def _observe_age(self, step: AgeEvent) -> None:
         if self._is_known():
             self.observe(step, self.age_s)
 
--- a/packages/daemon/src/martenquay_daemon/discovery/keyed_follower.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/keyed_follower.py
@@ -170,7 +170,7 @@
             # the long poll; one with records, only until its start.
             waited_s = 0.0 if found.records else wait_s
             complete_at = min(started_at + waited_s, trio.current_time())
-            self.copy_age.confirm(complete_at, copy_age.Step.READ)
+            self.copy_age.confirm(complete_at, copy_age.AgeEvent.READ)
         return True
 
     def _apply_payload(self, payload: bytes, offset: int) -> None:
@@ -209,6 +209,6 @@
         if found.end >= self.end:
             self._sink.replace_all(found)
             self.end = found.end
-            self.copy_age.confirm(started_at, copy_age.Step.READ)
+            self.copy_age.confirm(started_at, copy_age.AgeEvent.READ)
         self.first_read.set()
         return True
--- a/packages/daemon/src/martenquay_daemon/fleet/state_copies.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/state_copies.py
@@ -134,7 +134,8 @@
             return
         if requested_at is not None:
             state.runner_follower.copy_age.confirm(
-                requested_at - reply.runners_age_ms / _MS, copy_age.Step.COPIED
+                requested_at - reply.runners_age_ms / _MS,
+                copy_age.AgeEvent.COPIED,
             )
 
     def _apply_runners(self, reply: messages.StateReply) -> bool:
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
@@ -179,7 +179,7 @@
         if told_at is None or follower.end < summary.runners_changed:
             return
         follower.copy_age.confirm(
-            told_at - summary.runners_age_ms / _MS, copy_age.Step.REPORTED
+            told_at - summary.runners_age_ms / _MS, copy_age.AgeEvent.REPORTED
         )
 
     def select_peers(self, known: Iterable[topology.PeerAddress]) -> set[str]:
--- a/packages/daemon/src/martenquay_daemon/forwarding/metrics.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/metrics.py
@@ -124,7 +124,7 @@
         self._first_event_s.observe(labels, took_s)
         self._estimate_off_s.observe(labels, max(0.0, took_s - expected_s))
 
-    def note_copy_age(self, step: copy_age.Step, age_s: float) -> None:
+    def note_copy_age(self, step: copy_age.AgeEvent, age_s: float) -> None:
         """Note how old the runners' entries were at a step."""
         self._copy_age_s.observe({"step": step.value}, age_s)
 
--- a/tests/test_promises/test_suspension.py
+++ b/tests/test_promises/test_suspension.py
@@ -80,7 +80,7 @@
     def test_entries_are_as_old_as_they_are(self) -> None:
         async def scenario() -> None:
             age = copy_age.CopyAge()
-            age.confirm(trio.current_time(), copy_age.Step.READ)
+            age.confirm(trio.current_time(), copy_age.AgeEvent.READ)
             self.clock.jump(_SLEEP_S)
             self.assertEqual(_SLEEP_S, age.age_s)
 
