--- a/packages/daemon/src/martenquay_daemon/configuration/changes.py
+++ b/packages/daemon/src/martenquay_daemon/configuration/changes.py
@@ -19,7 +19,7 @@
     from martenquay_daemon.configuration import store
     from martenquay_daemon.membership import links, table
 
-__all__ = ["ChangeDesk", "PropagationStatus"]
+__all__ = ["ChangeSubmitter", "PropagationStatus"]
 
 _LOG = logs.create_log("configuration")
 _VERDICT_TIMEOUT_S = 5.0
@@ -44,7 +44,7 @@
     missing: list[str]
 
 
-class ChangeDesk:
+class ChangeSubmitter:
     """Appends changes to the log and waits for their verdicts.
 
     The log's order decides between concurrent changes, so a change is accepted
--- a/packages/daemon/src/martenquay_daemon/operators/commands.py
+++ b/packages/daemon/src/martenquay_daemon/operators/commands.py
@@ -62,11 +62,11 @@
         self,
         partner: str,
         config: store.ConfigStore,
-        change_desk: changes.ChangeDesk,
+        change_submitter: changes.ChangeSubmitter,
     ) -> None:
         self._partner = partner
         self._config = config
-        self._changes = change_desk
+        self._changes = change_submitter
 
     async def execute(
         self, request: CommandRequest
--- a/packages/daemon/src/martenquay_daemon/parts.py
+++ b/packages/daemon/src/martenquay_daemon/parts.py
@@ -141,7 +141,7 @@
             self.members,
             settings.timing.snapshot_s,
         )
-        self._changes = changes.ChangeDesk(
+        self._changes = changes.ChangeSubmitter(
             self._log_client,
             self.config,
             signer,
