--- a/packages/daemon/src/martenquay_daemon/answers.py
+++ b/packages/daemon/src/martenquay_daemon/answers.py
@@ -22,20 +22,20 @@
         self._config: store.ConfigStore | None = None
         self._claims: claim_manager.ClaimManager | None = None
         self._deferrable: deferrable_manager.DeferrableManager | None = None
-        self._queries: queries.QueryDesk | None = None
+        self._queries: queries.QueryHandler | None = None
 
     def connect(
         self,
         config: store.ConfigStore,
         claims: claim_manager.ClaimManager,
         deferrable: deferrable_manager.DeferrableManager,
-        query_desk: queries.QueryDesk,
+        query_handler: queries.QueryHandler,
     ) -> None:
         """Name the parts; before that every question is put off."""
         self._config = config
         self._claims = claims
         self._deferrable = deferrable
-        self._queries = query_desk
+        self._queries = query_handler
 
     async def answer(self, message: messages.Message) -> messages.Message:
         """Return the reply to a message."""
--- a/packages/daemon/src/martenquay_daemon/operators/app.py
+++ b/packages/daemon/src/martenquay_daemon/operators/app.py
@@ -45,11 +45,11 @@
     def __init__(
         self,
         settings: models.DaemonSettings,
-        query_desk: queries.QueryDesk,
+        query_handler: queries.QueryHandler,
         command_desk: commands.CommandDesk,
     ) -> None:
         self._settings = settings
-        self._queries = query_desk
+        self._queries = query_handler
         self._commands = command_desk
 
     async def __call__(
--- a/packages/daemon/src/martenquay_daemon/operators/queries.py
+++ b/packages/daemon/src/martenquay_daemon/operators/queries.py
@@ -25,7 +25,7 @@
     from martenquay_daemon.membership import directory, links, table
     from martenquay_daemon.routing import loads
 
-__all__ = ["QueryResult", "QueryDesk"]
+__all__ = ["QueryResult", "QueryHandler"]
 
 _PEER_TIMEOUT_S = 1.0
 _HIDDEN_FIELDS = {"credential"}
@@ -55,7 +55,7 @@
     silent: list[str]
 
 
-class QueryDesk:
+class QueryHandler:
     """Answers queries that reach this daemon."""
 
     def __init__(
--- a/packages/daemon/src/martenquay_daemon/parts.py
+++ b/packages/daemon/src/martenquay_daemon/parts.py
@@ -283,7 +283,7 @@
         )
 
     def _build_operators(self) -> None:
-        query_desk = queries.QueryDesk(
+        query_handler = queries.QueryHandler(
             self.config,
             self.members,
             self.runners,
@@ -298,8 +298,8 @@
             self._settings.partner, self.config, self._changes
         )
         self.operator_app = operator_app.OperatorApp(
-            self._settings, query_desk, command_desk
+            self._settings, query_handler, command_desk
         )
         self._answers.connect(
-            self.config, self.claims, self.deferrable, query_desk
+            self.config, self.claims, self.deferrable, query_handler
         )
