--- a/packages/daemon/src/martenquay_daemon/operators/app.py
+++ b/packages/daemon/src/martenquay_daemon/operators/app.py
@@ -46,11 +46,11 @@
         self,
         settings: models.DaemonSettings,
         query_handler: queries.QueryHandler,
-        command_desk: commands.CommandDesk,
+        command_handler: commands.CommandHandler,
     ) -> None:
         self._settings = settings
         self._queries = query_handler
-        self._commands = command_desk
+        self._commands = command_handler
 
     async def __call__(
         self,
--- a/packages/daemon/src/martenquay_daemon/operators/commands.py
+++ b/packages/daemon/src/martenquay_daemon/operators/commands.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from martenquay_daemon.configuration import changes, store
 
-__all__ = ["CommandResult", "CommandDesk", "CommandRequest"]
+__all__ = ["CommandResult", "CommandHandler", "CommandRequest"]
 
 _LOG = logs.create_log("operators")
 
@@ -55,7 +55,7 @@
     missing: list[str]
 
 
-class CommandDesk:
+class CommandHandler:
     """Executes the commands of one partner's operators."""
 
     def __init__(
--- a/packages/daemon/src/martenquay_daemon/parts.py
+++ b/packages/daemon/src/martenquay_daemon/parts.py
@@ -294,11 +294,11 @@
             self.health,
             self.peers,
         )
-        command_desk = commands.CommandDesk(
+        command_handler = commands.CommandHandler(
             self._settings.partner, self.config, self._changes
         )
         self.operator_app = operator_app.OperatorApp(
-            self._settings, query_handler, command_desk
+            self._settings, query_handler, command_handler
         )
         self._answers.connect(
             self.config, self.claims, self.deferrable, query_handler
