--- a/packages/daemon/src/martenquay_daemon/configuration/follower.py
+++ b/packages/daemon/src/martenquay_daemon/configuration/follower.py
@@ -128,7 +128,7 @@
             for record in page.ok.records:
                 buffer.add(record.payload)
                 offset = record.offset + 1
-        self._config.take_snapshots(buffer)
+        self._config.apply_snapshots(buffer)
         self._keep_complete_snapshots(buffer)
 
     def _list_peers(self) -> list[str]:
@@ -158,7 +158,7 @@
             buffer = snapshot.SnapshotBuffer(self._verifier)
             for chunk in reply.chunks:
                 buffer.add(chunk)
-            self._config.take_snapshots(buffer)
+            self._config.apply_snapshots(buffer)
             self._keep_complete_snapshots(buffer)
         first = reply.records[0][0] if reply.records else reply.applied + 1
         if not self._config.can_continue(first):
--- a/packages/daemon/src/martenquay_daemon/configuration/store.py
+++ b/packages/daemon/src/martenquay_daemon/configuration/store.py
@@ -61,7 +61,7 @@
         """Tell whether records from this offset on leave no gap."""
         return start <= self.state.applied + 1
 
-    def take_snapshots(self, buffer: snapshot.SnapshotBuffer) -> None:
+    def apply_snapshots(self, buffer: snapshot.SnapshotBuffer) -> None:
         """Replace the state of each partner that has a newer snapshot."""
         for partner, newer in buffer.best.items():
             current = self.state.partners.get(partner)
--- a/tests/test_proofs/test_configuration.py
+++ b/tests/test_proofs/test_configuration.py
@@ -108,7 +108,7 @@
     buffer = snapshot.SnapshotBuffer(partners.verifier)
     for chunk in chunks:
         buffer.add(chunk)
-    found.take_snapshots(buffer)
+    found.apply_snapshots(buffer)
 
 
 def _fold_all(partners, log, end: int) -> fold.ConfigState:
