--- a/packages/daemon/src/martenquay_daemon/discovery/runner_directory.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/runner_directory.py
@@ -115,7 +115,7 @@
         """Return the zones in which a service has ever had a runner."""
         return set(self._zones_by_service.get(service, ()))
 
-    def note_gone(self, runner_id: str) -> None:
+    def note_address_taken(self, runner_id: str) -> None:
         """Leave a runner out for a while: another answers at its address."""
         if (
             runner_id in self._runners
--- a/packages/daemon/src/martenquay_daemon/forwarding/forwarder.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/forwarder.py
@@ -381,7 +381,7 @@
                 current.misdirected += 1
                 current.unsent += 1
                 current.attempts -= 1
-                self._parts.directory.note_gone(runner_id)
+                self._parts.directory.note_address_taken(runner_id)
             case exchange.NotSent():
                 self._parts.ejector.note_unreachable(runner_id)
             case exchange.Broken():
--- a/tests/test_discovery/test_runner_directory.py
+++ b/tests/test_discovery/test_runner_directory.py
@@ -158,7 +158,7 @@
         async def scenario() -> None:
             self._build()
             self._put(id="r-1")
-            self.directory.note_gone("r-1")
+            self.directory.note_address_taken("r-1")
             self.assertEqual([], self._list_usable())
             await trio.sleep(60.0)
             self.assertEqual(["r-1"], self._list_usable())
@@ -214,7 +214,7 @@
             restarted: list[str] = []
             self.directory.on_restart = restarted.append
             self._put(id="r-1", born_ms=1000, is_leaving=True, leaves_in_s=2.0)
-            self.directory.note_gone("r-1")
+            self.directory.note_address_taken("r-1")
             self._put(id="r-1", born_ms=2000)
             self.assertEqual(["r-1"], restarted)
             self.assertEqual(["r-1"], self._list_usable())
