--- a/packages/daemon/src/martenquay_daemon/discovery/copy_age.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/copy_age.py
@@ -30,8 +30,8 @@
     USED = "used"
 
 
-def _ignore(step: AgeEvent, age_s: float) -> None:
-    del step, age_s
+def _ignore(event: AgeEvent, age_s: float) -> None:
+    del event, age_s
 
 
 class CopyAge:
@@ -55,16 +55,16 @@
         """Seconds since the copy was last known to be complete."""
         return trio.current_time() - self.confirmed_at
 
-    def confirm(self, at: float, step: AgeEvent) -> None:
+    def confirm(self, at: float, event: AgeEvent) -> None:
         """Record that the copy holds all records acknowledged until a time.
 
         Args:
             at: That time, in trio's time.
-            step: How this was found.
+            event: How this was found.
         """
         # Before the confirmation resets it, so that the metric has the age
         # that the copy reached.
-        self._observe_age(step)
+        self._observe_age(event)
         self.confirmed_at = max(self.confirmed_at, at)
 
     def note_use(self) -> int | None:
@@ -72,9 +72,9 @@
         self._observe_age(AgeEvent.USED)
         return round(self.age_s * 1000) if self._is_known() else None
 
-    def _observe_age(self, step: AgeEvent) -> None:
+    def _observe_age(self, event: AgeEvent) -> None:
         if self._is_known():
-            self.observe(step, self.age_s)
+            self.observe(event, self.age_s)
 
     def _is_known(self) -> bool:
         return self.confirmed_at > -math.inf
