--- a/packages/daemon/src/martenquay_daemon/configuration/changes.py
+++ b/packages/daemon/src/martenquay_daemon/configuration/changes.py
@@ -154,8 +154,8 @@
             await self._config.applied.wait_beyond(applied)
 
     def _find_judgement(self, change_id: str) -> fold.Judgement | None:
-        own = self._config.state.partners[self._signer.partner]
-        return own.judged.get(change_id)
+        partner_state = self._config.state.partners[self._signer.partner]
+        return partner_state.judged.get(change_id)
 
 
 def _convert_judgement(
--- a/packages/daemon/src/martenquay_daemon/configuration/follower.py
+++ b/packages/daemon/src/martenquay_daemon/configuration/follower.py
@@ -65,7 +65,7 @@
     async def _follow_log(self) -> None:
         while True:
             # Before the first page and after a failure, a long poll would
-            # delay the news that the log answers.
+            # delay `ready` and the end of the outage by up to its wait.
             wait_s = _LONG_POLL_S if self.ready.is_set() else 0.0
             if not self._health.is_up:
                 wait_s = 0.0
--- a/packages/daemon/src/martenquay_daemon/configuration/publisher.py
+++ b/packages/daemon/src/martenquay_daemon/configuration/publisher.py
@@ -26,8 +26,8 @@
     """Publishes snapshots of this partner's configuration at intervals.
 
     A daemon's interval grows with its rendezvous rank among the partner's
-    serving daemons, so the first one publishes most. Two snapshots of the same
-    state are harmless.
+    serving daemons, so the first one publishes most often. Two snapshots of the
+    same state are harmless.
     """
 
     def __init__(
--- a/packages/daemon/src/martenquay_daemon/configuration/store.py
+++ b/packages/daemon/src/martenquay_daemon/configuration/store.py
@@ -53,7 +53,8 @@
         self.applied.advance(offset)
         verdict = judgement.verdict.value if judgement else "not signed"
         _LOG.write(
-            f"Applied configuration record {offset}: {verdict}.", offset=offset
+            f"Processed configuration record {offset}: {verdict}.",
+            offset=offset,
         )
         return judgement
 
--- a/packages/daemon/src/martenquay_daemon/discovery/read_schedules.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/read_schedules.py
@@ -15,7 +15,7 @@
 RUNNERS = keyed_follower.ReadSchedule(
     wait_s=1.0, pause_s=0.5, large_fleet_pause_s=1.2
 )
-# Daemons that start announce themselves to their seeds as well. Without the
+# Daemons that start also announce themselves to their seeds. Without the
 # pause each record would wake each daemon when all start at once.
 MEMBERS = keyed_follower.ReadSchedule(
     wait_s=30.0, pause_s=1.0, large_fleet_pause_s=5.0
--- a/packages/daemon/src/martenquay_daemon/operators/commands.py
+++ b/packages/daemon/src/martenquay_daemon/operators/commands.py
@@ -95,14 +95,14 @@
             return Ok(
                 CommandResult(str(key), offset, request.change_id, [], [])
             )
-        spread = await self._changes.wait_in_force(offset)
+        propagation = await self._changes.wait_in_force(offset)
         return Ok(
             CommandResult(
                 str(key),
                 offset,
                 request.change_id,
-                spread.reported,
-                spread.missing,
+                propagation.reported,
+                propagation.missing,
             )
         )
 
