--- a/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
@@ -187,7 +187,7 @@
             return
         follower.copy_age.confirm(
             digest_sent_at - summary.runners_age_ms / _MS,
-            copy_age.Step.REPORTED,
+            copy_age.AgeEvent.REPORTED,
         )
 
     def select_peers(self, known: Iterable[topology.PeerAddress]) -> set[str]:
--- a/packages/daemon/src/martenquay_daemon/forwarding/metrics.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/metrics.py
@@ -124,7 +124,7 @@
         self._first_event_s.observe(labels, took_s)
         self._estimate_error_s.observe(labels, max(0.0, took_s - expected_s))
 
-    def note_copy_age(self, step: copy_age.Step, age_s: float) -> None:
+    def note_copy_age(self, step: copy_age.AgeEvent, age_s: float) -> None:
         """Observe the age of the runner entries at a propagation step."""
         self._copy_age_s.observe({"step": step.value}, age_s)
 
--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -20,10 +20,10 @@
     catalog_sink,
     catalog_store,
     contact,
-    first_reading,
-    joint_sink,
+    fan_out_sink,
+    initial_sync,
     keyed_follower,
-    paces,
+    read_schedules,
     refresher,
     runner_directory,
 )
@@ -103,7 +103,7 @@
         self._build_quarantine()
         self._build_forwarding()
         self._build_duties()
-        self._first_reading = self._create_first_reading()
+        self._initial_sync = self._create_initial_sync()
         self._share_state()
 
     def is_ready(self) -> bool:
@@ -187,11 +187,11 @@
             ports.log,
             self._contact,
             ports.topics.catalog,
-            joint_sink.JointSink(
+            fan_out_sink.FanOutSink(
                 catalog_sink.CatalogSink(self._store, ports.topics.catalog_key),
                 self._rollouts.order_sink,
             ),
-            paces.CATALOG,
+            read_schedules.CATALOG,
             self._is_crowded,
             self._needs_log,
         )
@@ -200,7 +200,7 @@
             self._contact,
             ports.topics.runners,
             self._directory,
-            paces.RUNNERS,
+            read_schedules.RUNNERS,
             self._reads_seldom,
             self._needs_log,
         )
@@ -248,7 +248,7 @@
             self._contact,
             self._ports.topics.members,
             announcements.MemberSink(self._view, self.links, self._roster),
-            paces.MEMBERS,
+            read_schedules.MEMBERS,
             self._is_crowded,
         )
         self._announcer = announcements.Announcer(
@@ -266,7 +266,7 @@
         if self.links.is_mesh():
             self.links.notify_soon()
 
-    def _create_first_reading(self) -> first_reading.FirstReading:
+    def _create_initial_sync(self) -> initial_sync.InitialSync:
         sources = {
             "catalog": self._catalog_follower.first_read,
             "runners": self._runner_follower.first_read,
@@ -274,11 +274,11 @@
             "strikes": self._strike_follower.first_read,
             "versions": self._rollouts.follower.first_read,
         }
-        return first_reading.create_first_reading(sources)
+        return initial_sync.create_initial_sync(sources)
 
     async def _wait_until_read(self) -> None:
         # What it waits for is built after the forwarder.
-        await self._first_reading.wait()
+        await self._initial_sync.wait()
 
     def _count_daemons(self) -> int:
         # The view is built after what asks for it.
@@ -417,7 +417,7 @@
             self._contact,
             topic,
             self._quarantine,
-            paces.STRIKES,
+            read_schedules.CRASH_RECORDS,
             self._is_crowded,
         )
         self._strike_follower.on_unreadable = self.metrics.count_unusable_record
--- a/packages/daemon/src/martenquay_daemon/parts.py
+++ b/packages/daemon/src/martenquay_daemon/parts.py
@@ -141,7 +141,7 @@
             self.members,
             settings.timing.snapshot_s,
         )
-        self._changes = changes.ChangeDesk(
+        self._changes = changes.ChangeSubmitter(
             self._log_client,
             self.config,
             signer,
@@ -283,7 +283,7 @@
         )
 
     def _build_operators(self) -> None:
-        query_desk = queries.QueryDesk(
+        query_handler = queries.QueryHandler(
             self.config,
             self.members,
             self.runners,
@@ -294,12 +294,12 @@
             self.health,
             self.peers,
         )
-        command_desk = commands.CommandDesk(
+        command_handler = commands.CommandHandler(
             self._settings.partner, self.config, self._changes
         )
         self.operator_app = operator_app.OperatorApp(
-            self._settings, query_desk, command_desk
+            self._settings, query_handler, command_handler
         )
         self._answers.connect(
-            self.config, self.claims, self.deferrable, query_desk
+            self.config, self.claims, self.deferrable, query_handler
         )
--- a/tests/test_quarantine/test_manager.py
+++ b/tests/test_quarantine/test_manager.py
@@ -17,7 +17,7 @@
 # The shortest contact time of any deployment.
 _CONTACT_S = 3.0
 # The schedule of a large fleet.
-_SCHEDULE = keyed_follower.ReadSchedule(wait_s=30.0, rest_s=0.3)
+_SCHEDULE = keyed_follower.ReadSchedule(wait_s=30.0, pause_s=0.3)
 
 
 class QuarantineManagerTest(clocked.ClockedTestCase):
