--- a/tests/test_platform/test_fields.py
+++ b/tests/test_platform/test_fields.py
@@ -91,11 +91,16 @@
         self.assertEqual(set(), named - listed - _ONLY_DROPPED)
 
     def test_each_field_of_an_entry_is_on_the_page(self) -> None:
-        read = _list_names(records._Entry)
+        read = _list_names(records._RunnerEntry)
         self.assertEqual(set(), read - self._list("Entries of runners"))
 
     def test_each_field_of_the_logs_answers_is_on_the_page(self) -> None:
-        read = _list_names(log._Entry, log._Newest, log._Lost, log._Appended)
+        read = _list_names(
+            log._KeyedEntry,
+            log._NewestPage,
+            log._OffsetOutOfRange,
+            log._AppendResult,
+        )
         self.assertEqual(set(), read - self._list("Answers of the log"))
 
     def test_what_a_runner_says_of_itself_comes_out_of_the_border(self) -> None:
