--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -244,8 +244,8 @@
     Mutation(
         "silent appends leave time to renew the lease",
         "platform/src/martenquay_platform/log.py",
-        "_CONDITIONAL_S = 0.8",
-        "_CONDITIONAL_S = 1.5",
+        "_CONDITIONAL_APPEND_TIMEOUT_S = 0.8",
+        "_CONDITIONAL_APPEND_TIMEOUT_S = 1.5",
         _SILENT_STORE,
     ),
     Mutation(
