--- a/tests/test_platform/process_scene.py
+++ b/tests/test_platform/process_scene.py
@@ -1,4 +1,4 @@
-"""Run the platform's daemon as a process, before a platform of stand-ins."""
+"""Run the daemon as a process against a stand-in platform and runner."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 __all__ = ["ProcessScene", "open_process_scene"]
 
 _PROGRAM = pathlib.Path(__file__).parents[2] / "platform" / "martenquayd.py"
-_POLL_S = 0.005
+_POLL_INTERVAL_S = 0.005
 _HOST = "desk.example"
 _CONFIG = {
     "Version": 1,
@@ -45,23 +45,23 @@
     ],
     "Services": [{"Name": "model"}],
 }
-_FIRST = b"call-1"
-_SECOND = b"call-2"
-_CALL = (
+_FIRST_ATTEMPT_ID = b"call-1"
+_SECOND_ATTEMPT_ID = b"call-2"
+_REQUEST = (
     b"GET /note/1 HTTP/1.1\r\nhost: desk.example\r\n"
     b"attempt-id: call-1\r\ndeadline-ms: 30000\r\n\r\n"
 )
-_ANSWER = (
+_ANSWER_PIECES = (
     b"HTTP/1.1 200 OK\r\nserver-seal: s\r\nattempt-id: call-1\r\n"
     b"content-type: text/event-stream\r\ncontent-length: 18\r\n\r\n",
     b"id: 1\n\n\n\n",
     b"id: 2\n\n\n\n",
 )
-_STARTED = "Started; callers are served at "
-# Found in the place of the first library that the daemon imports: it waits
-# until the test lets it go on, and then makes way for the library.
-_GATE_NAME = "trio.py"
-_GATE = """\
+_STARTED_PREFIX = "Started; callers are served at "
+# Stands in for trio, the first third-party module that the daemon imports: it
+# blocks until the test closes the pipe, then imports the real module.
+_BLOCKING_MODULE_NAME = "trio.py"
+_BLOCKING_MODULE = """\
 import importlib
 import sys
 with open({pipe!r}) as pipe:
@@ -73,106 +73,114 @@
 
 
 class ProcessScene:
-    """A daemon's process and what stands around it.
+    """A daemon's process with its settings file and the one runner.
 
     Attributes:
         program: The process.
-        runner: The one runner; its first stream waits for `resume`, those
-            after it do not end.
+        runner: The runner; its first stream waits for `resume` before its
+            last event, later streams never end.
         resume: Lets the runner end its first stream.
-        texts: The sentences that the daemon has logged.
+        texts: The texts of the daemon's log lines.
     """
 
     def __init__(self, folder: pathlib.Path, log_address: str) -> None:
         self.resume = trio.Event()
-        first = scripted.Script(_ANSWER, resume=self.resume)
-        head = _ANSWER[0].replace(_FIRST, _SECOND)
-        endless = scripted.Script((head, _ANSWER[1]), is_held=True)
-        self.runner = scripted.ScriptedRunner([first, endless])
+        first_script = scripted.Script(_ANSWER_PIECES, resume=self.resume)
+        head = _ANSWER_PIECES[0].replace(_FIRST_ATTEMPT_ID, _SECOND_ATTEMPT_ID)
+        endless_script = scripted.Script(
+            (head, _ANSWER_PIECES[1]), is_held=True
+        )
+        self.runner = scripted.ScriptedRunner([first_script, endless_script])
         self.texts: list[str] = []
         self.program: programs.Program | None = None
         self._folder = folder
-        self._gate: pathlib.Path | None = None
-        self._all_read = trio.Event()
+        self._import_pipe: pathlib.Path | None = None
+        self._log_read = trio.Event()
         self._settings = folder / "settings.jsonc"
-        self._slack = 52
+        self._retry_slack = 52
         self._log_address = log_address
         self._write_settings()
 
     async def start(
-        self, nursery: trio.Nursery, *, holds_imports: bool
+        self, nursery: trio.Nursery, *, blocks_imports: bool
     ) -> None:
-        """Start the process."""
+        """Start the daemon's process."""
         env = {**os.environ, "MARTENQUAY_BOOT": str(self._settings)}
-        if holds_imports:
-            before = env.get("PYTHONPATH", "")
-            env["PYTHONPATH"] = f"{self._write_gate()}{os.pathsep}{before}"
+        if blocks_imports:
+            inherited = env.get("PYTHONPATH", "")
+            env["PYTHONPATH"] = (
+                f"{self._write_blocking_module()}{os.pathsep}{inherited}"
+            )
         program = await programs.start_program("daemon", [str(_PROGRAM)], env)
         self.program = program
         nursery.start_soon(self._read_lines, program)
         nursery.start_soon(program.read_errors)
 
-    def send(self, *numbers: signal.Signals) -> None:
-        """Send signals one after the other."""
-        assert self.program is not None, "the process is started"
+    def send_signals(self, *numbers: signal.Signals) -> None:
+        """Send signals to the process, one after the other."""
+        assert self.program is not None, "the process is not started"
         for number in numbers:
             self.program.send(number)
 
     def change_settings(self) -> None:
-        """Write another settings file in the place of the last one."""
-        self._slack += 1
+        """Replace the settings file by one with another retry slack."""
+        self._retry_slack += 1
         self._write_settings()
 
-    async def wait_text(self, start: str) -> str:
-        """Wait for a sentence that begins so; it fails if the daemon ends."""
+    async def wait_text(self, prefix: str) -> str:
+        """Wait for a log text with this prefix; fail if the daemon ends."""
         while True:
             for text in self.texts:
-                if text.startswith(start):
+                if text.startswith(prefix):
                     return text
-            self._expect_running()
-            await trio.sleep(_POLL_S)
+            self._check_running()
+            await trio.sleep(_POLL_INTERVAL_S)
 
-    async def send_while_importing(self, *numbers: signal.Signals) -> None:
-        """Send signals while the daemon waits amid its imports.
+    async def send_signals_while_importing(
+        self, *numbers: signal.Signals
+    ) -> None:
+        """Send signals while the daemon is blocked in its imports.
 
-        Those that the daemon is sent stand before the end of its wait, so
-        no pause of the test's process lets it serve before they come.
+        The pipe is closed only after the signals are sent, so the daemon
+        cannot finish its imports before it gets them.
         """
-        assert self._gate is not None, "the scene holds imports"
-        while (pipe := _open_pipe(self._gate)) is None:
-            self._expect_running()
-            await trio.sleep(_POLL_S)
+        assert self._import_pipe is not None, "the scene does not block imports"
+        while (pipe := _open_pipe(self._import_pipe)) is None:
+            self._check_running()
+            await trio.sleep(_POLL_INTERVAL_S)
         try:
-            self.send(*numbers)
+            self.send_signals(*numbers)
         finally:
             os.close(pipe)
 
-    async def wait_serving(self) -> None:
-        """Wait until callers are served by the configuration."""
-        await self.wait_text(_STARTED)
+    async def wait_until_serving(self) -> None:
+        """Wait until the daemon serves callers and knows route and runner."""
+        await self.wait_text(_STARTED_PREFIX)
         await self.wait_text("Version 1 is in force")
         await self.wait_text("Runner runner-1 is known")
 
     async def open_stream(self) -> trio.SocketStream:
-        """Send a request; return once its first event is on the way."""
-        started = await self.wait_text(_STARTED)
-        address = started.removeprefix(_STARTED).rstrip(".")
-        name, _, port = address.rpartition(":")
-        stream = await trio.open_tcp_stream(name, int(port))
-        await stream.send_all(_CALL)
+        """Send a request; return once the runner has received it."""
+        text = await self.wait_text(_STARTED_PREFIX)
+        address = text.removeprefix(_STARTED_PREFIX).rstrip(".")
+        host_name, _, port = address.rpartition(":")
+        stream = await trio.open_tcp_stream(host_name, int(port))
+        await stream.send_all(_REQUEST)
         while not any(self.runner.requests):
-            self._expect_running()
-            await trio.sleep(_POLL_S)
+            self._check_running()
+            await trio.sleep(_POLL_INTERVAL_S)
         return stream
 
-    async def send_behind(self, stream: trio.SocketStream) -> None:
-        """Send one more request on the connection of the first."""
-        await stream.send_all(_CALL.replace(_FIRST, _SECOND))
+    async def send_second_request(self, stream: trio.SocketStream) -> None:
+        """Send a second request on the connection of the first."""
+        await stream.send_all(
+            _REQUEST.replace(_FIRST_ATTEMPT_ID, _SECOND_ATTEMPT_ID)
+        )
 
     async def read_answer(
         self, stream: trio.SocketStream
     ) -> serving_scene.Reply:
-        """Let the runner end its stream and read it to the end."""
+        """Let the runner end its first stream; read the answer."""
         self.resume.set()
         async with stream:
             return await serving_scene.read_reply(stream)
@@ -185,68 +193,72 @@
         async with stream:
             return await serving_scene.read_replies(stream, 2)
 
-    async def wait_end(self) -> int:
-        """Return the exit status, once all that it wrote is read."""
-        assert self.program is not None, "the process is started"
+    async def wait_exit(self) -> int:
+        """Return the exit status once the process's log is read completely."""
+        assert self.program is not None, "the process is not started"
         status = await self.program.process.wait()
-        await self._all_read.wait()
+        await self._log_read.wait()
         return status
 
     def describe(self) -> str:
-        """Return what the daemon has told, for a failed test."""
-        assert self.program is not None, "the process is started"
+        """Return the daemon's log texts and errors, for a failure message."""
+        assert self.program is not None, "the process is not started"
         errors = self.program.errors.decode(errors="replace")
         return "\n".join([*self.texts, errors])
 
     async def _read_lines(self, program: programs.Program) -> None:
-        await program.read_lines(self._take)
-        self._all_read.set()
+        await program.read_lines(self._add_text)
+        self._log_read.set()
 
-    def _take(self, line: dict[str, Any]) -> None:
+    def _add_text(self, line: dict[str, Any]) -> None:
         self.texts.append(line.get("text", ""))
 
-    def _expect_running(self) -> None:
-        assert self.program is not None, "the process is started"
+    def _check_running(self) -> None:
+        assert self.program is not None, "the process is not started"
         status = self.program.process.poll()
         if status is not None:
-            raise AssertionError(f"ended with {status}: {self.describe()}")
+            raise AssertionError(
+                f"daemon exited with {status}: {self.describe()}"
+            )
 
-    def _write_gate(self) -> pathlib.Path:
-        """Write what holds imports; return the folder to be found first."""
+    def _write_blocking_module(self) -> pathlib.Path:
+        """Write the blocking module; return the folder to import it from."""
         folder = self._folder / "gate"
         folder.mkdir()
-        self._gate = self._folder / "gate.pipe"
-        os.mkfifo(self._gate)
-        text = _GATE.format(pipe=str(self._gate), folder=str(folder))
-        (folder / _GATE_NAME).write_text(text)
+        self._import_pipe = self._folder / "gate.pipe"
+        os.mkfifo(self._import_pipe)
+        source = _BLOCKING_MODULE.format(
+            pipe=str(self._import_pipe), folder=str(folder)
+        )
+        (folder / _BLOCKING_MODULE_NAME).write_text(source)
         return folder
 
     def _write_settings(self) -> None:
         content = builders.build_gateway_settings()
         content["platform"] = {"log": self._log_address}
-        content["bounds"]["retry_slack"] = self._slack
+        content["bounds"]["retry_slack"] = self._retry_slack
         self._settings.write_text(json.dumps(content))
 
 
 @contextlib.asynccontextmanager
 async def open_process_scene(
-    *, holds_imports: bool = False
+    *, blocks_imports: bool = False
 ) -> AsyncIterator[ProcessScene]:
-    """Start a platform, a runner and a daemon; end them at the end.
+    """Start a platform, a runner and a daemon; stop them on exit.
 
     Args:
-        holds_imports: The daemon waits amid its imports for
-            `send_while_importing`.
+        blocks_imports: Blocks the daemon in its imports until
+            `send_signals_while_importing` is called.
     """
     async with trio.open_nursery() as nursery:
         platform = store.StoreStandIn(lambda *_, **__: None)
-        running = await host.start_stand_in(nursery, platform)
+        running_store = await host.start_stand_in(nursery, platform)
         with tempfile.TemporaryDirectory() as folder:
-            scene = ProcessScene(pathlib.Path(folder), running.address)
+            scene = ProcessScene(pathlib.Path(folder), running_store.address)
             await nursery.start(scene.runner.run)
-            await _fill(platform, scene.runner.address)
+            await _write_records(platform, scene.runner.address)
             try:
-                await scene.start(nursery, holds_imports=holds_imports)
+                await scene.start(nursery, blocks_imports=blocks_imports)
                 yield scene
             finally:
                 if scene.program is not None:
@@ -254,8 +266,8 @@
         nursery.cancel_scope.cancel()
 
 
-async def _fill(platform: store.StoreStandIn, runner: str) -> None:
-    """Have operators write a configuration and the runner its entry."""
+async def _write_records(platform: store.StoreStandIn, runner: str) -> None:
+    """Write the configuration and the runner's entry to the log."""
     entry = {
         "Service": "model",
         "Addr": runner,
@@ -276,7 +288,7 @@
 
 
 def _open_pipe(path: pathlib.Path) -> int | None:
-    """Open a pipe for writing, if somebody reads it."""
+    """Open a pipe for writing; None if no process reads it yet."""
     try:
         return os.open(path, os.O_WRONLY | os.O_NONBLOCK)
     except OSError as error:
--- a/tests/test_platform/test_late_requests.py
+++ b/tests/test_platform/test_late_requests.py
@@ -1,11 +1,6 @@
-"""A stopping daemon begins no stream that its grace time would cut off.
-
-A daemon had got SIGTERM. A stream of seconds ended on a kept connection 3.4 s
-later, and its caller sent the next request there at once: another such stream,
-which the end of the grace time of 8 s cut off after 4.2 s. Connections closed
-between requests only once an answer had been begun after the signal, and this
-one's answer was begun before. What settled it: the cut request's first line
-stands between "Stopping" and "Stopped", which names it as cut off.
+"""A stopping daemon refuses a stream that would outlast its grace time.
+
+This holds for a request on a kept connection whose last answer began earlier.
 """
 
 from __future__ import annotations
@@ -26,7 +21,7 @@
 
 
 class LateRequestTest(testtools.TestCase):
-    def _run(
+    def _run_scenario(
         self,
         scenario: Callable[[process_scene.ProcessScene], Awaitable[None]],
     ) -> None:
@@ -37,22 +32,22 @@
 
         trio.run(run)
 
-    def test_a_request_behind_a_stream_is_told_that_it_has_not_run(
+    def test_a_second_request_on_a_connection_is_refused_during_a_stop(
         self,
     ) -> None:
         async def scenario(scene: process_scene.ProcessScene) -> None:
-            await scene.wait_serving()
+            await scene.wait_until_serving()
             stream = await scene.open_stream()
-            scene.send(signal.SIGTERM)
+            scene.send_signals(signal.SIGTERM)
             await scene.wait_text("Stopping")
-            await scene.send_behind(stream)
+            await scene.send_second_request(stream)
             first, second = await scene.read_two_answers(stream)
             self.assertEqual(200, first.status, scene.describe())
             self.assertTrue(first.is_whole, scene.describe())
             self.assertEqual(503, second.status, scene.describe())
             self.assertTrue(second.is_whole, scene.describe())
             self.assertEqual(b"close", second.headers[b"connection"])
-            self.assertEqual(0, await scene.wait_end(), scene.describe())
+            self.assertEqual(0, await scene.wait_exit(), scene.describe())
             self.assertEqual(1, len(scene.runner.requests))
 
-        self._run(scenario)
+        self._run_scenario(scenario)
