--- a/tests/test_platform/__init__.py
+++ b/tests/test_platform/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the platform family."""
+"""Tests of the platform's adapter, of the daemon's program and of the soak."""
--- a/tests/test_platform/test_codec.py
+++ b/tests/test_platform/test_codec.py
@@ -1,4 +1,4 @@
-"""Headers of callers and runners are translated, and nothing leaks."""
+"""Headers are decoded and encoded; reserved ones are not forwarded."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
     (b"x-kept", b"yes"),
 ]
 
-# The system sets these; a caller could steer runners by them.
-_STEERING = (
+# Set by the daemon alone; a caller could otherwise control a runner by them.
+_DAEMON_ONLY_HEADERS = (
     b"hold",
     b"pin-ms",
     b"kv-backup",
@@ -41,7 +41,7 @@
         self.codec = codec.create_codec()
         self.call = self.codec.decode_call("POST", "/a/b?c=d", _HEADERS)
 
-    def test_a_call_is_read_into_typed_fields(self) -> None:
+    def test_request_headers_are_decoded_into_typed_fields(self) -> None:
         self.assertEqual("9c41", self.call.id)
         self.assertEqual("desk.example", self.call.host)
         self.assertEqual("/a/b", self.call.path)
@@ -53,30 +53,30 @@
         self.assertEqual([800, 410, 250], [p.tokens for p in self.call.prompt])
         self.assertEqual(12, self.call.resume_after)
 
-    def test_the_runner_sees_neither_the_key_nor_a_forged_team(self) -> None:
+    def test_the_runner_gets_neither_the_key_nor_a_forged_team(self) -> None:
         order = calls.RunnerOrder("i-1", 1.5, team="florists", urgency=2)
         sent = dict(self.codec.encode_order(self.call, order))
         self.assertNotIn(b"authorization", sent)
         self.assertEqual(b"florists", sent[b"tenant"])
         self.assertEqual(b"i-1", sent[b"expect-instance"])
 
-    def test_no_caller_steers_a_runner(self) -> None:
-        for name in _STEERING:
-            # Sent twice: neither may slip through.
-            asked = [*_HEADERS, (name, b"forged"), (name, b"forged")]
-            call = self.codec.decode_call("GET", "/", asked)
+    def test_reserved_headers_of_callers_are_dropped(self) -> None:
+        for name in _DAEMON_ONLY_HEADERS:
+            # Sent twice, as a filter might drop only one of them.
+            headers = [*_HEADERS, (name, b"forged"), (name, b"forged")]
+            call = self.codec.decode_call("GET", "/", headers)
             sent = self.codec.encode_order(call, calls.RunnerOrder("i-1", 1.5))
             self.assertNotIn((name, b"forged"), sent)
 
-    def test_a_stream_goes_on_after_the_last_event_delivered(self) -> None:
-        asked = self.call.resume_after
-        for last in (asked, 15):
-            order = calls.RunnerOrder("i-1", 1.5, resume_after=last)
+    def test_a_stream_resumes_after_the_last_delivered_event(self) -> None:
+        requested_id = self.call.resume_after
+        for last_id in (requested_id, 15):
+            order = calls.RunnerOrder("i-1", 1.5, resume_after=last_id)
             sent = self.codec.encode_order(self.call, order)
-            found = [value for name, value in sent if name == b"last-event-id"]
-            self.assertEqual([b"%d" % last], found)
+            values = [value for name, value in sent if name == b"last-event-id"]
+            self.assertEqual([b"%d" % last_id], values)
 
-    def test_what_concerns_one_connection_stays_there(self) -> None:
+    def test_hop_by_hop_headers_are_not_forwarded(self) -> None:
         order = calls.RunnerOrder("i-1", 1.5)
         sent = dict(self.codec.encode_order(self.call, order))
         self.assertNotIn(b"x-private", sent)
@@ -84,12 +84,12 @@
         self.assertEqual(b"yes", sent[b"x-kept"])
         self.assertEqual(b"9c41", sent[b"attempt-id"])
 
-    def test_the_time_passed_on_is_never_rounded_up(self) -> None:
+    def test_the_forwarded_deadline_is_rounded_down(self) -> None:
         order = calls.RunnerOrder("i-1", 0.4999)
         sent = dict(self.codec.encode_order(self.call, order))
         self.assertEqual(b"499", sent[b"deadline-ms"])
 
-    def test_a_caller_without_a_key_has_none(self) -> None:
+    def test_a_request_without_key_and_deadline_has_none(self) -> None:
         call = self.codec.decode_call("GET", "/", [(b"host", b"a")])
         self.assertIsNone(call.key)
         self.assertIsNone(call.budget_s)
@@ -100,16 +100,20 @@
         super().setUp()
         self.codec = codec.create_codec()
 
-    def test_only_the_runners_own_word_says_that_it_did_not_run(self) -> None:
-        plain = self.codec.decode_answer(503, [])
+    def test_only_the_header_or_status_421_says_that_a_request_did_not_run(
+        self,
+    ) -> None:
+        unmarked = self.codec.decode_answer(503, [])
         marked = self.codec.decode_answer(503, [(b"not-executed", b"1")])
-        moved = self.codec.decode_answer(421, [])
-        self.assertFalse(plain.did_not_run)
+        misdirected = self.codec.decode_answer(421, [])
+        self.assertFalse(unmarked.did_not_run)
         self.assertTrue(marked.did_not_run)
-        self.assertTrue(moved.did_not_run)
-        self.assertTrue(moved.is_wrong_runner)
+        self.assertTrue(misdirected.did_not_run)
+        self.assertTrue(misdirected.is_wrong_runner)
 
-    def test_the_seal_goes_back_and_framing_does_not(self) -> None:
+    def test_the_seal_is_returned_to_the_caller_and_framing_is_not(
+        self,
+    ) -> None:
         headers = [
             (b"server-seal", b"3e1b"),
             (b"content-length", b"5"),
@@ -123,7 +127,7 @@
             [b"server-seal", b"attempt-id"], [name for name, _ in head.headers]
         )
 
-    def test_an_own_answer_carries_no_seal_and_says_when_to_come_back(
+    def test_the_daemons_own_answer_has_retry_after_and_no_seal(
         self,
     ) -> None:
         headers = dict(self.codec.encode_own_answer("9c41", 0.25))
@@ -132,9 +136,9 @@
 
 
 class RunnerSignalsTest(testtools.TestCase):
-    """What a header of a runner's own state means, odd values included."""
+    """Headers about a runner's own state, malformed values included."""
 
-    def _read(self, *values: bytes) -> signals.RunnerSignals:
+    def _decode_limits(self, *values: bytes) -> signals.RunnerSignals:
         headers = [(b"server-limit", value) for value in values]
         return codec.create_codec().decode_answer(200, headers).signals
 
@@ -146,12 +150,14 @@
             (b"0", 0.0),
             (b"1e308", 1e308),
         ]:
-            self.assertEqual(signals.RunnerSignals(limit), self._read(text))
+            self.assertEqual(
+                signals.RunnerSignals(limit), self._decode_limits(text)
+            )
 
-    def test_without_the_header_no_limit_is_named(self) -> None:
-        self.assertEqual(signals.NO_SIGNALS, self._read())
+    def test_without_the_header_there_is_no_limit(self) -> None:
+        self.assertEqual(signals.NO_SIGNALS, self._decode_limits())
 
-    def test_what_is_no_number_tells_nothing(self) -> None:
+    def test_a_malformed_limit_is_unreadable(self) -> None:
         for text in [
             b"",
             b"-1",
@@ -162,11 +168,11 @@
             b"\xff",
             b"x",
         ]:
-            told = self._read(text)
-            self.assertTrue(told.is_limit_unreadable, text)
-            self.assertIsNone(told.limit_per_s)
+            decoded = self._decode_limits(text)
+            self.assertTrue(decoded.is_limit_unreadable, text)
+            self.assertIsNone(decoded.limit_per_s)
 
-    def test_only_a_one_says_that_the_runner_leaves(self) -> None:
+    def test_only_the_value_1_says_that_the_runner_is_leaving(self) -> None:
         decode = codec.create_codec().decode_answer
         for text, is_leaving in [
             (b"1", True),
@@ -176,13 +182,13 @@
             (b"", False),
             (b"true", False),
         ]:
-            told = decode(200, [(b"server-leaving", text)]).signals
-            self.assertEqual(is_leaving, told.is_leaving, text)
+            decoded = decode(200, [(b"server-leaving", text)]).signals
+            self.assertEqual(is_leaving, decoded.is_leaving, text)
 
-    def test_a_refusal_may_ask_for_rest(self) -> None:
+    def test_retry_after_of_a_refusal_is_decoded(self) -> None:
         decode = codec.create_codec().decode_answer
-        refused = (b"not-executed", b"1")
-        for texts, rest_s in [
+        not_executed = (b"not-executed", b"1")
+        for texts, delay_s in [
             ([b"3"], 3.0),
             ([b"0.25"], 0.25),
             ([b"0"], 0.0),
@@ -193,23 +199,23 @@
             ([b""], None),
             ([b"Thu, 01 Jan 1970 00:00:00 GMT"], None),
         ]:
-            lines = [(b"retry-after", text) for text in texts]
+            headers = [(b"retry-after", text) for text in texts]
             for status in (429, 503):
-                told = decode(status, [refused, *lines]).signals
-                self.assertEqual(rest_s, told.rest_s, texts)
-                self.assertEqual(rest_s is None, told.is_rest_unreadable)
+                decoded = decode(status, [not_executed, *headers]).signals
+                self.assertEqual(delay_s, decoded.rest_s, texts)
+                self.assertEqual(delay_s is None, decoded.is_rest_unreadable)
 
-    def test_what_has_run_or_may_have_asks_for_no_rest(self) -> None:
+    def test_retry_after_is_ignored_if_the_request_may_have_run(self) -> None:
         decode = codec.create_codec().decode_answer
-        line = (b"retry-after", b"3")
-        refused = (b"not-executed", b"1")
+        retry_after = (b"retry-after", b"3")
+        not_executed = (b"not-executed", b"1")
         for head in (
-            decode(503, [line]),
-            decode(200, [line, refused]),
-            decode(421, [line]),
+            decode(503, [retry_after]),
+            decode(200, [retry_after, not_executed]),
+            decode(421, [retry_after]),
         ):
             self.assertEqual(signals.NO_SIGNALS, head.signals)
 
-    def test_of_several_the_least_counts(self) -> None:
-        self.assertEqual(2.0, self._read(b"3", b"2").limit_per_s)
-        self.assertEqual(2.0, self._read(b"3, 2, x").limit_per_s)
+    def test_the_lowest_of_several_limits_applies(self) -> None:
+        self.assertEqual(2.0, self._decode_limits(b"3", b"2").limit_per_s)
+        self.assertEqual(2.0, self._decode_limits(b"3, 2, x").limit_per_s)
--- a/tests/test_platform/test_fields.py
+++ b/tests/test_platform/test_fields.py
@@ -1,4 +1,4 @@
-"""The page of fields names what the code reads, and the code reads it."""
+"""FIELDS.md lists the wire fields that the adapter reads, and where."""
 
 from __future__ import annotations
 
@@ -12,12 +12,16 @@
 from martenquay_platform import codec, log, records
 
 _PLATFORM = pathlib.Path(__file__).parents[2] / "platform"
-_SOURCES = _PLATFORM / "src" / "martenquay_platform"
-_ROW = re.compile(r"\| `([A-Za-z_-]+)` \| ([a-z]+\.py)? ?\| ?(.*?) ?\|$")
-_HEADER = re.compile(r'^\s*(?:_[A-Z_]+ = )?b"([a-z-]+)",?$', re.MULTILINE)
-# Not fields of this platform: hop-by-hop names of HTTP that are dropped, and
-# what a caller must not set, which no answer holds.
-_ONLY_DROPPED = frozenset(
+_SOURCE_FOLDER = _PLATFORM / "src" / "martenquay_platform"
+_ROW_PATTERN = re.compile(
+    r"\| `([A-Za-z_-]+)` \| ([a-z]+\.py)? ?\| ?(.*?) ?\|$"
+)
+_HEADER_PATTERN = re.compile(
+    r'^\s*(?:_[A-Z_]+ = )?b"([a-z-]+)",?$', re.MULTILINE
+)
+# Not listed in FIELDS.md: hop-by-hop headers of HTTP, and headers that are only
+# dropped from callers' requests.
+_UNLISTED_HEADERS = frozenset(
     {
         "proxy-authenticate",
         "proxy-authorization",
@@ -49,14 +53,14 @@
     for line in (_PLATFORM / "FIELDS.md").read_text().splitlines():
         if line.startswith("## "):
             section = line[3:]
-        found = _ROW.match(line)
-        if found is not None:
-            field, module, reason = found.groups()
+        match = _ROW_PATTERN.match(line)
+        if match is not None:
+            field, module, reason = match.groups()
             rows.append(_Row(section, field, module or "", reason))
     return rows
 
 
-def _list_names(*structs: type[msgspec.Struct]) -> set[str]:
+def _list_wire_names(*structs: type[msgspec.Struct]) -> set[str]:
     return {
         field.encode_name
         for struct in structs
@@ -69,41 +73,43 @@
         super().setUp()
         self.rows = _list_rows()
 
-    def _list(self, section: str) -> set[str]:
+    def _list_fields(self, section: str) -> set[str]:
         return {row.field for row in self.rows if row.section == section}
 
-    def test_what_is_said_to_be_read_is_read_there(self) -> None:
+    def test_listed_fields_are_read_in_the_module_named(self) -> None:
         self.assertGreater(len(self.rows), 40)
         for row in self.rows:
             if not row.module:
                 self.assertNotEqual("", row.reason, row)
                 continue
-            source = (_SOURCES / row.module).read_text()
+            source = (_SOURCE_FOLDER / row.module).read_text()
             is_header = row.module == "codec.py"
             name = row.field.lower() if is_header else row.field
             is_named = f'"{name}"' in source or f"    {name}:" in source
             self.assertTrue(is_named, row)
 
-    def test_each_header_that_the_code_names_is_on_the_page(self) -> None:
-        named = set(_HEADER.findall((_SOURCES / "codec.py").read_text()))
+    def test_each_header_in_the_codec_is_listed(self) -> None:
+        named = set(
+            _HEADER_PATTERN.findall((_SOURCE_FOLDER / "codec.py").read_text())
+        )
         listed = {row.field.lower() for row in self.rows}
         self.assertIn("server-limit", named)
-        self.assertEqual(set(), named - listed - _ONLY_DROPPED)
+        self.assertEqual(set(), named - listed - _UNLISTED_HEADERS)
 
-    def test_each_field_of_an_entry_is_on_the_page(self) -> None:
-        read = _list_names(records._RunnerEntry)
-        self.assertEqual(set(), read - self._list("Entries of runners"))
+    def test_each_field_of_a_runner_entry_is_listed(self) -> None:
+        names = _list_wire_names(records._RunnerEntry)
+        self.assertEqual(set(), names - self._list_fields("Entries of runners"))
 
-    def test_each_field_of_the_logs_answers_is_on_the_page(self) -> None:
-        read = _list_names(
+    def test_each_field_of_the_logs_answers_is_listed(self) -> None:
+        names = _list_wire_names(
             log._KeyedEntry,
             log._NewestPage,
             log._OffsetOutOfRange,
             log._AppendResult,
         )
-        self.assertEqual(set(), read - self._list("Answers of the log"))
+        self.assertEqual(set(), names - self._list_fields("Answers of the log"))
 
-    def test_what_a_runner_says_of_itself_comes_out_of_the_border(self) -> None:
+    def test_headers_about_the_runners_state_are_decoded(self) -> None:
         headers = [
             (b"attempt-id", b"call-1"),
             (b"server-seal", b"s"),
--- a/tests/test_platform/test_log.py
+++ b/tests/test_platform/test_log.py
@@ -1,4 +1,4 @@
-"""The log's wire is read and written as its pages say."""
+"""The log client encodes requests and decodes answers of the log's API."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class _FakeClient:
-    """Give prepared answers and remember the calls."""
+    """Returns the given answers in turn and records the calls."""
 
     def __init__(self, *answers: Result[http.Answer, http.CallFailure]) -> None:
         self.calls: list[tuple[str, str, bytes]] = []
@@ -31,15 +31,17 @@
         return self._answers.pop(0)
 
 
-def _answer(status: int, body: bytes) -> Result[http.Answer, http.CallFailure]:
+def _create_answer(
+    status: int, body: bytes
+) -> Result[http.Answer, http.CallFailure]:
     return Ok(http.Answer(status, [], body))
 
 
-def _answer_json(status: int, **fields):
-    return _answer(status, json.dumps(fields).encode())
+def _create_json_answer(status: int, **fields):
+    return _create_answer(status, json.dumps(fields).encode())
 
 
-def _query(url: str) -> dict[str, str]:
+def _parse_query(url: str) -> dict[str, str]:
     return dict(urllib.parse.parse_qsl(urllib.parse.urlsplit(url).query))
 
 
@@ -52,70 +54,76 @@
 
         return trio.run(run)
 
-    def test_records_are_cut_out_of_a_page(self) -> None:
+    def test_a_page_is_split_into_records(self) -> None:
         body = struct.pack(">QQ", 842, 0) + b"\0\0\0\2ab\0\0\0\1c"
-        client = _FakeClient(_answer(200, body))
+        client = _FakeClient(_create_answer(200, body))
         page = self._call(client, "read", "work", 840, wait_s=2.0).ok
         self.assertEqual((b"ab", b"c"), page.records)
         self.assertEqual((840, 842), (page.start, page.end))
-        query = _query(client.calls[0][1])
+        query = _parse_query(client.calls[0][1])
         self.assertEqual("840", query["From"])
         self.assertEqual("2000", query["WaitMs"])
 
-    def test_a_page_that_is_cut_off_is_a_failure(self) -> None:
+    def test_a_truncated_page_is_a_failure(self) -> None:
         body = struct.pack(">QQ", 842, 0) + b"\0\0\0\5ab"
-        page = self._call(_FakeClient(_answer(200, body)), "read", "work", 840)
+        page = self._call(
+            _FakeClient(_create_answer(200, body)), "read", "work", 840
+        )
         self.assertIn("cut off", page.error.message)
 
-    def test_dropped_records_are_told_with_the_first_that_is_kept(self) -> None:
-        client = _FakeClient(_answer_json(410, FirstOffset=90))
+    def test_a_read_of_deleted_records_returns_the_first_offset_kept(
+        self,
+    ) -> None:
+        client = _FakeClient(_create_json_answer(410, FirstOffset=90))
         page = self._call(client, "read", "work", 3).ok
         self.assertTrue(page.is_lost)
         self.assertEqual(90, page.start)
 
-    def test_pages_of_newest_records_end_where_the_first_one_did(self) -> None:
+    def test_a_snapshot_ends_at_the_end_of_its_first_page(self) -> None:
         def entry(key: str, offset: int) -> dict[str, object]:
             value = base64.b64encode(key.encode()).decode()
             return {"PrivateKey": key, "Value": value, "Offset": offset}
 
         client = _FakeClient(
-            _answer_json(
+            _create_json_answer(
                 200, Entries=[entry("a", 1)], HasMore=True, EndOffset=5
             ),
-            _answer_json(
+            _create_json_answer(
                 200, Entries=[entry("b", 7)], HasMore=False, EndOffset=9
             ),
         )
-        found = self._call(client, "read_newest", "keyed.op").ok
-        self.assertEqual(["a", "b"], [r.key for r in found.records])
-        self.assertEqual(5, found.end)
-        self.assertEqual("a", _query(client.calls[1][1])["SinceRev"])
-
-    def test_an_append_at_another_end_appends_nothing(self) -> None:
-        client = _FakeClient(_answer_json(412, EndOffset=12))
-        done = self._call(client, "append", "lease", [b"x"], expected_end=10).ok
-        self.assertIsNone(done.offset)
-        self.assertEqual(12, done.end)
-        self.assertEqual("10", _query(client.calls[0][1])["Timestamp"])
+        snapshot = self._call(client, "read_newest", "keyed.op").ok
+        self.assertEqual(["a", "b"], [r.key for r in snapshot.records])
+        self.assertEqual(5, snapshot.end)
+        self.assertEqual("a", _parse_query(client.calls[1][1])["SinceRev"])
+
+    def test_an_append_at_an_unexpected_end_appends_nothing(self) -> None:
+        client = _FakeClient(_create_json_answer(412, EndOffset=12))
+        result = self._call(
+            client, "append", "lease", [b"x"], expected_end=10
+        ).ok
+        self.assertIsNone(result.offset)
+        self.assertEqual(12, result.end)
+        self.assertEqual("10", _parse_query(client.calls[0][1])["Timestamp"])
         self.assertEqual(b"\0\0\0\1x", client.calls[0][2])
 
-    def test_a_refusal_did_nothing_and_an_error_may_have(self) -> None:
-        refused = self._call(
-            _FakeClient(_answer(503, b"")), "append", "lease", [b"x"]
+    def test_a_refusal_has_no_effect_and_a_reset_an_unknown_one(self) -> None:
+        refusal = self._call(
+            _FakeClient(_create_answer(503, b"")), "append", "lease", [b"x"]
         )
-        broken = self._call(
+        failure = self._call(
             _FakeClient(Error(http.CallFailure(sent=True, message="reset"))),
             "append",
             "lease",
             [b"x"],
         )
-        self.assertIs(outcome.Effect.NOT_DONE, refused.error.effect)
-        self.assertIs(outcome.Effect.UNKNOWN, broken.error.effect)
+        self.assertIs(outcome.Effect.NOT_DONE, refusal.error.effect)
+        self.assertIs(outcome.Effect.UNKNOWN, failure.error.effect)
 
-    def test_an_answer_that_is_no_json_is_a_failure(self) -> None:
-        client = _FakeClient(_answer(200, b"<html>"))
-        done = self._call(client, "append", "lease", [b"x"])
-        self.assertIs(outcome.Effect.UNKNOWN, done.error.effect)
+    def test_an_answer_that_is_not_json_has_an_unknown_effect(self) -> None:
+        client = _FakeClient(_create_answer(200, b"<html>"))
+        result = self._call(client, "append", "lease", [b"x"])
+        self.assertIs(outcome.Effect.UNKNOWN, result.error.effect)
 
     def test_keyed_records_begin_with_the_length_of_their_key(self) -> None:
         platform = log.create_log(_FakeClient(), "10.0.0.1:80")
@@ -125,33 +133,35 @@
         self.assertEqual(("config", b"{}"), (record.key, record.value))
         self.assertIsNone(platform.split_keyed(b"\x01a", 5).value)
 
-    def test_an_entry_that_cannot_be_read_leaves_the_others(self) -> None:
+    def test_a_malformed_entry_does_not_hide_the_others(self) -> None:
         entries = [
             {"PrivateKey": "i-1", "Value": "!!", "Offset": 4},
             {"PrivateKey": 7, "Value": "", "Offset": 5},
             {"PrivateKey": "i-2", "Value": "YQ==", "Offset": 6},
         ]
-        client = _FakeClient(_answer_json(200, Entries=entries, EndOffset=7))
-        found = self._call(client, "read_newest", "runners").ok
-        self.assertEqual(["i-1", "i-2"], [r.key for r in found.records])
-        self.assertEqual(b"a", found.records[1].value)
-        # Not as if it had been dropped: it is there and says nothing.
-        self.assertIsNotNone(found.records[0].value)
-        self.assertEqual(1, found.unreadable)
-
-    def test_a_page_that_ends_in_what_cannot_be_read_is_not_asked_for_again(
+        client = _FakeClient(
+            _create_json_answer(200, Entries=entries, EndOffset=7)
+        )
+        snapshot = self._call(client, "read_newest", "runners").ok
+        self.assertEqual(["i-1", "i-2"], [r.key for r in snapshot.records])
+        self.assertEqual(b"a", snapshot.records[1].value)
+        # None would mean that the key is deleted.
+        self.assertIsNotNone(snapshot.records[0].value)
+        self.assertEqual(1, snapshot.unreadable)
+
+    def test_a_page_of_malformed_entries_is_not_requested_again(
         self,
     ) -> None:
         entries = [{"PrivateKey": 7, "Value": "", "Offset": 5}]
         client = _FakeClient(
-            _answer_json(200, Entries=entries, HasMore=True, EndOffset=7)
+            _create_json_answer(200, Entries=entries, HasMore=True, EndOffset=7)
         )
-        found = self._call(client, "read_newest", "runners").ok
-        self.assertEqual((), found.records)
+        snapshot = self._call(client, "read_newest", "runners").ok
+        self.assertEqual((), snapshot.records)
 
 
-class SplitTest(testtools.TestCase):
-    def test_a_payload_without_a_whole_key_is_refused(self) -> None:
+class KeyedPayloadTest(testtools.TestCase):
+    def test_a_payload_without_a_complete_key_is_rejected(self) -> None:
         for payload in (b"", b"\5ab", b"\2\xff\xfe{}", b"\0{}"):
             self.assertRaises(ValueError, log.split_keyed, payload, 3)
 
--- a/tests/test_platform/test_records.py
+++ b/tests/test_platform/test_records.py
@@ -1,4 +1,4 @@
-"""The platform's records become typed values, or an error with the field."""
+"""Records are decoded into typed values, or rejected with the field's name."""
 
 from __future__ import annotations
 
@@ -61,45 +61,45 @@
         super().setUp()
         self.codec = records.create_codec()
 
-    def test_a_configuration_is_read_with_its_units(self) -> None:
-        found = self.codec.decode_catalog(_encode_config())
-        route = found.routes[0]
-        self.assertEqual(7, found.version)
+    def test_a_configuration_is_decoded_with_its_units(self) -> None:
+        decoded = self.codec.decode_catalog(_encode_config())
+        route = decoded.routes[0]
+        self.assertEqual(7, decoded.version)
         self.assertEqual("desk.example", route.host)
         self.assertEqual(8.0, route.timeout_s)
         self.assertIs(catalog.CallKind.STREAM, route.kind)
         self.assertTrue(route.may_repeat)
-        self.assertEqual(3.0, found.limits.header_s)
-        scaling = found.services["model"].scaling
+        self.assertEqual(3.0, decoded.limits.header_s)
+        scaling = decoded.services["model"].scaling
         self.assertEqual(0.22, scaling.reclaimable_price)
-        self.assertTrue(found.teams[0].counts_tokens)
-        self.assertEqual(200, found.teams[0].plain_tokens)
+        self.assertTrue(decoded.teams[0].counts_tokens)
+        self.assertEqual(200, decoded.teams[0].plain_tokens)
 
-    def test_a_split_takes_the_place_of_the_service(self) -> None:
+    def test_a_split_replaces_the_service(self) -> None:
         split = [
             {"Service": "old", "Weight": 90},
             {"Service": "new", "Weight": 10},
         ]
-        found = self.codec.decode_catalog(
+        decoded = self.codec.decode_catalog(
             _encode_config(Service="", Split=split)
         )
-        services = [d.service for d in found.routes[0].destinations]
+        services = [d.service for d in decoded.routes[0].destinations]
         self.assertEqual(["old", "new"], services)
 
-    def test_an_unknown_kind_names_the_route_and_the_kind(self) -> None:
+    def test_the_error_of_an_unknown_kind_names_route_and_kind(self) -> None:
         raw = _encode_config(RouteKind="sometimes")
         error = self.assertRaises(ValueError, self.codec.decode_catalog, raw)
         self.assertIn("r-1", str(error))
         self.assertIn("sometimes", str(error))
 
-    def test_a_missing_field_is_named(self) -> None:
+    def test_the_error_of_a_missing_field_names_it(self) -> None:
         raw = b'{"Version":7,"Routes":[{"Host":"a"}]}'
         error = self.assertRaises(ValueError, self.codec.decode_catalog, raw)
         self.assertIn("PathPrefix", str(error))
 
-    def test_a_field_of_a_later_version_is_passed_over(self) -> None:
-        found = self.codec.decode_catalog(b'{"Version":7,"New":1}')
-        self.assertEqual(7, found.version)
+    def test_an_unknown_field_is_ignored(self) -> None:
+        decoded = self.codec.decode_catalog(b'{"Version":7,"New":1}')
+        self.assertEqual(7, decoded.version)
 
 
 def _build_entry(**changes: Any) -> dict[str, Any]:
@@ -123,12 +123,14 @@
 
 _REQUIRED = sorted(_build_entry())
 _TYPED = [*_REQUIRED, "Spot", "leaves_ms", "born"]
-# No field of an entry is any of these.
+# Not valid for any field of an entry, but for `leaves_ms`, which may be null.
 _FOREIGN_VALUES = (None, [], {}, [1], {"a": 1})
 
 
 class RunnerTest(testtools.TestCase):
-    def test_a_reclaimed_runner_says_how_long_it_has(self) -> None:
+    def test_the_entry_of_a_reclaimed_runner_holds_its_remaining_time(
+        self,
+    ) -> None:
         runner = _decode(
             _build_entry(State="draining", Spot=True, leaves_ms=2400)
         )
@@ -136,30 +138,30 @@
         self.assertTrue(runner.is_reclaimable)
         self.assertEqual(2.4, runner.leaves_in_s)
 
-    def test_an_entry_says_when_its_process_started(self) -> None:
+    def test_an_entry_holds_the_start_time_of_its_process(self) -> None:
         born_ms = 1_795_000_000_123
         self.assertEqual(born_ms, _decode(_build_entry(born=born_ms)).born_ms)
         self.assertIsNone(_decode(_build_entry()).born_ms)
 
-    def test_a_start_that_is_no_whole_number_names_no_runner(self) -> None:
+    def test_an_invalid_process_start_time_is_rejected(self) -> None:
         for born in (1.5, 1e12, "1795000000123", True, -1):
             entry = _build_entry(born=born)
             error = self.assertRaises(ValueError, _decode, entry)
             self.assertIn("born", str(error))
 
-    def test_a_state_of_another_writer_names_no_runner(self) -> None:
+    def test_an_unknown_state_is_rejected(self) -> None:
         for state in ("", "Ready", "READY", "booting", "gone"):
             entry = _build_entry(State=state)
             error = self.assertRaises(ValueError, _decode, entry)
             self.assertIn("State", str(error))
 
-    def test_what_is_no_address_names_no_runner(self) -> None:
+    def test_an_invalid_address_is_rejected(self) -> None:
         for address in ("", ":", "10.0.0.1", "10.0.0.1:", ":80", "h:0", "h:x"):
             entry = _build_entry(Addr=address)
             error = self.assertRaises(ValueError, _decode, entry)
             self.assertIn("Addr", str(error))
 
-    def test_a_runner_without_slots_or_names_is_none(self) -> None:
+    def test_an_entry_without_slots_service_or_zone_is_rejected(self) -> None:
         for change in ({"Slots": 0}, {"Service": ""}, {"Zone": ""}):
             self.assertRaises(ValueError, _decode, _build_entry(**change))
 
@@ -181,7 +183,7 @@
     def test_a_field_of_another_type_names_no_runner(
         self, field: str, value: object
     ) -> None:
-        # A runner that is not told when it ends may say so.
+        # A runner without a known end may write null.
         hypothesis.assume(not (field == "leaves_ms" and value is None))
         entry = _build_entry(**{field: value})
         self.assertRaises(ValueError, _decode, entry)
--- a/tests/test_platform/test_silent_store.py
+++ b/tests/test_platform/test_silent_store.py
@@ -1,4 +1,4 @@
-"""Connections to the platform that go silent are left for new ones."""
+"""Calls to the platform move from unresponsive connections to new ones."""
 
 from __future__ import annotations
 
@@ -23,23 +23,23 @@
     from collections.abc import AsyncIterator
 
 _HANG_S = 20.0
-_PAUSE_S = 0.02
+_POLL_INTERVAL_S = 0.02
 _LONG_POLL_S = 30.0
 
 
 @dataclasses.dataclass
 class _Scene:
-    """A store, the way there and a client.
+    """A stand-in for the platform, a faulty proxy before it and clients.
 
     Attributes:
-        stand_in: The store.
-        front: Stands before it.
-        log: The client of its log.
-        cloud: The client of its cloud API.
-        nursery: Runs tasks to the end of the test.
+        platform: Serves the log and the cloud API.
+        front: The proxy through which the clients connect.
+        log: The client of the log.
+        cloud: The client of the cloud API.
+        nursery: Runs tasks until the end of the test.
     """
 
-    stand_in: store.StoreStandIn
+    platform: store.StoreStandIn
     front: proxy.FaultyProxy
     log: log.PlatformLog
     cloud: cloud.PlatformCloud
@@ -50,21 +50,21 @@
 async def _open_scene() -> AsyncIterator[_Scene]:
     with trio.fail_after(_HANG_S):
         async with trio.open_nursery() as nursery:
-            stand_in = store.StoreStandIn(lambda *_, **__: None)
+            platform = store.StoreStandIn(lambda *_, **__: None)
             running = await host.start_stand_in(
-                nursery, stand_in, "127.0.0.1:0"
+                nursery, platform, "127.0.0.1:0"
             )
             front = proxy.FaultyProxy(running.address)
             await nursery.start(front.run)
             async with http.open_client(resets=True) as client:
-                platform = log.create_log(client, front.address)
-                duties = cloud.create_cloud(client, front.address)
-                yield _Scene(stand_in, front, platform, duties, nursery)
+                log_client = log.create_log(client, front.address)
+                cloud_client = cloud.create_cloud(client, front.address)
+                yield _Scene(platform, front, log_client, cloud_client, nursery)
             nursery.cancel_scope.cancel()
 
 
 class SilentStoreTest(testtools.TestCase):
-    def _run(self, scenario) -> None:
+    def _run_scenario(self, scenario) -> None:
         async def run() -> None:
             async with _open_scene() as scene:
                 await scenario(scene)
@@ -72,25 +72,25 @@
         trio.run(run)
 
     async def _open_connections(self, scene: _Scene, count: int) -> None:
-        """Have connections kept, by as many calls at a time."""
-        wanted = scene.front.count_connections() + count
-        scene.stand_in.faults.delay_s = 0.1
+        """Open kept-alive connections by as many concurrent calls."""
+        expected = scene.front.count_connections() + count
+        scene.platform.faults.delay_s = 0.1
         async with trio.open_nursery() as nursery:
             for _ in range(count):
                 nursery.start_soon(scene.log.read, "work", 0)
-        scene.stand_in.faults.delay_s = 0.0
-        self.assertEqual(wanted, scene.front.count_connections())
+        scene.platform.faults.delay_s = 0.0
+        self.assertEqual(expected, scene.front.count_connections())
 
-    def test_a_read_is_repeated_at_once_on_a_new_connection(self) -> None:
+    def test_a_read_is_retried_at_once_on_a_new_connection(self) -> None:
         async def scenario(scene: _Scene) -> None:
             await self._open_connections(scene, 4)
             scene.front.silence_connections()
             page = await scene.log.read("work", 0)
             self.assertTrue(page.is_ok(), page)
 
-        self._run(scenario)
+        self._run_scenario(scenario)
 
-    def test_after_a_silent_call_the_next_one_has_a_new_connection(
+    def test_the_call_after_an_unanswered_one_uses_a_new_connection(
         self,
     ) -> None:
         async def scenario(scene: _Scene) -> None:
@@ -101,9 +101,9 @@
             done = await scene.log.append("work", [b"b"])
             self.assertTrue(done.is_ok(), done)
 
-        self._run(scenario)
+        self._run_scenario(scenario)
 
-    def test_a_report_that_was_lost_goes_out_again_on_a_new_connection(
+    def test_an_unanswered_report_is_sent_again_on_a_new_connection(
         self,
     ) -> None:
         async def scenario(scene: _Scene) -> None:
@@ -112,34 +112,34 @@
             report = ports.UsageReport(1, {"florists": 2})
             lost = await scene.cloud.report_usage(report, "e", 1)
             self.assertIs(outcome.Effect.UNKNOWN, lost.error.effect)
-            again = await scene.cloud.report_usage(report, "e", 1)
-            self.assertEqual(200, again.ok)
+            second = await scene.cloud.report_usage(report, "e", 1)
+            self.assertEqual(200, second.ok)
 
-        self._run(scenario)
+        self._run_scenario(scenario)
 
-    def test_a_silent_long_poll_is_left_when_others_prove_the_store_well(
+    def test_a_silent_long_poll_moves_once_another_read_reaches_the_log(
         self,
     ) -> None:
         async def scenario(scene: _Scene) -> None:
-            heard = trio.Event()
+            received = trio.Event()
 
             async def poll() -> None:
                 page = await scene.log.read("work", 0, wait_s=_LONG_POLL_S)
                 self.assertEqual((b"news",), page.ok.records)
-                heard.set()
+                received.set()
 
             scene.nursery.start_soon(poll)
             while not scene.front.count_connections():
-                await trio.sleep(_PAUSE_S)
+                await trio.sleep(_POLL_INTERVAL_S)
             await self._open_connections(scene, 2)
             scene.front.silence_connections()
-            await scene.stand_in.log.append("work", [b"news"])
+            await scene.platform.log.append("work", [b"news"])
             await scene.log.read("other", 0)
-            await heard.wait()
+            await received.wait()
 
-        self._run(scenario)
+        self._run_scenario(scenario)
 
-    def test_an_append_whose_answer_is_lost_may_have_been_done(self) -> None:
+    def test_an_append_whose_answer_is_lost_has_an_unknown_effect(self) -> None:
         async def scenario(scene: _Scene) -> None:
             await self._open_connections(scene, 1)
             scene.front.set_faults(proxy.ProxyFaults(is_silent_from=True))
@@ -149,24 +149,24 @@
             page = await scene.log.read("lease", 0)
             self.assertEqual((b"a",), page.ok.records)
 
-        self._run(scenario)
+        self._run_scenario(scenario)
 
-    def test_the_lease_outlives_silent_connections(self) -> None:
+    def test_the_lease_is_kept_when_connections_go_silent(self) -> None:
         async def scenario(scene: _Scene) -> None:
-            held = lease.create_lease(
+            own_lease = lease.create_lease(
                 scene.log, "lease", "e.aa", "e", 3.0, view.FleetView("e")
             )
-            scene.nursery.start_soon(held.run)
-            while not held.is_held():
-                await trio.sleep(_PAUSE_S)
-            fence = held.fence
+            scene.nursery.start_soon(own_lease.run)
+            while not own_lease.is_held():
+                await trio.sleep(_POLL_INTERVAL_S)
+            fence = own_lease.fence
             scene.front.silence_connections()
-            before = await scene.stand_in.log.read("lease", 0)
+            before = await scene.platform.log.read("lease", 0)
             end = before.ok.end
             while end < before.ok.end + 2:
-                await trio.sleep(_PAUSE_S)
-                self.assertEqual(fence, held.fence)
-                page = await scene.stand_in.log.read("lease", 0)
+                await trio.sleep(_POLL_INTERVAL_S)
+                self.assertEqual(fence, own_lease.fence)
+                page = await scene.platform.log.read("lease", 0)
                 end = page.ok.end
 
-        self._run(scenario)
+        self._run_scenario(scenario)
