--- a/packages/core/src/martenquay_core/serving/signals.py
+++ b/packages/core/src/martenquay_core/serving/signals.py
@@ -17,16 +17,16 @@
         is_limit_unreadable: It names one that is no number: then the answer
             tells neither of a limit nor of the end of one.
         is_leaving: It ends soon and wants no new work.
-        rest_s: It has turned the request away and wants none of this daemon
+        retry_after_s: It has turned the request away and wants none of this daemon
             for so long; None if it names no time.
-        is_rest_unreadable: It names a time that is no number of seconds.
+        is_retry_after_unreadable: It names a time that is no number of seconds.
     """
 
     limit_per_s: float | None = None
     is_limit_unreadable: bool = False
     is_leaving: bool = False
-    rest_s: float | None = None
-    is_rest_unreadable: bool = False
+    retry_after_s: float | None = None
+    is_retry_after_unreadable: bool = False
 
 
 NO_SIGNALS = RunnerSignals()
--- a/packages/daemon/src/martenquay_daemon/backpressure/runner_admission.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/runner_admission.py
@@ -75,13 +75,13 @@
         self._limits.note_answer(runner, reported, sent_at)
         if reported.is_leaving:
             self._drains.note_answer(runner)
-        if reported.is_rest_unreadable:
+        if reported.is_retry_after_unreadable:
             _LOG.write(
                 f"Runner {runner.id} sent a backoff time that is not a number.",
                 runner=runner.id,
             )
-        if reported.rest_s is not None:
-            self._backoffs.note_rejection(runner, reported.rest_s)
+        if reported.retry_after_s is not None:
+            self._backoffs.note_rejection(runner, reported.retry_after_s)
         elif not head.did_not_run:
             self._backoffs.note_answer(runner, sent_at)
 
--- a/packages/daemon/src/martenquay_daemon/forwarding/request_log.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/request_log.py
@@ -63,7 +63,7 @@
             has_runner_ended=current.has_runner_ended,
             runner_limit_per_s=current.reported_signals.limit_per_s,
             runner_leaves=current.reported_signals.is_leaving or None,
-            runner_rest_s=current.reported_signals.rest_s,
+            runner_rest_s=current.reported_signals.retry_after_s,
         )
 
     def log_disconnect(self, current: exchange.Exchange) -> None:
--- a/tests/test_platform/test_codec.py
+++ b/tests/test_platform/test_codec.py
@@ -202,8 +202,10 @@
             headers = [(b"retry-after", text) for text in texts]
             for status in (429, 503):
                 decoded = decode(status, [not_executed, *headers]).signals
-                self.assertEqual(delay_s, decoded.rest_s, texts)
-                self.assertEqual(delay_s is None, decoded.is_rest_unreadable)
+                self.assertEqual(delay_s, decoded.retry_after_s, texts)
+                self.assertEqual(
+                    delay_s is None, decoded.is_retry_after_unreadable
+                )
 
     def test_retry_after_is_ignored_if_the_request_may_have_run(self) -> None:
         decode = codec.create_codec().decode_answer
