--- a/packages/core/src/martenquay_core/serving/ports.py
+++ b/packages/core/src/martenquay_core/serving/ports.py
@@ -96,7 +96,7 @@
 class LogPort(Protocol):
     """The platform's log."""
 
-    def move_to(self, address: str) -> None:
+    def set_address(self, address: str) -> None:
         """Make later calls at another address."""
 
     async def read(
@@ -162,7 +162,7 @@
 class CloudPort(Protocol):
     """The platform's cloud API; each call names its holder and fence."""
 
-    def move_to(self, address: str) -> None:
+    def set_address(self, address: str) -> None:
         """Make later calls at another address."""
 
     async def report_usage(
