--- a/packages/core/src/martenquay_core/serving/catalog.py
+++ b/packages/core/src/martenquay_core/serving/catalog.py
@@ -150,7 +150,7 @@
         rate: Units a second over all daemons; 0 means no limit.
         burst: Units beyond the rate that may come at once.
         counts_tokens: Units are tokens, else requests.
-        plain_tokens: Units of a request that tells no token counts.
+        default_tokens: Units of a request that tells no token counts.
     """
 
     name: str
@@ -159,7 +159,7 @@
     rate: float = 0.0
     burst: float = 0.0
     counts_tokens: bool = False
-    plain_tokens: float = 1.0
+    default_tokens: float = 1.0
 
 
 @dataclasses.dataclass(frozen=True)
--- a/packages/daemon/src/martenquay_daemon/forwarding/exchange.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/exchange.py
@@ -108,7 +108,7 @@
         if team is None or not team.counts_tokens:
             return 1.0
         if self.call.tokens_in is None:
-            return team.plain_tokens
+            return team.default_tokens
         return float(self.call.tokens_in + (self.call.tokens_out or 0))
 
     def check_caller(self) -> None:
--- a/tests/test_platform/test_records.py
+++ b/tests/test_platform/test_records.py
@@ -73,7 +73,7 @@
         scaling = decoded.services["model"].scaling
         self.assertEqual(0.22, scaling.reclaimable_price)
         self.assertTrue(decoded.teams[0].counts_tokens)
-        self.assertEqual(200, decoded.teams[0].plain_tokens)
+        self.assertEqual(200, decoded.teams[0].default_tokens)
 
     def test_a_split_replaces_the_service(self) -> None:
         split = [
