--- a/packages/core/src/martenquay_core/serving/signals.py
+++ b/packages/core/src/martenquay_core/serving/signals.py
@@ -17,8 +17,8 @@
         is_limit_unreadable: It names one that is no number: then the answer
             tells neither of a limit nor of the end of one.
         is_leaving: It ends soon and wants no new work.
-        retry_after_s: It has turned the request away and wants none of this daemon
-            for so long; None if it names no time.
+        retry_after_s: How long the runner, which refused the request, accepts
+            none of this daemon; None if it names no time.
         is_retry_after_unreadable: It names a time that is no number of seconds.
     """
 
