--- a/packages/daemon/src/martenquay_daemon/answers.py
+++ b/packages/daemon/src/martenquay_daemon/answers.py
@@ -12,10 +12,10 @@
     from martenquay_daemon.deferrable import manager as deferrable_manager
     from martenquay_daemon.operators import queries
 
-__all__ = ["PeerAnswers"]
+__all__ = ["PeerRequestHandler"]
 
 
-class PeerAnswers:
+class PeerRequestHandler:
     """Hand each message to the part that it is for."""
 
     def __init__(self) -> None:
--- a/packages/daemon/src/martenquay_daemon/daemon.py
+++ b/packages/daemon/src/martenquay_daemon/daemon.py
@@ -67,7 +67,7 @@
         """Begin a planned stop."""
         self._stop.set()
 
-    def note_cut_off(self) -> int:
+    def record_cut_off(self) -> int:
         """Return how many requests an end at once cuts off, and keep it."""
         # Asked again while the end is under way, it finds fewer.
         self.cut_off = max(self.cut_off, self.readiness.in_progress)
@@ -101,7 +101,7 @@
             for name, task in parts.list_tasks().items():
                 nursery.start_soon(supervision.keep_running, name, task)
             addresses = await self._start_servers(parts, nursery, peer_address)
-            nursery.start_soon(self._note_started, parts)
+            nursery.start_soon(self._mark_started, parts)
             _LOG.write(f"Daemon {self.member} serves {addresses.callers}.")
             task_status.started(addresses)
             await self._stop.wait()
@@ -138,7 +138,7 @@
         )
         return Addresses(callers, operators, peer_address)
 
-    async def _note_started(self, parts: parts_module.DaemonParts) -> None:
+    async def _mark_started(self, parts: parts_module.DaemonParts) -> None:
         await parts.config_follower.ready.wait()
         self.readiness.is_started = True
         offset = parts.config.applied.value
--- a/packages/daemon/src/martenquay_daemon/gateway.py
+++ b/packages/daemon/src/martenquay_daemon/gateway.py
@@ -27,12 +27,12 @@
 _LOG = logs.create_log("gateway")
 # The balancer asks every second and believes the second miss; until then it
 # sends new connections.
-_NOTICE_S = 2.6
+_READINESS_NOTICE_S = 2.6
 # What must be over before the kill at the end of the grace time.
-_RESERVE_S = 0.4
-_POLL_S = 0.02
+_EXIT_MARGIN_S = 0.4
+_DRAIN_POLL_S = 0.02
 # For the last log lines at the end.
-_LAST_LINES_S = 0.2
+_LOG_FLUSH_S = 0.2
 
 
 async def run_gateway(
@@ -60,7 +60,7 @@
         _LOG.write(f"Ended by a fault: {error!r}.")
         raise
     finally:
-        writer.close(_LAST_LINES_S)
+        writer.close(_LOG_FLUSH_S)
     return 0
 
 
@@ -118,41 +118,41 @@
 async def _stop(
     watch: settings_watch.SettingsWatch,
     parts: gateway_parts.GatewayParts,
-    asked_at: float,
+    signalled_at: float,
 ) -> None:
     """Finish what is in progress, inside the grace time in force.
 
     Args:
         watch: Knows the grace time.
         parts: What is to end.
-        asked_at: When the stop's signal came, in trio's time; the process may
+        signalled_at: When the stop's signal came, in trio's time; the process may
             have been starting then.
     """
-    started = trio.current_time()
+    started_at = trio.current_time()
 
-    def find_end() -> float:
+    def find_deadline() -> float:
         # Operators may lengthen it while the last answers are under way.
-        return asked_at + watch.settings.bounds.grace_s - _RESERVE_S
+        return signalled_at + watch.settings.bounds.grace_s - _EXIT_MARGIN_S
 
     _LOG.write("Stopping: not ready any more.")
-    with trio.move_on_after(_NOTICE_S):
+    with trio.move_on_after(_READINESS_NOTICE_S):
         try:
-            await parts.begin_stop(find_end)
+            await parts.begin_stop(find_deadline)
         except Exception as error:  # noqa: BLE001
             # What is in progress is worth more than what this hands over.
-            where = traceback.format_exception(error)
+            trace = traceback.format_exception(error)
             _LOG.write(
                 f"The stop was not announced in full: {error!r}.",
-                trace="".join(where),
+                trace="".join(trace),
             )
-    await trio.sleep_until(started + _NOTICE_S)
+    await trio.sleep_until(started_at + _READINESS_NOTICE_S)
     parts.listener.stop_accepting()
     while parts.listener.count_busy():
-        if trio.current_time() >= find_end():
+        if trio.current_time() >= find_deadline():
             break
-        await trio.sleep(_POLL_S)
+        await trio.sleep(_DRAIN_POLL_S)
     _LOG.write(
         "Stopped.",
         cut_off=parts.listener.count_busy(),
-        took_s=round(trio.current_time() - started, 3),
+        took_s=round(trio.current_time() - started_at, 3),
     )
--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -64,13 +64,13 @@
 
 __all__ = ["GatewayParts", "create_parts"]
 
-_MS = 1000
+_MS_PER_S = 1000
 # What is left of the bound on leaving runners when entries are read before
 # use: for that read (0.15 s), for choosing again after a runner that takes no
 # connection (0.1 s each), and for packets that are sent a second time (0.2 s).
-_DRAIN_RESERVE_S = 1.0
+_DRAIN_MARGIN_S = 1.0
 # Reads come every 0.5 s in a small fleet.
-_LEAST_AGE_S = 0.7
+_MIN_ENTRY_AGE_S = 0.7
 
 
 class GatewayParts:
@@ -103,12 +103,12 @@
         self._build_quarantine()
         self._build_forwarding()
         self._build_duties()
-        self._first_reading = self._create_first_reading()
-        self._share_state()
+        self._first_read = self._create_first_read()
+        self._build_state_gossip()
 
     def is_ready(self) -> bool:
         """Tell whether callers are welcome."""
-        return not self._is_stopping and self._store.version > 0
+        return not self._is_stopping and self._catalog_store.version > 0
 
     def apply_settings(self, settings: gateway.GatewaySettings) -> None:
         """Take what can change without a new start.
@@ -117,8 +117,8 @@
         """
         bounds = settings.bounds
         self._retries.bounds = _find_retry_bounds(bounds)
-        self._units.bounds = _find_tolerance(bounds)
-        self._units.shares.window_s = bounds.allowance_window_s
+        self._quota_ledger.bounds = _find_tolerance(bounds)
+        self._quota_ledger.shares.window_s = bounds.allowance_window_s
         if settings.platform.log:
             self._ports.log.move_to(settings.platform.log)
         if self._ports.cloud is not None and settings.platform.cloud:
@@ -128,15 +128,15 @@
         """Return how much may be sent again now."""
         return self._retries.bounds
 
-    async def begin_stop(self, find_end: Callable[[], float]) -> None:
+    async def begin_stop(self, find_deadline: Callable[[], float]) -> None:
         """Turn callers away politely and hand over the duties.
 
         Args:
-            find_end: Returns when all has to be over, in trio's time.
+            find_deadline: Returns when all has to be over, in trio's time.
         """
         self._is_stopping = True
-        self._stop_window.begin(find_end)
-        self._shared.is_leaving = True
+        self._stop_window.begin(find_deadline)
+        self._state_gossip.is_leaving = True
         self.listener.begin_closing()
         await self._lease.release()
         self.links.send_now()
@@ -161,8 +161,8 @@
             "catalog": self._catalog_follower.run,
             "runners": self._runner_follower.run,
             "members": self._member_follower.run,
-            "entries": self._entries.run,
-            "strikes": self._strike_follower.run,
+            "entries": self._entry_refresher.run,
+            "strikes": self._crash_follower.run,
             "quarantine": self._quarantine.run,
             "versions": self._rollouts.follower.run,
             **self._duties,
@@ -171,8 +171,8 @@
     def _build_discovery(self) -> None:
         ports = self._ports
         self._contact = contact.LogContact()
-        self._store = catalog_store.create_store(ports.records)
-        self._directory = runner_directory.RunnerDirectory(
+        self._catalog_store = catalog_store.create_store(ports.records)
+        self._runner_directory = runner_directory.RunnerDirectory(
             ports.records, self._contact
         )
         self._rollouts = rollout_parts.create_rollout_state(
@@ -188,39 +188,41 @@
             self._contact,
             ports.topics.catalog,
             joint_sink.JointSink(
-                catalog_sink.CatalogSink(self._store, ports.topics.catalog_key),
+                catalog_sink.CatalogSink(
+                    self._catalog_store, ports.topics.catalog_key
+                ),
                 self._rollouts.order_sink,
             ),
             paces.CATALOG,
-            self._is_crowded,
+            self._uses_hubs,
             self._needs_log,
         )
         self._runner_follower = keyed_follower.KeyedFollower(
             ports.log,
             self._contact,
             ports.topics.runners,
-            self._directory,
+            self._runner_directory,
             paces.RUNNERS,
-            self._reads_seldom,
+            self._relies_on_hub_reads,
             self._needs_log,
         )
         self._runner_follower.copy_age.observe = self.metrics.note_copy_age
         for follower in (self._catalog_follower, self._runner_follower):
             follower.on_unreadable = self.metrics.count_unusable_record
-        self._directory.on_unusable = lambda _: (
+        self._runner_directory.on_unusable = lambda _: (
             self.metrics.count_unusable_record(ports.topics.runners)
         )
-        drain_s = self._settings.bounds.drain_ms / _MS
-        self._entries = refresher.create_refresher(
+        drain_s = self._settings.bounds.drain_ms / _MS_PER_S
+        self._entry_refresher = refresher.create_refresher(
             self._runner_follower,
             "runners' entries",
-            max(_LEAST_AGE_S, drain_s - _DRAIN_RESERVE_S),
+            max(_MIN_ENTRY_AGE_S, drain_s - _DRAIN_MARGIN_S),
         )
 
     def _build_fleet(self) -> None:
         settings = self._settings
         listen = settings.listen
-        self._view = view.FleetView(settings.instance)
+        self._fleet_view = view.FleetView(settings.instance)
         self._roster = roster.Roster(settings.instance)
         place = topology.PeerAddress(
             f"{listen.ip}:{listen.peer_port}",
@@ -229,10 +231,10 @@
         )
         self.links = links.FleetLinks(
             place,
-            self._view,
+            self._fleet_view,
             state_copies.FleetState(
-                self._store,
-                self._directory,
+                self._catalog_store,
+                self._runner_directory,
                 self._runner_follower,
                 self._contact,
             ),
@@ -247,9 +249,11 @@
             self._ports.log,
             self._contact,
             self._ports.topics.members,
-            announcements.MemberSink(self._view, self.links, self._roster),
+            announcements.MemberSink(
+                self._fleet_view, self.links, self._roster
+            ),
             paces.MEMBERS,
-            self._is_crowded,
+            self._uses_hubs,
         )
         self._announcer = announcements.Announcer(
             self._ports.log,
@@ -260,35 +264,35 @@
             self._member_follower.first_read,
         )
 
-    def _tell_peers_soon(self) -> None:
+    def _notify_mesh_peers_soon(self) -> None:
         # Hubs report at their own pace; news for them sooner than that would
         # only cost bytes, which the control traffic of 400 daemons lacks.
         if self.links.is_mesh():
             self.links.notify_soon()
 
-    def _create_first_reading(self) -> first_reading.FirstReading:
+    def _create_first_read(self) -> first_reading.FirstReading:
         sources = {
             "catalog": self._catalog_follower.first_read,
             "runners": self._runner_follower.first_read,
             "members": self._member_follower.first_read,
-            "strikes": self._strike_follower.first_read,
+            "strikes": self._crash_follower.first_read,
             "versions": self._rollouts.follower.first_read,
         }
         return first_reading.create_first_reading(sources)
 
-    async def _wait_until_read(self) -> None:
+    async def _wait_first_read(self) -> None:
         # What it waits for is built after the forwarder.
-        await self._first_reading.wait()
+        await self._first_read.wait()
 
     def _count_daemons(self) -> int:
         # The view is built after what asks for it.
-        return self._view.count_daemons()
+        return self._fleet_view.count_daemons()
 
-    def _is_crowded(self) -> bool:
+    def _uses_hubs(self) -> bool:
         # The links are built after what they hand on.
         return not self.links.is_mesh()
 
-    def _reads_seldom(self) -> bool:
+    def _relies_on_hub_reads(self) -> bool:
         return not self.links.leads_reading()
 
     def _needs_log(self) -> bool:
@@ -296,7 +300,7 @@
 
     def _create_digest(self) -> messages.Digest:
         # What it is made from is built after the links.
-        return self._shared.create_digest()
+        return self._state_gossip.create_digest()
 
     def _build_duties(self) -> None:
         settings = self._settings
@@ -305,8 +309,8 @@
             self._ports.topics.lease,
             self.member,
             settings.instance,
-            settings.bounds.lease_ms / _MS,
-            self._view,
+            settings.bounds.lease_ms / _MS_PER_S,
+            self._fleet_view,
         )
         self._duties: dict[str, Callable[[], Awaitable[None]]] = {}
         if self._ports.cloud is not None and settings.platform.duties:
@@ -314,13 +318,13 @@
                 ports=self._ports,
                 settings=settings,
                 lease=self._lease,
-                store=self._store,
-                directory=self._directory,
-                meter=self._meter,
+                store=self._catalog_store,
+                directory=self._runner_directory,
+                meter=self._demand_meter,
                 ledger=self._loads,
-                estimates=self._estimates,
+                estimates=self._runner_model,
                 usage=self._usage,
-                fleet=self._view,
+                fleet=self._fleet_view,
                 limits=self._backpressure.limits,
                 roster=self._roster,
                 links=self.links,
@@ -328,12 +332,12 @@
             )
             self._duties = duty_parts.list_tasks(sources, self._ports.cloud)
 
-    def _share_state(self) -> None:
+    def _build_state_gossip(self) -> None:
         settings = self._settings
         news = runner_report_gossip.RunnerReportGossip(
             self._backpressure.limits, self._backpressure.leaving
         )
-        self._shared = state_gossip.StateGossip(
+        self._state_gossip = state_gossip.StateGossip(
             state_gossip.Identity(
                 self.member,
                 settings.instance,
@@ -341,35 +345,35 @@
                 settings.link_mbps,
             ),
             state_gossip.StateSources(
-                store=self._store,
-                directory=self._directory,
+                store=self._catalog_store,
+                directory=self._runner_directory,
                 contact=self._contact,
-                quota_exchange=self._unit_news,
+                quota_exchange=self._quota_exchange,
                 listed=self._roster,
                 loads=self._loads,
                 runner_report_gossip=news,
                 usage=self._usage,
-                meter=self._meter,
-                estimates=self._estimates,
+                meter=self._demand_meter,
+                estimates=self._runner_model,
                 orders=self._rollouts.orders,
                 trials=self._rollouts.trials,
                 lease=self._lease,
                 links=self.links,
-                fleet=self._view,
+                fleet=self._fleet_view,
             ),
         )
         self.links.listeners = links.Listeners(
-            self._shared.apply_digest,
-            self._shared.apply_report,
-            self._shared.change_mode,
-            self._unit_news.apply_subscriber_digest,
-            self._unit_news.create_update,
-            self._unit_news.apply_update,
-            self._unit_news.answer,
-            self._unit_news.find_zone_end,
+            self._state_gossip.apply_digest,
+            self._state_gossip.apply_report,
+            self._state_gossip.change_mode,
+            self._quota_exchange.apply_subscriber_digest,
+            self._quota_exchange.create_update,
+            self._quota_exchange.apply_update,
+            self._quota_exchange.answer,
+            self._quota_exchange.find_zone_end,
             news,
         )
-        self._view.listen_for_ends(self._shared.end_member)
+        self._fleet_view.listen_for_ends(self._state_gossip.end_member)
 
     def _forget_runner(self, runner_id: str) -> None:
         """Drop what was learnt of a runner's process before this one."""
@@ -379,7 +383,7 @@
 
     def _build_allowances(self) -> None:
         bounds = self._settings.bounds
-        self._units = quota_ledger.create_quota_ledger(
+        self._quota_ledger = quota_ledger.create_quota_ledger(
             _find_tolerance(bounds),
             refill_shares.RefillShares(
                 lambda: refill_shares.RateShare(
@@ -391,19 +395,21 @@
             self.links.notify_quota_soon,
         )
         self.links.quota_client.observe = self.metrics.observe_quota_request
-        self._gate = gate.create_gate(self._units, self.links.quota_client)
-        self._unit_news = quota_exchange.QuotaExchange(
+        self._allowance_gate = gate.create_gate(
+            self._quota_ledger, self.links.quota_client
+        )
+        self._quota_exchange = quota_exchange.QuotaExchange(
             self.member,
             self._settings.zone,
-            self._store,
-            self._units,
-            self._gate,
+            self._catalog_store,
+            self._quota_ledger,
+            self._allowance_gate,
             self._roster,
             self._member_follower,
             self.links,
         )
 
-        self._gate.lacks_shares = self._unit_news.lacks_shares
+        self._allowance_gate.lacks_shares = self._quota_exchange.lacks_shares
 
     def _build_quarantine(self) -> None:
         topic = self._ports.topics.strikes
@@ -412,15 +418,15 @@
         )
         self._quarantine.on_strike = self.metrics.count_crash
         self._quarantine.may_tidy = self._is_lease_held
-        self._strike_follower = keyed_follower.KeyedFollower(
+        self._crash_follower = keyed_follower.KeyedFollower(
             self._ports.log,
             self._contact,
             topic,
             self._quarantine,
             paces.STRIKES,
-            self._is_crowded,
+            self._uses_hubs,
         )
-        self._strike_follower.on_unreadable = self.metrics.count_unusable_record
+        self._crash_follower.on_unreadable = self.metrics.count_unusable_record
 
     def _is_lease_held(self) -> bool:
         # The lease is built after what asks for it.
@@ -429,8 +435,8 @@
     def _build_forwarding(self) -> None:
         bounds = self._settings.bounds
         self._loads = loads.LoadLedger()
-        self._meter = demand.DemandMeter()
-        self._estimates = model.RunnerModel()
+        self._demand_meter = demand.DemandMeter()
+        self._runner_model = model.RunnerModel()
         streams = durations.StreamDurations()
         self._stop_window = stop_window.StopWindow(streams)
         self._usage = usage_counts.UsageCounts(bounds.window_s)
@@ -438,30 +444,30 @@
         self._backpressure = backpressure_parts.create_backpressure(
             self.instance,
             self._roster,
-            self._directory.leaving,
+            self._runner_directory.leaving,
             self.metrics.count_runner_signal,
-            self._tell_peers_soon,
+            self._notify_mesh_peers_soon,
         )
-        self._directory.on_restart = self._forget_runner
+        self._runner_directory.on_restart = self._forget_runner
         self._build_allowances()
         codec = self._ports.calls
         self._retries = retry_window.RetryWindow(
-            _find_retry_bounds(bounds), self._view.count_daemons
+            _find_retry_bounds(bounds), self._fleet_view.count_daemons
         )
         parts = forwarder.ForwarderParts(
-            store=self._store,
-            directory=self._directory,
-            entries=self._entries,
-            allowances=self._gate,
+            store=self._catalog_store,
+            directory=self._runner_directory,
+            entries=self._entry_refresher,
+            allowances=self._allowance_gate,
             placer=placer.Placer(
                 self._settings.zone,
-                self._directory,
+                self._runner_directory,
                 self._loads,
-                self._estimates,
+                self._runner_model,
                 self._ejector,
                 self._rng,
-                self._view.is_zone_silent,
-                lambda: self._view.is_mesh,
+                self._fleet_view.is_zone_silent,
+                lambda: self._fleet_view.is_mesh,
                 self._backpressure.admission,
                 self._rollouts.versions.choose,
             ),
@@ -469,17 +475,17 @@
                 codec,
                 self._loads,
                 self._usage,
-                self._meter,
-                self._estimates,
+                self._demand_meter,
+                self._runner_model,
                 streams,
-                self._tell_peers_soon,
+                self._notify_mesh_peers_soon,
                 self._backpressure.admission,
             ),
             retries=self._retries,
             ejector=self._ejector,
             runner_admission=self._backpressure.admission,
             quarantine=quarantine_filter.QuarantineFilter(
-                self._quarantine, self._directory
+                self._quarantine, self._runner_directory
             ),
             stop=self._stop_window,
             trials=trial_recorder.TrialRecorder(
@@ -490,11 +496,11 @@
             metrics=self.metrics,
             codec=codec,
             rng=self._rng,
-            wait_until_read=self._wait_until_read,
+            wait_until_read=self._wait_first_read,
         )
         self.listener = listener.CallerListener(
             self._settings.listen.callers,
-            self._store,
+            self._catalog_store,
             codec,
             forwarder.Forwarder(parts),
         )
--- a/packages/daemon/src/martenquay_daemon/main.py
+++ b/packages/daemon/src/martenquay_daemon/main.py
@@ -23,7 +23,7 @@
     "settings", None, "The settings file, JSON with comments.", required=True
 )
 _LOG = logs.create_log("daemon")
-_EXIT_SETTINGS = 7
+_EXIT_INVALID_SETTINGS = 7
 _EXIT_CUT_OFF = 1
 
 
@@ -37,7 +37,7 @@
     if settings.is_error():
         for problem in settings.error:
             print(reader.describe_problem(problem), file=sys.stderr)
-        return _EXIT_SETTINGS
+        return _EXIT_INVALID_SETTINGS
     logs.start_logging(settings.ok.instance)
     status = trio.run(
         _serve, settings.ok, held, clock=boot_clock.create_clock()
@@ -53,11 +53,11 @@
     async with trio.open_nursery() as nursery:
 
         def cut_off() -> None:
-            cut = process.note_cut_off()
+            cut = process.record_cut_off()
             _LOG.write(f"Cut off {cut} requests.", cut_off=cut)
             nursery.cancel_scope.cancel()
 
-        handler = signals.SignalHandler(held, _note_reload, cut_off)
+        handler = signals.SignalHandler(held, _log_reload_ignored, cut_off)
         # It runs until the last request has ended: a signal that nobody
         # handles ends the process, and what is in progress with it.
         await nursery.start(handler.run)
@@ -84,5 +84,5 @@
     print(json.dumps(line), flush=True)
 
 
-def _note_reload() -> None:
+def _log_reload_ignored() -> None:
     _LOG.write("Kept the settings; they are read at the start only.")
--- a/packages/daemon/src/martenquay_daemon/parts.py
+++ b/packages/daemon/src/martenquay_daemon/parts.py
@@ -113,11 +113,13 @@
             zone=settings.zone,
             address="",
         )
-        ticks = max(1, round(timing.dead_after_s / timing.heartbeat_s))
-        self.members = table.MemberTable(me, ticks)
-        self._answers = answers.PeerAnswers()
+        suspicion_heartbeats = max(
+            1, round(timing.dead_after_s / timing.heartbeat_s)
+        )
+        self.members = table.MemberTable(me, suspicion_heartbeats)
+        self._peer_requests = answers.PeerRequestHandler()
         self.peers = links.PeerLinks(
-            self.members, settings, self._answers.answer
+            self.members, settings, self._peer_requests.answer
         )
 
     def _build_configuration(self) -> None:
@@ -254,12 +256,12 @@
             workers=limits.deferrable_workers,
         )
         known_teams = teams.TeamDirectory(self.config, settings.partner)
-        entrance = admission.Admission(self._routes.find_capacity)
+        admission_control = admission.Admission(self._routes.find_capacity)
         self.chats = chats.ChatHandler(
             settings.partner,
             known_teams,
             self._routes,
-            entrance,
+            admission_control,
             self._models,
             self.deferrable,
             self.requests,
@@ -268,7 +270,7 @@
         service_handler = services.ServiceHandler(
             settings.partner,
             self._routes,
-            entrance,
+            admission_control,
             self._services,
             self.requests,
             nursery,
@@ -300,6 +302,6 @@
         self.operator_app = operator_app.OperatorApp(
             self._settings, query_desk, command_desk
         )
-        self._answers.connect(
+        self._peer_requests.connect(
             self.config, self.claims, self.deferrable, query_desk
         )
--- a/packages/daemon/src/martenquay_daemon/settings_watch.py
+++ b/packages/daemon/src/martenquay_daemon/settings_watch.py
@@ -19,7 +19,7 @@
 # the settings as often.
 _LOG = logs.create_log("settings")
 # A change without a signal is found within this time.
-_POLL_S = 2.0
+_POLL_INTERVAL_S = 2.0
 
 
 class SettingsWatch:
@@ -38,15 +38,15 @@
         self.settings = settings
         self._path = pathlib.Path(path)
         self._apply = apply
-        self._seen = self._read_bytes()
+        self._last_content = self._read_bytes()
 
     async def run(self) -> None:
         """Look again and again until cancelled."""
         while True:
-            await trio.sleep(_POLL_S)
+            await trio.sleep(_POLL_INTERVAL_S)
             content = self._read_bytes()
-            if content != self._seen:
-                self._seen = content
+            if content != self._last_content:
+                self._last_content = content
                 self.reload()
 
     def reload(self) -> None:
@@ -59,22 +59,22 @@
             _LOG.write(f"Kept the settings: {error!r}.")
 
     def _reload(self) -> None:
-        found = reader.read_settings(str(self._path), gateway.GatewaySettings)
-        if found.is_error():
-            for problem in found.error:
+        result = reader.read_settings(str(self._path), gateway.GatewaySettings)
+        if result.is_error():
+            for problem in result.error:
                 text = reader.describe_problem(problem)
                 _LOG.write(f"Kept the settings: {text}.")
             return
-        if found.ok == self.settings:
+        if result.ok == self.settings:
             _LOG.write("Read the settings; nothing has changed.")
             return
         changed = [
             name
-            for name in type(found.ok).__struct_fields__
-            if getattr(found.ok, name) != getattr(self.settings, name)
+            for name in type(result.ok).__struct_fields__
+            if getattr(result.ok, name) != getattr(self.settings, name)
         ]
-        self.settings = found.ok
-        self._apply(found.ok)
+        self.settings = result.ok
+        self._apply(result.ok)
         _LOG.write("Took the settings that have changed.", changed=changed)
 
     def _read_bytes(self) -> bytes:
--- a/packages/daemon/src/martenquay_daemon/supervision.py
+++ b/packages/daemon/src/martenquay_daemon/supervision.py
@@ -16,7 +16,7 @@
 
 _LOG = logs.create_log("gateway")
 # A task that fails again and again costs one start and one line a second.
-_PAUSE_S = 1.0
+_RESTART_DELAY_S = 1.0
 
 
 async def keep_running(name: str, run: Callable[[], Awaitable[None]]) -> None:
@@ -33,12 +33,12 @@
         try:
             await run()
         except Exception as error:  # noqa: BLE001
-            where = traceback.format_exception(error)
+            trace = traceback.format_exception(error)
             _LOG.write(
                 f"Task {name} failed and starts anew: {error!r}.",
                 task=name,
-                trace="".join(where),
+                trace="".join(trace),
             )
         else:
             return
-        await trio.sleep(_PAUSE_S)
+        await trio.sleep(_RESTART_DELAY_S)
