--- a/packages/daemon/src/martenquay_daemon/__init__.py
+++ b/packages/daemon/src/martenquay_daemon/__init__.py
@@ -1,1 +1,1 @@
-"""Run on every entry instance, between callers and runners."""
+"""Load balancer daemon that routes callers' requests to runners."""
--- a/packages/daemon/src/martenquay_daemon/answers.py
+++ b/packages/daemon/src/martenquay_daemon/answers.py
@@ -1,4 +1,4 @@
-"""Answer what other daemons ask of this one."""
+"""Dispatch requests of other daemons to the parts that answer them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class PeerRequestHandler:
-    """Hand each message to the part that it is for."""
+    """Answers the requests that arrive over links from other daemons."""
 
     def __init__(self) -> None:
         self._config: store.ConfigStore | None = None
@@ -31,14 +31,14 @@
         deferrable: deferrable_manager.DeferrableManager,
         query_desk: queries.QueryDesk,
     ) -> None:
-        """Name the parts; before that every question is put off."""
+        """Set the parts; until then each request is answered as unavailable."""
         self._config = config
         self._claims = claims
         self._deferrable = deferrable
         self._queries = query_desk
 
     async def answer(self, message: messages.Message) -> messages.Message:
-        """Return the reply to a message."""
+        """Return the reply to a request."""
         if (
             self._config is None
             or self._claims is None
--- a/packages/daemon/src/martenquay_daemon/daemon.py
+++ b/packages/daemon/src/martenquay_daemon/daemon.py
@@ -1,4 +1,4 @@
-"""Put one daemon together and run it until it is told to stop."""
+"""Run one daemon and drain it on a planned stop."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Addresses:
-    """Where a running daemon listens.
+    """Addresses on which a running daemon listens.
 
     Attributes:
-        callers: For callers' HTTP.
-        operators: For operators' HTTP.
-        peers: For links from other daemons.
+        callers: HTTP for callers.
+        operators: HTTP for operators.
+        peers: Links from other daemons.
     """
 
     callers: str
@@ -39,20 +39,20 @@
 
 
 class Daemon:
-    """One daemon of one entry instance.
+    """The daemon of an entry instance.
 
     Attributes:
         settings: Its settings.
-        readiness: Whether callers are welcome.
+        readiness: State behind the readiness check.
         member: The id under which other daemons know this process.
-        cut_off: How many requests the end did not wait for.
+        cut_off: Number of requests that were in progress when it ended.
     """
 
     def __init__(self, settings: models.DaemonSettings) -> None:
         self.settings = settings
         self.readiness = caller_app.Readiness()
-        # A process that starts again is another member: it has forgotten
-        # which calls it made.
+        # A new id per process tells peers that this one does not know which
+        # calls were made before a restart.
         self.member = f"{settings.instance}.{secrets.token_hex(4)}"
         self.cut_off = 0
         self._stop = trio.Event()
@@ -60,16 +60,16 @@
         self._stopped = trio.Event()
 
     async def wait_stopped(self) -> None:
-        """Return once the daemon has finished what was in progress."""
+        """Return when the daemon has drained."""
         await self._stopped.wait()
 
     def stop(self) -> None:
-        """Begin a planned stop."""
+        """Start a planned stop."""
         self._stop.set()
 
     def record_cut_off(self) -> int:
-        """Return how many requests an end at once cuts off, and keep it."""
-        # Asked again while the end is under way, it finds fewer.
+        """Record and return how many requests an immediate end cuts off."""
+        # A second call, made while requests are being cancelled, counts fewer.
         self.cut_off = max(self.cut_off, self.readiness.in_progress)
         return self.cut_off
 
@@ -78,7 +78,7 @@
         *,
         task_status: trio.TaskStatus[Addresses] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Serve until stopped, then finish what is in progress."""
+        """Serve until stopped, then drain."""
         async with (
             http.open_client() as reusing,
             http.open_client() as platform,
@@ -102,7 +102,9 @@
                 nursery.start_soon(supervision.keep_running, name, task)
             addresses = await self._start_servers(parts, nursery, peer_address)
             nursery.start_soon(self._mark_started, parts)
-            _LOG.write(f"Daemon {self.member} serves {addresses.callers}.")
+            _LOG.write(
+                f"Daemon {self.member} accepts callers at {addresses.callers}."
+            )
             task_status.started(addresses)
             await self._stop.wait()
             await self._drain(parts)
@@ -142,19 +144,22 @@
         await parts.config_follower.ready.wait()
         self.readiness.is_started = True
         offset = parts.config.applied.value
-        _LOG.write(f"Ready with the configuration at {offset}.", offset=offset)
+        _LOG.write(
+            f"Ready; applied the configuration up to offset {offset}.",
+            offset=offset,
+        )
 
     async def _drain(self, parts: parts_module.DaemonParts) -> None:
-        """Stop in the order that cuts nothing off.
+        """Drain in an order that cuts no request off.
 
-        First the balancer has to see that this daemon is not ready, then no
-        more connections are taken, then what is in progress is finished.
+        The load balancer first has to see the readiness check fail; then the
+        daemon stops accepting connections and finishes requests in progress.
         """
         timing = self.settings.timing
         self.readiness.is_stopping = True
         parts.members.announce_leaving()
         parts.worker.hand_over()
-        _LOG.write("Stopping: not ready any more.")
+        _LOG.write("Stopping; readiness checks fail from now on.")
         await trio.sleep(timing.drain_notice_s)
         self._close.set()
         with trio.move_on_after(timing.drain_limit_s) as limit:
@@ -162,9 +167,9 @@
                 await trio.sleep(_DRAIN_POLL_S)
         if limit.cancelled_caught:
             cut = self.cut_off = self._count_unfinished(parts)
-            _LOG.write(f"Stopped at the limit; cut off {cut} requests.")
+            _LOG.write(f"Stopped at the drain limit; cut off {cut} requests.")
         else:
-            _LOG.write("Stopped; nothing was cut off.")
+            _LOG.write("Stopped; no request was cut off.")
 
     def _count_unfinished(self, parts: parts_module.DaemonParts) -> int:
         return (
--- a/packages/daemon/src/martenquay_daemon/entry.py
+++ b/packages/daemon/src/martenquay_daemon/entry.py
@@ -1,4 +1,4 @@
-"""Enter the daemon with its signals held from the first line on."""
+"""Start the daemon, holding signals until it can handle them."""
 
 from __future__ import annotations
 
@@ -8,9 +8,10 @@
 
 
 def start() -> None:
-    """Run the daemon; the entry point of the binary."""
+    """Run the daemon; the entry point of `martenquayd`."""
     held = held_signals.hold_signals()
-    # Importing it takes long enough for a signal to end the process.
+    # Imported late: a signal during this slow import would end the process if
+    # signals were not held yet.
     from martenquay_daemon import main  # noqa: PLC0415
 
     main.start(held)
--- a/packages/daemon/src/martenquay_daemon/gateway.py
+++ b/packages/daemon/src/martenquay_daemon/gateway.py
@@ -1,4 +1,4 @@
-"""Run a daemon that serves on a platform, until it is told to stop."""
+"""Run a daemon on a platform and drain it on a planned stop."""
 
 from __future__ import annotations
 
@@ -25,13 +25,12 @@
 __all__ = ["run_gateway"]
 
 _LOG = logs.create_log("gateway")
-# The balancer asks every second and believes the second miss; until then it
-# sends new connections.
+# The load balancer probes each second and sends new connections until the
+# second failed probe.
 _READINESS_NOTICE_S = 2.6
-# What must be over before the kill at the end of the grace time.
+# Time to exit between the end of draining and the kill after the grace time.
 _EXIT_MARGIN_S = 0.4
 _DRAIN_POLL_S = 0.02
-# For the last log lines at the end.
 _LOG_FLUSH_S = 0.2
 
 
@@ -41,13 +40,13 @@
     settings_path: str,
     held: held_signals.HeldSignals,
 ) -> int:
-    """Serve until a planned stop; return the exit status.
+    """Serve until a planned stop and return the exit status.
 
     Args:
-        settings: As read at the start.
-        ports: The platform.
-        settings_path: Where the settings are read again.
-        held: Signals that came before.
+        settings: Settings read at the start.
+        ports: Adapters to the platform.
+        settings_path: File that is watched for changed settings.
+        held: Signals that arrived before they could be handled.
     """
     writer = logs.start_bounded_logging(
         settings.instance, sys.stdout.fileno(), _LOG
@@ -55,8 +54,8 @@
     try:
         await _serve(settings, ports, settings_path, held)
     except Exception as error:
-        # Else a fault of ours looks like a kill from outside: the lines just
-        # end, for the traceback goes elsewhere.
+        # The traceback goes to standard error; without this line the log of a
+        # crash ends like that of a process killed from outside.
         _LOG.write(f"Ended by a fault: {error!r}.")
         raise
     finally:
@@ -76,8 +75,8 @@
     )
     handler = signals.SignalHandler(held, watch.reload)
     async with trio.open_nursery() as nursery:
-        # It runs until the last request has ended: a signal that nobody
-        # handles ends the process, and what is in progress with it.
+        # The handler runs until the last request has ended: an unhandled
+        # signal would end the process and the requests in progress.
         await nursery.start(handler.run)
         if handler.stop.is_set():
             _LOG.write("Stopped before callers were served.")
@@ -105,7 +104,7 @@
 async def _serve_readiness(
     settings: gateway.GatewaySettings, parts: gateway_parts.GatewayParts
 ) -> None:
-    # hypercorn takes 80 ms to import; callers are served meanwhile.
+    # Imported here, since hypercorn's slow import would delay the listener.
     from martenquay_core.util import server  # noqa: PLC0415
 
     app = readiness.ReadinessApp(
@@ -120,30 +119,31 @@
     parts: gateway_parts.GatewayParts,
     signalled_at: float,
 ) -> None:
-    """Finish what is in progress, inside the grace time in force.
+    """Drain within the grace time.
 
     Args:
-        watch: Knows the grace time.
-        parts: What is to end.
-        signalled_at: When the stop's signal came, in trio's time; the process may
-            have been starting then.
+        watch: Holds the current settings with the grace time.
+        parts: Parts of the daemon that stops.
+        signalled_at: When the stop signal arrived, in trio's time; possibly
+            while the process was still starting.
     """
     started_at = trio.current_time()
 
     def find_deadline() -> float:
-        # Operators may lengthen it while the last answers are under way.
+        # Read each time: operators may change the grace time during a stop.
         return signalled_at + watch.settings.bounds.grace_s - _EXIT_MARGIN_S
 
-    _LOG.write("Stopping: not ready any more.")
+    _LOG.write("Stopping; readiness checks fail from now on.")
     with trio.move_on_after(_READINESS_NOTICE_S):
         try:
             await parts.begin_stop(find_deadline)
         except Exception as error:  # noqa: BLE001
-            # What is in progress is worth more than what this hands over.
-            trace = traceback.format_exception(error)
+            # Requests in progress must finish even if releasing the lease or
+            # notifying peers fails.
+            trace_lines = traceback.format_exception(error)
             _LOG.write(
-                f"The stop was not announced in full: {error!r}.",
-                trace="".join(trace),
+                f"Failed to announce the stop; draining continues: {error!r}.",
+                trace="".join(trace_lines),
             )
     await trio.sleep_until(started_at + _READINESS_NOTICE_S)
     parts.listener.stop_accepting()
--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -1,4 +1,4 @@
-"""Build the parts of a daemon that serves on a platform."""
+"""Build and connect the parts of a daemon that runs on a platform."""
 
 from __future__ import annotations
 
@@ -65,23 +65,24 @@
 __all__ = ["GatewayParts", "create_parts"]
 
 _MS_PER_S = 1000
-# What is left of the bound on leaving runners when entries are read before
-# use: for that read (0.15 s), for choosing again after a runner that takes no
-# connection (0.1 s each), and for packets that are sent a second time (0.2 s).
+# Entries are read again before use at an age this far below the drain bound:
+# time for the read, for trying another runner when one refuses the connection,
+# and for retransmissions.
 _DRAIN_MARGIN_S = 1.0
-# Reads come every 0.5 s in a small fleet.
-_MIN_ENTRY_AGE_S = 0.7
+# Must exceed the read interval of a small fleet; otherwise requests would wait
+# for reads.
+_MIN_REFRESH_AGE_S = 0.7
 
 
 class GatewayParts:
-    """The connected parts.
+    """Parts of a daemon, connected.
 
     Attributes:
-        instance: The entry instance's name.
-        member: This process's id.
-        links: The links to other daemons.
+        instance: Name of the entry instance.
+        member: Id of this process among the daemons.
+        links: Links to other daemons.
         listener: Serves callers.
-        metrics: Counts.
+        metrics: Prometheus metrics.
     """
 
     def __init__(
@@ -93,8 +94,8 @@
         self._settings = settings
         self._ports = ports
         self._is_stopping = False
-        # A process that starts again is another member: it has forgotten
-        # what it has spent and counted.
+        # A new id per process tells peers that the quota and counts of the
+        # previous process are lost.
         self.member = f"{settings.instance}.{secrets.token_hex(4)}"
         self._rng = random.Random(settings.instance)
         self.metrics = metrics.create_metrics()
@@ -103,21 +104,21 @@
         self._build_quarantine()
         self._build_forwarding()
         self._build_duties()
-        self._first_read = self._create_first_read()
+        self._first_reads = self._create_first_reads()
         self._build_state_gossip()
 
     def is_ready(self) -> bool:
-        """Tell whether callers are welcome."""
+        """Return whether the readiness check succeeds."""
         return not self._is_stopping and self._catalog_store.version > 0
 
     def apply_settings(self, settings: gateway.GatewaySettings) -> None:
-        """Take what can change without a new start.
+        """Apply the settings that can change without a restart.
 
-        Addresses, zone and instance take effect at the next start.
+        Addresses, zone and instance take effect at the next restart.
         """
         bounds = settings.bounds
         self._retries.bounds = _find_retry_bounds(bounds)
-        self._quota_ledger.bounds = _find_tolerance(bounds)
+        self._quota_ledger.bounds = _find_tolerance_bounds(bounds)
         self._quota_ledger.shares.window_s = bounds.allowance_window_s
         if settings.platform.log:
             self._ports.log.move_to(settings.platform.log)
@@ -125,14 +126,15 @@
             self._ports.cloud.move_to(settings.platform.cloud)
 
     def find_retry_bounds(self) -> retry_window.RetryBounds:
-        """Return how much may be sent again now."""
+        """Return the current bounds on retries."""
         return self._retries.bounds
 
     async def begin_stop(self, find_deadline: Callable[[], float]) -> None:
-        """Turn callers away politely and hand over the duties.
+        """Fail readiness, close connections after answers, release the lease.
 
         Args:
-            find_deadline: Returns when all has to be over, in trio's time.
+            find_deadline: Returns when all requests must have ended, in trio's
+                time.
         """
         self._is_stopping = True
         self._stop_window.begin(find_deadline)
@@ -144,7 +146,7 @@
     async def run(
         self, *, task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Run everything but the listener and the readiness address."""
+        """Run all parts but the listener and the readiness check."""
         async with trio.open_nursery() as nursery:
             address = await nursery.start(self.links.run)
             for name, task in self._list_tasks().items():
@@ -216,7 +218,7 @@
         self._entry_refresher = refresher.create_refresher(
             self._runner_follower,
             "runners' entries",
-            max(_MIN_ENTRY_AGE_S, drain_s - _DRAIN_MARGIN_S),
+            max(_MIN_REFRESH_AGE_S, drain_s - _DRAIN_MARGIN_S),
         )
 
     def _build_fleet(self) -> None:
@@ -224,13 +226,13 @@
         listen = settings.listen
         self._fleet_view = view.FleetView(settings.instance)
         self._roster = roster.Roster(settings.instance)
-        place = topology.PeerAddress(
+        own_address = topology.PeerAddress(
             f"{listen.ip}:{listen.peer_port}",
             settings.zone,
             settings.link_mbps,
         )
         self.links = links.FleetLinks(
-            place,
+            own_address,
             self._fleet_view,
             state_copies.FleetState(
                 self._catalog_store,
@@ -259,18 +261,18 @@
             self._ports.log,
             self._ports.topics.members,
             settings.instance,
-            place,
+            own_address,
             self._roster,
             self._member_follower.first_read,
         )
 
     def _notify_mesh_peers_soon(self) -> None:
-        # Hubs report at their own pace; news for them sooner than that would
-        # only cost bytes, which the control traffic of 400 daemons lacks.
+        # Hubs report at fixed intervals, so an early digest to them would use
+        # bandwidth and reach no daemon sooner.
         if self.links.is_mesh():
             self.links.notify_soon()
 
-    def _create_first_read(self) -> first_reading.FirstReading:
+    def _create_first_reads(self) -> first_reading.FirstReading:
         sources = {
             "catalog": self._catalog_follower.first_read,
             "runners": self._runner_follower.first_read,
@@ -280,16 +282,16 @@
         }
         return first_reading.create_first_reading(sources)
 
-    async def _wait_first_read(self) -> None:
-        # What it waits for is built after the forwarder.
-        await self._first_read.wait()
+    async def _wait_first_reads(self) -> None:
+        # A method, since `_first_reads` is built after the forwarder.
+        await self._first_reads.wait()
 
     def _count_daemons(self) -> int:
-        # The view is built after what asks for it.
+        # A method, since `_fleet_view` is built after its users.
         return self._fleet_view.count_daemons()
 
     def _uses_hubs(self) -> bool:
-        # The links are built after what they hand on.
+        # A method, since `links` is built after the followers.
         return not self.links.is_mesh()
 
     def _relies_on_hub_reads(self) -> bool:
@@ -299,7 +301,7 @@
         return self.links.needs_log()
 
     def _create_digest(self) -> messages.Digest:
-        # What it is made from is built after the links.
+        # A method, since `_state_gossip` is built after `links`.
         return self._state_gossip.create_digest()
 
     def _build_duties(self) -> None:
@@ -334,7 +336,7 @@
 
     def _build_state_gossip(self) -> None:
         settings = self._settings
-        news = runner_report_gossip.RunnerReportGossip(
+        report_gossip = runner_report_gossip.RunnerReportGossip(
             self._backpressure.limits, self._backpressure.leaving
         )
         self._state_gossip = state_gossip.StateGossip(
@@ -351,7 +353,7 @@
                 quota_exchange=self._quota_exchange,
                 listed=self._roster,
                 loads=self._loads,
-                runner_report_gossip=news,
+                runner_report_gossip=report_gossip,
                 usage=self._usage,
                 meter=self._demand_meter,
                 estimates=self._runner_model,
@@ -371,12 +373,12 @@
             self._quota_exchange.apply_update,
             self._quota_exchange.answer,
             self._quota_exchange.find_zone_end,
-            news,
+            report_gossip,
         )
         self._fleet_view.listen_for_ends(self._state_gossip.end_member)
 
     def _forget_runner(self, runner_id: str) -> None:
-        """Drop what was learnt of a runner's process before this one."""
+        """Drop what was measured and reported of a runner's former process."""
         self._ejector.forget(runner_id)
         self._loads.forget_runner(runner_id)
         self._backpressure.admission.forget(runner_id)
@@ -384,7 +386,7 @@
     def _build_allowances(self) -> None:
         bounds = self._settings.bounds
         self._quota_ledger = quota_ledger.create_quota_ledger(
-            _find_tolerance(bounds),
+            _find_tolerance_bounds(bounds),
             refill_shares.RefillShares(
                 lambda: refill_shares.RateShare(
                     self._roster.find_own_share(), self._roster.share_since
@@ -429,7 +431,7 @@
         self._crash_follower.on_unreadable = self.metrics.count_unusable_record
 
     def _is_lease_held(self) -> bool:
-        # The lease is built after what asks for it.
+        # A method, since `_lease` is built after its users.
         return self._lease.is_held()
 
     def _build_forwarding(self) -> None:
@@ -496,7 +498,7 @@
             metrics=self.metrics,
             codec=codec,
             rng=self._rng,
-            wait_until_read=self._wait_first_read,
+            wait_until_read=self._wait_first_reads,
         )
         self.listener = listener.CallerListener(
             self._settings.listen.callers,
@@ -509,7 +511,7 @@
 def create_parts(
     settings: gateway.GatewaySettings, ports: gateway_ports.GatewayPorts
 ) -> GatewayParts:
-    """Return the parts, connected and not yet running."""
+    """Return the parts, connected but not running."""
     return GatewayParts(settings, ports)
 
 
@@ -521,7 +523,9 @@
     )
 
 
-def _find_tolerance(bounds: gateway.BoundSettings) -> terms.ToleranceBounds:
+def _find_tolerance_bounds(
+    bounds: gateway.BoundSettings,
+) -> terms.ToleranceBounds:
     return terms.ToleranceBounds(
         bounds.allowance_window_s,
         bounds.allowance_overrun,
--- a/packages/daemon/src/martenquay_daemon/gateway_ports.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_ports.py
@@ -1,4 +1,4 @@
-"""Gather the platform as a daemon meets it."""
+"""Define the platform adapters that a daemon is built with."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class GatewayPorts:
-    """The platform, as an adapter gives it.
+    """Adapters to the platform.
 
     Attributes:
-        log: Its log.
-        cloud: Its cloud API; None where there are no duties.
-        calls: Names headers.
-        records: Decodes records.
-        topics: Names topics.
+        log: The platform's log.
+        cloud: The cloud API; None if this daemon never takes the duties.
+        calls: Decodes and encodes the headers of requests and answers.
+        records: Decodes and encodes the records of the log.
+        topics: Names of the log's topics.
     """
 
     log: port_types.LogPort
--- a/packages/daemon/src/martenquay_daemon/main.py
+++ b/packages/daemon/src/martenquay_daemon/main.py
@@ -1,4 +1,4 @@
-"""Start `martenquayd` with a settings file."""
+"""Run `martenquayd` with the settings file given as a flag."""
 
 from __future__ import annotations
 
@@ -54,12 +54,14 @@
 
         def cut_off() -> None:
             cut = process.record_cut_off()
-            _LOG.write(f"Cut off {cut} requests.", cut_off=cut)
+            _LOG.write(
+                f"Stopping at once; cut off {cut} requests.", cut_off=cut
+            )
             nursery.cancel_scope.cancel()
 
         handler = signals.SignalHandler(held, _log_reload_ignored, cut_off)
-        # It runs until the last request has ended: a signal that nobody
-        # handles ends the process, and what is in progress with it.
+        # The handler runs until the last request has ended: an unhandled
+        # signal would end the process and the requests in progress.
         await nursery.start(handler.run)
         addresses = await nursery.start(process.run)
         _print_addresses(addresses, process.member)
@@ -69,12 +71,12 @@
         process.stop()
         await process.wait_stopped()
         nursery.cancel_scope.cancel()
-    # By now nothing is in progress any more, whether it ended or was cut off.
+    # `readiness.in_progress` is zero by now, also after requests were cut off.
     return _EXIT_CUT_OFF if process.cut_off else 0
 
 
 def _print_addresses(addresses: daemon.Addresses, member: str) -> None:
-    """Tell the launcher the ports that the system chose."""
+    """Print the addresses, whose ports the system may have chosen."""
     line = {
         "callers": addresses.callers,
         "operators": addresses.operators,
@@ -85,4 +87,4 @@
 
 
 def _log_reload_ignored() -> None:
-    _LOG.write("Kept the settings; they are read at the start only.")
+    _LOG.write("Ignored SIGHUP; settings are read only at the start.")
--- a/packages/daemon/src/martenquay_daemon/parts.py
+++ b/packages/daemon/src/martenquay_daemon/parts.py
@@ -1,4 +1,4 @@
-"""Build the parts of a daemon and connect them."""
+"""Build and connect the parts of a daemon."""
 
 from __future__ import annotations
 
@@ -40,14 +40,14 @@
     """The parts of one daemon, connected.
 
     Attributes:
-        members: What is known of other daemons.
-        peers: The links to them.
-        config: The configuration in force.
-        config_follower: Keeps it up to date.
-        claims: Settles claims on keys.
+        members: Membership table of the daemons.
+        peers: Links to other daemons.
+        config: Current configuration.
+        config_follower: Applies configuration changes from the log.
+        claims: Settles claims on idempotency keys.
         deferrable: Accepts deferrable requests.
-        worker: Works on them.
-        requests: What runs now.
+        worker: Runs deferrable requests.
+        requests: Requests in progress.
         chats: Serves chat requests.
         caller_app: The callers' ASGI app.
         operator_app: The operators' ASGI app.
@@ -83,7 +83,7 @@
         self._build_operators()
 
     def announce_address(self, address: str) -> None:
-        """Tell peers where this daemon's link listens."""
+        """Publish the address on which this daemon accepts peer links."""
         me = self.members.me
         self.members.replace_me(
             messages.MemberUpdate(
@@ -95,7 +95,7 @@
         )
 
     def list_tasks(self) -> dict[str, Callable[[], Awaitable[None]]]:
-        """Return the tasks, by name, that run as long as the daemon does."""
+        """Return the background tasks by name."""
         return {
             "configuration": self.config_follower.run,
             "snapshots": self._publisher.run,
@@ -113,10 +113,10 @@
             zone=settings.zone,
             address="",
         )
-        suspicion_heartbeats = max(
+        dead_after_heartbeats = max(
             1, round(timing.dead_after_s / timing.heartbeat_s)
         )
-        self.members = table.MemberTable(me, suspicion_heartbeats)
+        self.members = table.MemberTable(me, dead_after_heartbeats)
         self._peer_requests = answers.PeerRequestHandler()
         self.peers = links.PeerLinks(
             self.members, settings, self._peer_requests.answer
--- a/packages/daemon/src/martenquay_daemon/readiness.py
+++ b/packages/daemon/src/martenquay_daemon/readiness.py
@@ -1,4 +1,4 @@
-"""Answer the balancer's question and serve metrics."""
+"""Serve the load balancer's readiness check and metrics over HTTP."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class ReadinessApp:
-    """The ASGI app of the readiness address."""
+    """ASGI app that answers readiness checks and metrics scrapes."""
 
     def __init__(
         self,
--- a/packages/daemon/src/martenquay_daemon/settings_watch.py
+++ b/packages/daemon/src/martenquay_daemon/settings_watch.py
@@ -1,4 +1,4 @@
-"""Notice that the settings file has changed, by signal or without."""
+"""Reload the settings file on a signal or when polling finds a change."""
 
 from __future__ import annotations
 
@@ -15,18 +15,17 @@
 
 __all__ = ["SettingsWatch"]
 
-# Not "gateway", whose lines are not bounded in rate: a storm of signals reads
-# the settings as often.
+# Not "gateway", whose lines are exempt from the log's rate limit: each signal
+# of a series writes a line here.
 _LOG = logs.create_log("settings")
-# A change without a signal is found within this time.
 _POLL_INTERVAL_S = 2.0
 
 
 class SettingsWatch:
-    """Read the file again when it has changed.
+    """Reloads the settings when their file changes.
 
     Attributes:
-        settings: The last good settings.
+        settings: Last valid settings.
     """
 
     def __init__(
@@ -41,7 +40,7 @@
         self._last_content = self._read_bytes()
 
     async def run(self) -> None:
-        """Look again and again until cancelled."""
+        """Poll the file until cancelled."""
         while True:
             await trio.sleep(_POLL_INTERVAL_S)
             content = self._read_bytes()
@@ -50,20 +49,24 @@
                 self.reload()
 
     def reload(self) -> None:
-        """Read the file; with problems the last good settings stay."""
+        """Read the file; keep the previous settings if it is invalid."""
         try:
             self._reload()
         except Exception as error:  # noqa: BLE001
-            # Some contents make the readers raise what they do not name, such
-            # as a number of 5,000 digits; none may end the daemon.
-            _LOG.write(f"Kept the settings: {error!r}.")
+            # Some invalid files, such as one with a number of 5,000 digits,
+            # raise undocumented exceptions, which would end the daemon.
+            _LOG.write(
+                f"Kept the previous settings; reading failed: {error!r}."
+            )
 
     def _reload(self) -> None:
         result = reader.read_settings(str(self._path), gateway.GatewaySettings)
         if result.is_error():
             for problem in result.error:
                 text = reader.describe_problem(problem)
-                _LOG.write(f"Kept the settings: {text}.")
+                _LOG.write(
+                    f"Kept the previous settings; the file is invalid: {text}."
+                )
             return
         if result.ok == self.settings:
             _LOG.write("Read the settings; nothing has changed.")
@@ -75,11 +78,11 @@
         ]
         self.settings = result.ok
         self._apply(result.ok)
-        _LOG.write("Took the settings that have changed.", changed=changed)
+        _LOG.write("Applied the changed settings.", changed=changed)
 
     def _read_bytes(self) -> bytes:
         try:
             return self._path.read_bytes()
         except OSError as error:
-            _LOG.write(f"The settings cannot be read: {error}.")
+            _LOG.write(f"Cannot read the settings file: {error}.")
             return b""
--- a/packages/daemon/src/martenquay_daemon/supervision.py
+++ b/packages/daemon/src/martenquay_daemon/supervision.py
@@ -1,4 +1,4 @@
-"""Keep a daemon's background tasks running beside its requests."""
+"""Restart background tasks that fail."""
 
 from __future__ import annotations
 
@@ -15,29 +15,29 @@
 __all__ = ["keep_running"]
 
 _LOG = logs.create_log("gateway")
-# A task that fails again and again costs one start and one line a second.
+# Bounds the load and the log lines of a task that fails at each start.
 _RESTART_DELAY_S = 1.0
 
 
 async def keep_running(name: str, run: Callable[[], Awaitable[None]]) -> None:
-    """Run a task; start it anew after a fault.
+    """Run a task and restart it after each exception.
 
-    Without it one fault in a duty or follower ends the process, and every
-    request in progress with it.
+    An unhandled exception of a background task would end the process and all
+    requests in progress.
 
     Args:
-        name: Stands in the log.
-        run: The task; it keeps its state outside of this call.
+        name: Name of the task in log lines.
+        run: The task; state that a restart needs must outlive the call.
     """
     while True:
         try:
             await run()
         except Exception as error:  # noqa: BLE001
-            trace = traceback.format_exception(error)
+            trace_lines = traceback.format_exception(error)
             _LOG.write(
-                f"Task {name} failed and starts anew: {error!r}.",
+                f"Task {name} failed and will be restarted: {error!r}.",
                 task=name,
-                trace="".join(trace),
+                trace="".join(trace_lines),
             )
         else:
             return
--- a/packages/daemon/src/martenquay_daemon/util/__init__.py
+++ b/packages/daemon/src/martenquay_daemon/util/__init__.py
@@ -1,1 +1,1 @@
-"""Hold small helpers of the daemon, one topic a module."""
+"""Utilities of the daemon, one topic per module."""
--- a/packages/daemon/src/martenquay_daemon/util/metrics.py
+++ b/packages/daemon/src/martenquay_daemon/util/metrics.py
@@ -1,6 +1,7 @@
-"""Count and time what the daemon does, for Prometheus.
+"""Define the daemon's Prometheus metrics.
 
-Labels stay few and bounded: routes, teams and causes, never request ids.
+Labels have few distinct values, such as routes, teams and causes: a label with
+request ids would add a time series per request.
 """
 
 from __future__ import annotations
@@ -15,12 +16,12 @@
     """The daemon's metrics.
 
     Attributes:
-        requests: Answers by route, urgency and result code.
-        decisions: Placements by pool and reason.
-        recomputed: Prompt tokens computed again, by cause.
+        requests: Number of answers by route, urgency and result code.
+        decisions: Number of routing decisions by pool and reason.
+        recomputed: Prompt tokens that were prefilled again, by cause.
         generated: Tokens generated, by pool.
-        first_token_s: Time to the first token, by pool.
-        settled: Claims by how they were settled.
+        first_token_s: Time to first token in seconds, by pool.
+        settled: Number of claims by outcome.
     """
 
     def __init__(self, registry: aioprometheus.Registry) -> None:
@@ -40,7 +41,7 @@
         )
 
     def render(self) -> bytes:
-        """Return all metrics in Prometheus' text form."""
+        """Return all metrics in the Prometheus text format."""
         content, _ = renderer.render(self._registry, [])
         return content
 
@@ -51,5 +52,5 @@
 
 
 def create_metrics() -> DaemonMetrics:
-    """Return metrics in a registry of their own."""
+    """Return metrics in a new registry."""
     return DaemonMetrics(aioprometheus.Registry())
--- a/tests/test_platform/test_signals.py
+++ b/tests/test_platform/test_signals.py
@@ -40,7 +40,7 @@
 _STOPPING = "Stopping"
 _TOOK_HUP = "Took SIGHUP."
 # How a line begins that tells of the settings as they were read.
-_READ = ("Read the settings", "Took the settings")
+_READ = ("Read the settings", "Applied the changed settings")
 _TERM = signal.SIGTERM
 _HUP = signal.SIGHUP
 
@@ -81,7 +81,7 @@
             await scene.wait_text(_TOOK_HUP)
             scene.change_settings()
             scene.send(_HUP)
-            await scene.wait_text("Took the settings")
+            await scene.wait_text("Applied the changed settings")
             await self._expect_whole(scene, stream)
             followers = [
                 after
