--- a/tests/clocked.py
+++ b/tests/clocked.py
@@ -1,4 +1,4 @@
-"""Run scenarios under a clock that jumps over every wait."""
+"""Run scenarios under a mock clock that skips all sleeps."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
 
 class ClockedTestCase(testtools.TestCase):
-    """Tests whose scenarios take no real time."""
+    """Base of test cases whose scenarios sleep without real time."""
 
     def run_clocked(self, scenario: Callable[[], Awaitable[None]]) -> None:
-        """Run a scenario to its end."""
+        """Run a scenario under the mock clock."""
         trio.run(scenario, clock=trio.testing.MockClock(autojump_threshold=0))
--- a/tests/entry_world.py
+++ b/tests/entry_world.py
@@ -1,4 +1,4 @@
-"""A log of runners' entries and daemons that read it or copy each other."""
+"""Simulate daemons that read runners' entries from a log or from peers."""
 
 from __future__ import annotations
 
@@ -17,22 +17,23 @@
 from martenquay_standins.ports import log
 from tests import serving_builders as builders
 
-__all__ = ["RETURN_S", "Daemon", "EntryWorld", "Truth"]
+__all__ = ["RETURN_S", "Daemon", "EntryWorld", "LoggedState"]
 
-# Entries that lapsed while the log was away are back so soon after it.
+# Runners whose entries expired during a log outage write them again within this
+# time after it.
 RETURN_S = 2.2
 _TOPIC = "runners"
 _SERVICE = "desk"
 
 
 @dataclasses.dataclass(frozen=True)
-class Truth:
-    """What the log held of a runner from some moment on.
+class LoggedState:
+    """State of a runner's entry in the log since some time.
 
     Attributes:
-        at: In trio's time.
-        is_usable: It was there and did not say that it leaves.
-        is_ended: Its entry was gone.
+        at: Start of the state, in trio's time.
+        is_usable: The entry exists and does not report that the runner drains.
+        is_ended: The entry was deleted.
     """
 
     at: float
@@ -41,19 +42,21 @@
 
 
 class Daemon:
-    """What one daemon knows of the runners.
+    """A daemon's copy of the runners' entries.
 
     Attributes:
-        state: Its copy.
-        copies: Hands it on and takes others'.
-        contact: Whether the log answers it.
+        state: The copy.
+        state_transfer: Sends the copy to other daemons and applies theirs.
+        contact: Whether the log is reachable.
     """
 
-    def __init__(self, records: builders.FakeRecords, logged: log.MemoryLog):
+    def __init__(
+        self, records: builders.FakeRecords, platform_log: log.MemoryLog
+    ):
         self.contact = contact.LogContact()
         directory = runner_directory.RunnerDirectory(records, self.contact)
         self._follower = keyed_follower.KeyedFollower(
-            logged,
+            platform_log,
             self.contact,
             _TOPIC,
             directory,
@@ -65,45 +68,45 @@
             self._follower,
             self.contact,
         )
-        self.copies = state_copies.StateTransfer(self.state)
+        self.state_transfer = state_copies.StateTransfer(self.state)
         self.contact.note_answer()
 
     @property
     def known_until(self) -> float:
-        """All that the log had by then is known, says the daemon."""
+        """Time up to which the copy claims to reflect the log."""
         return self._follower.copy_age.confirmed_at
 
     async def read(self) -> None:
-        """Read what is new in the log."""
+        """Read new records of the log."""
         await self._follower.read_now()
 
     async def copy_from(self, other: Daemon, delay_s: float) -> None:
-        """Ask another daemon and take its copy, `delay_s` later."""
-        want = self.copies.create_request()
-        answer = other.copies.create_reply(want, [])
+        """Request another daemon's copy and apply it `delay_s` later."""
+        request = self.state_transfer.create_request()
+        reply = other.state_transfer.create_reply(request, [])
         await trio.sleep(delay_s)
-        self.copies.apply_reply(answer)
+        self.state_transfer.apply_reply(reply)
 
     def list_usable(self) -> set[str]:
-        """Return the runners that may get work."""
+        """Return the ids of the runners that accept requests."""
         usable = self.state.directory.list_usable(_SERVICE)
         return {runner.id for runner in usable}
 
 
 class EntryWorld:
-    """The log, the daemons, and what was true when.
+    """A log, daemons, and the history of the log's entries.
 
     Attributes:
         daemons: All of them.
-        outage_ended_at: When the log was last back for any of them.
+        outage_ended_at: End of the last log outage at any of them.
     """
 
     def __init__(self, count: int) -> None:
         self.outage_ended_at = -math.inf
         self._records = builders.FakeRecords()
         self._log = log.MemoryLog()
-        self._truth: dict[str, list[Truth]] = {}
-        self._starts: dict[str, int] = {}
+        self._history: dict[str, list[LoggedState]] = {}
+        self._restarts: dict[str, int] = {}
         self.daemons = [self._build_daemon() for _ in range(count)]
 
     def put(
@@ -112,66 +115,68 @@
         """Write a runner's entry.
 
         Args:
-            runner: Which one.
-            is_leaving: It says that it ends soon.
-            is_new: It has started again under the same id.
+            runner: Number of the runner.
+            is_leaving: The entry reports that the runner drains.
+            is_new: The runner has restarted under the same id.
         """
         key = f"r-{runner}"
-        starts = self._starts.get(key, 0) + (1 if is_new else 0)
-        self._starts[key] = starts
+        restarts = self._restarts.get(key, 0) + (1 if is_new else 0)
+        self._restarts[key] = restarts
         entry = builders.build_runner(
             id=key,
             address=f"127.0.0.1:{runner + 1}",
             is_leaving=is_leaving,
-            born_ms=1000 + starts,
+            born_ms=1000 + restarts,
         )
         value = repr(entry).encode().replace(b"=", b":")
         self._records.runners[value] = entry
         self._log.put(_TOPIC, key, value)
-        self._note(key, Truth(trio.current_time(), not is_leaving))
+        self._record(key, LoggedState(trio.current_time(), not is_leaving))
 
     def end(self, runner: int) -> None:
-        """Drop a runner's entry."""
+        """Delete a runner's entry."""
         key = f"r-{runner}"
         self._log.put(_TOPIC, key, b"")
-        self._note(key, Truth(trio.current_time(), False, is_ended=True))
+        self._record(
+            key, LoggedState(trio.current_time(), False, is_ended=True)
+        )
 
     async def restart(self, daemon: int) -> None:
-        """Replace a daemon by one that knows nothing."""
+        """Replace a daemon by one without a copy."""
         self.daemons[daemon] = self._build_daemon()
 
-    async def lose_log(self, daemon: int, lasts_s: float) -> None:
-        """Have the log not answer one daemon for a while, then read."""
-        one = self.daemons[daemon]
-        one.contact.note_failure("away")
-        await trio.sleep(lasts_s)
-        await one.read()
-        if one.contact.regained_at > -math.inf:
+    async def lose_log(self, daemon: int, duration_s: float) -> None:
+        """Make the log unreachable for one daemon for a while, then read."""
+        target = self.daemons[daemon]
+        target.contact.note_failure("away")
+        await trio.sleep(duration_s)
+        await target.read()
+        if target.contact.regained_at > -math.inf:
             self.outage_ended_at = max(
-                self.outage_ended_at, one.contact.regained_at
+                self.outage_ended_at, target.contact.regained_at
             )
 
     def list_wrong(self, daemon: Daemon) -> list[str]:
-        """Return what a daemon gets wrong for the age that it names."""
+        """Return the errors of a daemon's copy as of the time it claims."""
         until = daemon.known_until
         now = trio.current_time()
         usable = daemon.list_usable()
-        found = []
-        for key, told in self._truth.items():
-            known = [one for one in told if one.at < until]
-            if not known or told[-1] is not known[-1]:
+        errors = []
+        for key, states in self._history.items():
+            seen = [state for state in states if state.at < until]
+            if not seen or states[-1] is not seen[-1]:
                 continue
-            last = known[-1]
-            may_return = now < self.outage_ended_at + RETURN_S
+            last = seen[-1]
+            may_be_back = now < self.outage_ended_at + RETURN_S
             if last.is_usable and key not in usable:
-                found.append(f"{key} is missing")
-            is_excused = last.is_ended and may_return
+                errors.append(f"{key} is missing")
+            is_excused = last.is_ended and may_be_back
             if not last.is_usable and key in usable and not is_excused:
-                found.append(f"{key} is used {now - last.at:.1f} s late")
-        return found
+                errors.append(f"{key} is used {now - last.at:.1f} s late")
+        return errors
 
     def _build_daemon(self) -> Daemon:
         return Daemon(self._records, self._log)
 
-    def _note(self, key: str, truth: Truth) -> None:
-        self._truth.setdefault(key, []).append(truth)
+    def _record(self, key: str, state: LoggedState) -> None:
+        self._history.setdefault(key, []).append(state)
--- a/tests/gateway_fleet.py
+++ b/tests/gateway_fleet.py
@@ -1,4 +1,4 @@
-"""Run whole daemons in one process, on a platform of fakes."""
+"""Run whole daemons in one process on a fake platform."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
 
 __all__ = ["Daemon", "Platform", "open_daemons"]
 
-_CALL = b"GET /lookup/7 HTTP/1.1\r\nhost: desk.example\r\n\r\n"
+_REQUEST = b"GET /lookup/7 HTTP/1.1\r\nhost: desk.example\r\n\r\n"
 
 
 class Platform:
-    """The fakes that all daemons of a test share."""
+    """Fakes of the platform, shared by the daemons of a test."""
 
     def __init__(self) -> None:
         self.log = log.MemoryLog()
         self.cloud = cloud.MemoryCloud()
         self.records = builders.FakeRecords()
 
-    def slow_down(self, seconds: float) -> None:
-        """Have each first read of a topic take so long."""
+    def delay_first_reads(self, seconds: float) -> None:
+        """Delay the first read of each topic."""
         read_newest = self.log.read_newest
 
         async def read_late(topic: str):
@@ -42,7 +42,7 @@
         self.log.read_newest = read_late
 
     def put_catalog(self, version: int, **changes: object) -> None:
-        """Have operators put a version in force."""
+        """Write a catalog version to the log, as operators do."""
         raw = b"catalog %d" % version
         self.records.catalogs[raw] = builders.build_catalog(
             version=version, **changes
@@ -50,19 +50,19 @@
         self.log.put("catalog", "config", raw)
 
     def put_order(self, service: str, version: str, within_s: float) -> None:
-        """Have operators order a service's move to a version."""
+        """Write an operator's order to roll a version out."""
         value = f"{service} {version} {within_s}".encode()
         self.log.put("catalog", f"rollout/{service}", value)
 
     def list_status(self) -> list[str]:
-        """Return what operators were told."""
+        """Return the rollout statuses that daemons wrote to the log."""
         return [
             self.log.split_keyed(payload, 0).value.decode()
             for payload in self.log.list_payloads("status")
         ]
 
     def put_runner(self, address: str, **changes: object) -> None:
-        """Have a runner write its entry."""
+        """Write a runner's entry to the log."""
         fields = {"id": "runner-1", "address": address} | changes
         runner = builders.build_runner(**fields)
         raw = repr(runner).encode()
@@ -71,7 +71,7 @@
 
 
 class Daemon:
-    """One daemon and where it serves callers."""
+    """A daemon and the address at which it accepts callers."""
 
     def __init__(self, name: str, platform: Platform) -> None:
         settings = msgspec.convert(
@@ -91,10 +91,10 @@
         self.address = ""
 
     async def ask(self) -> serving_scene.Reply:
-        """Send one call."""
+        """Send one request and return its reply."""
         host, _, port = self.address.rpartition(":")
         async with await trio.open_tcp_stream(host, int(port)) as stream:
-            await stream.send_all(_CALL)
+            await stream.send_all(_REQUEST)
             return await serving_scene.read_reply(stream)
 
 
@@ -104,8 +104,8 @@
 ) -> AsyncIterator[list[Daemon]]:
     daemons = [Daemon(f"entry-{n}", platform) for n in range(count)]
     async with trio.open_nursery() as nursery:
-        for one in daemons:
-            one.address = await nursery.start(one.parts.listener.run)
-            await nursery.start(one.parts.run)
+        for daemon in daemons:
+            daemon.address = await nursery.start(daemon.parts.listener.run)
+            await nursery.start(daemon.parts.run)
         yield daemons
         nursery.cancel_scope.cancel()
--- a/tests/serving_builders.py
+++ b/tests/serving_builders.py
@@ -1,4 +1,4 @@
-"""Build test data of the serving path."""
+"""Build test data for the serving path."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 
 def build_route(**changes: Any) -> catalog.Route:
-    """Return a route for plain calls that may be repeated."""
+    """Return a route of idempotent requests."""
     fields: dict[str, Any] = {
         "name": "lookup",
         "host": "desk.example",
@@ -74,7 +74,7 @@
 
 
 def build_scaling(**changes: Any) -> catalog.ScalingLimits:
-    """Return limits of three zones with three runners each."""
+    """Return scaling limits for three zones with three runners each."""
     fields: dict[str, Any] = {
         "least": 1,
         "most": 3,
@@ -102,7 +102,7 @@
 
 
 def build_call(**changes: Any) -> calls.Call:
-    """Return a plain call on the route of `build_route`."""
+    """Return a request on the route of `build_route`."""
     fields: dict[str, Any] = {
         "id": "call-1",
         "method": "GET",
@@ -114,7 +114,7 @@
 
 
 def build_runner(**changes: Any) -> runners.Runner:
-    """Return a runner of the plain service."""
+    """Return a runner of the service of `build_service`."""
     fields: dict[str, Any] = {
         "id": "runner-1",
         "service": "desk",
@@ -128,13 +128,13 @@
 def build_runner_limits(
     rank: int = 0, daemons: int = 1
 ) -> runner_limits.RunnerLimits:
-    """Return the limits of a daemon that has the same place for each runner."""
-    place = send_shares.SenderRank(rank, daemons)
-    return runner_limits.RunnerLimits(lambda _: place)
+    """Return the limits at a daemon that has the same rank for each runner."""
+    sender_rank = send_shares.SenderRank(rank, daemons)
+    return runner_limits.RunnerLimits(lambda _: sender_rank)
 
 
 def build_runner_admission() -> runner_admission.RunnerAdmission:
-    """Return what a daemon that is alone has been told of runners: nothing."""
+    """Return the checks of a lone daemon to which no runner has reported."""
     return runner_admission.RunnerAdmission(
         build_runner_limits(),
         drain_reports.DrainReports(),
@@ -197,7 +197,7 @@
 
 
 def build_gateway_settings(**changes: Any) -> dict[str, Any]:
-    """Return the content of a good settings file, with sections replaced."""
+    """Return the content of a valid settings file, with sections replaced."""
     settings: dict[str, Any] = {
         "instance": "entry-1",
         "zone": "a",
@@ -230,7 +230,7 @@
 
 
 def build_order(**changes: Any) -> ports.RunnerOrderLine:
-    """Return an order of one reclaimable runner."""
+    """Return a capacity order of one reclaimable runner."""
     fields: dict[str, Any] = {
         "service": "model",
         "zone": "a",
@@ -241,11 +241,11 @@
 
 
 class FakeRecords:
-    """Implement `ports.PlatformCodec` with what the test puts in.
+    """Fake of `ports.PlatformCodec` that decodes the records that tests set.
 
     Attributes:
-        catalogs: By record.
-        runners: By record.
+        catalogs: Decoded catalogs by record.
+        runners: Decoded runners by record.
     """
 
     def __init__(self) -> None:
--- a/tests/serving_scene.py
+++ b/tests/serving_scene.py
@@ -1,4 +1,4 @@
-"""Run one daemon's serving path before scripted runners, over loopback."""
+"""Run a daemon's serving path with scripted runners over loopback."""
 
 from __future__ import annotations
 
@@ -48,19 +48,19 @@
 __all__ = ["Reply", "Scene", "open_scene", "read_replies", "read_reply"]
 
 _RECEIVE_BYTES = 65_536
-_WINDOW_S = 5.0
-_OLDEST_S = 1.0
+_USAGE_WINDOW_S = 5.0
+_MAX_ENTRY_AGE_S = 1.0
 
 
 @dataclasses.dataclass
 class Reply:
-    """An answer as a caller sees it.
+    """An HTTP response as a caller receives it.
 
     Attributes:
         status: The HTTP status; 0 if the connection closed without one.
-        headers: The headers, in lower case.
-        body: What came of the body.
-        is_whole: The answer came to its proper end.
+        headers: The headers, with lower-case names.
+        body: The received part of the body.
+        is_whole: The response is complete.
     """
 
     status: int = 0
@@ -73,22 +73,22 @@
     """The parts of one daemon and the runners behind it.
 
     Attributes:
-        parts: What the forwarder decides with.
-        listener: Serves callers.
-        address: Where it does.
+        parts: Parts that the forwarder is built from.
+        listener: Accepts callers' connections.
+        address: Address of the listener.
         runners: The scripted runners.
         log: The platform's log.
-        follower: Follows the runners' topic there; nobody runs it, as if a
-            hub read for this daemon.
-        entries: Has the runners' entries read if they are too old.
-        quarantine: Keeps requests out that crash their runners.
-        strikes: Follows the strikes in the log.
-        usage: Requests begun.
-        meter: Tokens that engines have to read.
-        streams: How long streams took.
-        stop: Keeps requests out that a stop would cut off.
-        runner_admission: Knows what runners say that they take.
-        hurries: How often others were to be told soon.
+        follower: Follows the runners' topic. It is not run, as if a hub read
+            for this daemon.
+        entries: Refreshes runners' entries that are too old.
+        quarantine: Rejects requests that crash their runners.
+        crash_follower: Follows the crash records in the log.
+        usage: Counts of started requests.
+        meter: Prefill tokens demanded.
+        streams: Durations of streams.
+        stop: Rejects requests that a graceful stop would cut off.
+        runner_admission: Limits, drains and backoffs that runners reported.
+        early_digests: How often an early digest was requested.
     """
 
     def __init__(
@@ -113,21 +113,21 @@
             is_needed=lambda: False,
         )
         self.entries = refresher.create_refresher(
-            self.follower, "runners' entries", _OLDEST_S
+            self.follower, "runners' entries", _MAX_ENTRY_AGE_S
         )
-        self.usage = usage_counts.UsageCounts(_WINDOW_S, lambda: 2.0)
+        self.usage = usage_counts.UsageCounts(_USAGE_WINDOW_S, lambda: 2.0)
         self.ledger = loads.LoadLedger()
         self.estimates = model.RunnerModel()
         self.meter = demand.DemandMeter()
         self.streams = durations.StreamDurations()
         self.stop = stop_window.StopWindow(self.streams)
-        self.hurries = 0
+        self.early_digests = 0
         self.runner_admission = builders.build_runner_admission()
         ejector = ejection.Ejector()
         self.quarantine = manager.create_quarantine_manager(
             self.log, builders.TOPICS.strikes
         )
-        self.strikes = keyed_follower.KeyedFollower(
+        self.crash_follower = keyed_follower.KeyedFollower(
             self.log,
             log_contact,
             builders.TOPICS.strikes,
@@ -165,7 +165,7 @@
                 self.meter,
                 self.estimates,
                 self.streams,
-                self._note_hurry,
+                self._count_early_digest,
                 self.runner_admission,
             ),
             retries=retry_window.RetryWindow(bounds, lambda: 1),
@@ -195,9 +195,9 @@
         self.runners: list[scripted.ScriptedRunner] = []
 
     async def _has_ended(self, address: str) -> bool:
-        """Tell of a runner what a connection would, without making one.
+        """Return whether a runner has ended, without connecting to it.
 
-        The runners count connections, and answer each by its own script.
+        Scripted runners count connections and answer each by its own script.
         """
         await trio.lowlevel.checkpoint()
         return any(
@@ -206,8 +206,8 @@
             if runner.address == address
         )
 
-    def _note_hurry(self) -> None:
-        self.hurries += 1
+    def _count_early_digest(self) -> None:
+        self.early_digests += 1
 
     async def run(
         self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
@@ -215,13 +215,13 @@
         """Serve until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.entries.run)
-            nursery.start_soon(self.strikes.run)
+            nursery.start_soon(self.crash_follower.run)
             nursery.start_soon(self.quarantine.run)
             self.address = await nursery.start(self.listener.run)
             task_status.started()
 
     def add_runner(self, address: str, **changes: Any) -> None:
-        """Make a runner known."""
+        """Write a runner's entry and apply it."""
         number = len(self._records.runners)
         value = b"runner %d" % number
         fields = {"id": f"runner-{number}", "address": address}
@@ -233,23 +233,25 @@
         self.directory.apply_change(ports.KeyedRecord(offset, key, value))
         self.follower.skip_to(offset + 1)
 
-    def let_leave(self, number: int) -> None:
-        """Have a runner say in the log, and there alone, that it leaves."""
-        found = self._records.runners[b"runner %d" % number]
+    def put_leaving_entry(self, number: int) -> None:
+        """Write to the log that a runner drains; the daemon is not notified."""
+        runner_entry = self._records.runners[b"runner %d" % number]
         value = b"runner %d leaves" % number
         self._records.runners[value] = dataclasses.replace(
-            found, is_leaving=True
+            runner_entry, is_leaving=True
+        )
+        self.log.put(builders.TOPICS.runners, runner_entry.id, value)
+
+    def drop_entry(self, number: int) -> None:
+        """Delete the entry of a runner, as when it expires."""
+        runner_entry = self._records.runners[b"runner %d" % number]
+        offset = self.log.put(builders.TOPICS.runners, runner_entry.id, b"")
+        self.directory.apply_change(
+            ports.KeyedRecord(offset, runner_entry.id, None)
         )
-        self.log.put(builders.TOPICS.runners, found.id, value)
-
-    def end_entry(self, number: int) -> None:
-        """Have the entry of a runner lapse."""
-        found = self._records.runners[b"runner %d" % number]
-        offset = self.log.put(builders.TOPICS.runners, found.id, b"")
-        self.directory.apply_change(ports.KeyedRecord(offset, found.id, None))
 
     async def ask(self, raw: bytes) -> Reply:
-        """Send bytes on a connection of their own and read one answer."""
+        """Send bytes on a new connection and read one response."""
         host, _, port = self.address.rpartition(":")
         stream = await trio.open_tcp_stream(host, int(port))
         async with stream:
@@ -257,7 +259,7 @@
             return await read_reply(stream)
 
     async def open_caller(self) -> trio.SocketStream:
-        """Open a caller's connection."""
+        """Open a connection to the listener."""
         host, _, port = self.address.rpartition(":")
         return await trio.open_tcp_stream(host, int(port))
 
@@ -266,7 +268,7 @@
 async def open_scene(
     content: catalog.Catalog, *scripts: list[scripted.Script]
 ) -> AsyncIterator[Scene]:
-    """Serve with one runner for each list of scripts."""
+    """Serve with one scripted runner per list of scripts."""
     scene = Scene(content)
     async with trio.open_nursery() as nursery:
         for script in scripts:
@@ -280,12 +282,12 @@
 
 
 async def read_reply(stream: trio.SocketStream) -> Reply:
-    """Read one answer to its end, proper or not."""
+    """Read one response until it is complete or the connection closes."""
     return (await read_replies(stream, 1))[0]
 
 
 async def read_replies(stream: trio.SocketStream, count: int) -> list[Reply]:
-    """Read the answers to requests that were sent one behind the other."""
+    """Read the responses to pipelined requests."""
     http = h11.Connection(h11.CLIENT)
     replies = [await _read_one(http, stream)]
     while len(replies) < count:
--- a/tests/suspension.py
+++ b/tests/suspension.py
@@ -1,4 +1,4 @@
-"""Suspend an instance: its steady clock stands, the other goes on."""
+"""Simulate the clocks of an instance that is suspended."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
     """The clocks of one instance.
 
     Attributes:
-        steady: Stands while the instance is suspended; waits are made on it.
-        boot: Goes on.
+        steady: Monotonic clock, which stops during a suspension.
+        boot: Boot-time clock, which includes suspensions.
     """
 
     steady: float = 100.0
     boot: float = 100.0
 
-    def pass_time(self, seconds: float) -> None:
-        """Let both go on."""
+    def advance(self, seconds: float) -> None:
+        """Advance both clocks."""
         self.steady += seconds
         self.boot += seconds
 
     def suspend(self, seconds: float) -> None:
-        """Let an instance sleep."""
+        """Suspend the instance."""
         self.boot += seconds
--- a/tests/test_daemon/test_gateway.py
+++ b/tests/test_daemon/test_gateway.py
@@ -1,4 +1,4 @@
-"""A whole daemon on a platform of fakes serves, shares and stops."""
+"""A daemon on a fake platform becomes ready, serves, gossips and drains."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from tests import gateway_fleet
 from tests import serving_builders as builders
 
-_HANG_S = 60.0
-_FAILED = scripted.Script(
+_TIMEOUT_S = 60.0
+_FAILING = scripted.Script(
     (b"HTTP/1.1 500 X\r\nserver-seal: s\r\ncontent-length: 0\r\n\r\n",)
 )
 _GOOD = scripted.Script(
@@ -28,7 +28,7 @@
         async def run() -> None:
             platform = gateway_fleet.Platform()
             runner = scripted.ScriptedRunner([_GOOD])
-            with trio.fail_after(_HANG_S):
+            with trio.fail_after(_TIMEOUT_S):
                 async with trio.open_nursery() as nursery:
                     await nursery.start(runner.run)
                     async with gateway_fleet.open_daemons(
@@ -39,51 +39,53 @@
 
         trio.run(run)
 
-    def test_it_is_ready_and_serves_once_a_configuration_is_there(
+    def test_a_daemon_is_ready_once_it_has_read_a_catalog(
         self,
     ) -> None:
         async def scenario(platform, daemons, runner) -> None:
-            one = daemons[0]
-            self.assertFalse(one.parts.is_ready())
-            self.assertEqual(503, (await one.ask()).status)
+            daemon = daemons[0]
+            self.assertFalse(daemon.parts.is_ready())
+            self.assertEqual(503, (await daemon.ask()).status)
             platform.put_catalog(3)
             platform.put_runner(runner.address)
-            while not one.parts.is_ready():
+            while not daemon.parts.is_ready():
                 await trio.sleep(0.01)
-            while (await one.ask()).status != 200:
+            while (await daemon.ask()).status != 200:
                 await trio.sleep(0.05)
 
         self._run(scenario)
 
-    def test_a_call_that_comes_before_the_first_reads_waits_for_them(
+    def test_a_request_waits_for_the_first_reads(
         self,
     ) -> None:
         async def run() -> None:
             platform = gateway_fleet.Platform()
             runner = scripted.ScriptedRunner([_GOOD])
-            with trio.fail_after(_HANG_S):
+            with trio.fail_after(_TIMEOUT_S):
                 async with trio.open_nursery() as nursery:
                     await nursery.start(runner.run)
                     platform.put_catalog(3)
                     platform.put_runner(runner.address)
-                    platform.slow_down(0.05)
-                    one = gateway_fleet.Daemon("entry-0", platform)
-                    one.address = await nursery.start(one.parts.listener.run)
-                    nursery.start_soon(one.parts.run)
-                    self.assertEqual(200, (await one.ask()).status)
+                    platform.delay_first_reads(0.05)
+                    daemon = gateway_fleet.Daemon("entry-0", platform)
+                    daemon.address = await nursery.start(
+                        daemon.parts.listener.run
+                    )
+                    nursery.start_soon(daemon.parts.run)
+                    self.assertEqual(200, (await daemon.ask()).status)
                     nursery.cancel_scope.cancel()
 
         trio.run(run)
 
-    def test_what_was_learnt_of_a_runner_goes_with_its_process(self) -> None:
+    def test_a_restarted_runner_loses_its_load_and_ejection(self) -> None:
         async def scenario(platform, daemons, runner) -> None:
-            one = daemons[0]
+            daemon = daemons[0]
             platform.put_catalog(3)
             platform.put_runner(runner.address, born_ms=1000)
-            while (await one.ask()).status != 200:
+            while (await daemon.ask()).status != 200:
                 await trio.sleep(0.05)
-            ledger = one.parts._loads
-            ejector = one.parts._ejector
+            ledger = daemon.parts._loads
+            ejector = daemon.parts._ejector
             ledger.replace_source("x", {"runner-1": loads.RunnerLoad(5, 0)})
             ejector.note_unreachable("runner-1")
             platform.put_runner(runner.address, born_ms=2000)
@@ -93,46 +95,48 @@
 
         self._run(scenario)
 
-    def test_a_fault_of_a_background_task_does_not_end_the_daemon(
+    def test_a_failed_background_task_does_not_end_the_daemon(
         self,
     ) -> None:
         async def scenario(platform, daemons, runner) -> None:
-            one = daemons[0]
+            daemon = daemons[0]
             platform.put_catalog(3)
             platform.put_runner(runner.address)
-            while (await one.ask()).status != 200:
+            while (await daemon.ask()).status != 200:
                 await trio.sleep(0.05)
             read = platform.log.read
             failed = trio.Event()
 
-            async def fail_once(topic: str, start: int, *, wait_s: float = 0.0):
+            async def fail_first_read(
+                topic: str, start: int, *, wait_s: float = 0.0
+            ):
                 platform.log.read = read
                 failed.set()
                 raise ValueError("a record that nobody expected")
 
-            platform.log.read = fail_once
+            platform.log.read = fail_first_read
             platform.put_catalog(4)
             await failed.wait()
             platform.put_catalog(5, routes=())
-            while (await one.ask()).status != 404:
+            while (await daemon.ask()).status != 404:
                 await trio.sleep(0.05)
 
         self._run(scenario)
 
-    def test_a_newer_version_changes_what_is_served(self) -> None:
+    def test_a_newer_catalog_changes_the_routes(self) -> None:
         async def scenario(platform, daemons, runner) -> None:
-            one = daemons[0]
+            daemon = daemons[0]
             platform.put_catalog(3)
             platform.put_runner(runner.address)
-            while (await one.ask()).status != 200:
+            while (await daemon.ask()).status != 200:
                 await trio.sleep(0.05)
             platform.put_catalog(4, routes=())
-            while (await one.ask()).status != 404:
+            while (await daemon.ask()).status != 404:
                 await trio.sleep(0.05)
 
         self._run(scenario)
 
-    def test_daemons_find_each_other_and_one_of_them_has_the_duties(
+    def test_one_of_the_daemons_performs_the_duties(
         self,
     ) -> None:
         async def scenario(platform, daemons, runner) -> None:
@@ -142,30 +146,30 @@
                 await trio.sleep(0.05)
             holders = {call.holder for call in platform.cloud.received}
             self.assertEqual(1, len(holders))
-            instances = {one.parts.instance for one in daemons}
+            instances = {daemon.parts.instance for daemon in daemons}
             self.assertTrue(holders <= instances)
 
         self._run(scenario, 3)
 
     def test_a_stopping_daemon_is_not_ready_and_still_answers(self) -> None:
         async def scenario(platform, daemons, runner) -> None:
-            one = daemons[0]
+            daemon = daemons[0]
             platform.put_catalog(3)
             platform.put_runner(runner.address)
-            while (await one.ask()).status != 200:
+            while (await daemon.ask()).status != 200:
                 await trio.sleep(0.05)
-            await one.parts.begin_stop(lambda: math.inf)
-            self.assertFalse(one.parts.is_ready())
-            reply = await one.ask()
+            await daemon.parts.begin_stop(lambda: math.inf)
+            self.assertFalse(daemon.parts.is_ready())
+            reply = await daemon.ask()
             self.assertEqual(200, reply.status)
             self.assertEqual(b"close", reply.headers[b"connection"])
 
         self._run(scenario)
 
-    async def _play_order(
+    async def _roll_out(
         self, platform, daemons, old, script: scripted.Script
     ) -> list[str]:
-        """Order a version of that answer; return what operators are told."""
+        """Roll out a version that answers by `script`; return the statuses."""
         async with trio.open_nursery() as nursery:
             new = scripted.ScriptedRunner([script])
             await nursery.start(new.run)
@@ -179,28 +183,28 @@
                 while len(platform.list_status()) < 2:
                     await daemons[0].ask()
                     await trio.sleep(0.01)
-            self.exposed = len(new.requests)
+            self.canary_requests = len(new.requests)
             nursery.cancel_scope.cancel()
         return platform.list_status()
 
-    def test_a_good_version_is_moved_to(self) -> None:
+    def test_a_good_version_is_rolled_out(self) -> None:
         async def scenario(platform, daemons, runner) -> None:
-            told = await self._play_order(platform, daemons, runner, _GOOD)
-            self.assertEqual(["v2 in_progress", "v2 completed"], told)
+            statuses = await self._roll_out(platform, daemons, runner, _GOOD)
+            self.assertEqual(["v2 in_progress", "v2 completed"], statuses)
 
         self._run(scenario)
 
-    def test_a_bad_version_is_moved_back_from(self) -> None:
+    def test_a_bad_version_is_rolled_back(self) -> None:
         async def scenario(platform, daemons, runner) -> None:
-            told = await self._play_order(platform, daemons, runner, _FAILED)
-            self.assertEqual(["v2 in_progress", "v2 rolled_back"], told)
-            self.assertLess(self.exposed, 50)
+            statuses = await self._roll_out(platform, daemons, runner, _FAILING)
+            self.assertEqual(["v2 in_progress", "v2 rolled_back"], statuses)
+            self.assertLess(self.canary_requests, 50)
             reply = await daemons[0].ask()
             self.assertEqual(200, reply.status)
 
         self._run(scenario)
 
-    def test_changed_bounds_are_in_force_at_once(self) -> None:
+    def test_changed_bounds_apply_at_once(self) -> None:
         async def scenario(platform, daemons, runner) -> None:
             del platform, runner
             content = builders.build_gateway_settings()
--- a/tests/test_daemon/test_planned_stop.py
+++ b/tests/test_daemon/test_planned_stop.py
@@ -1,4 +1,4 @@
-"""A planned stop gives what is in progress all of the grace time."""
+"""A planned stop lets requests in progress use the whole grace time."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from tests import clocked
 
 
-class _Listener:
-    """Caller connections that are busy until a time.
+class _FakeListener:
+    """Fake listener whose connections are busy for a while.
 
     Attributes:
-        is_stopped: No more connections are accepted.
+        is_stopped: Whether it has stopped accepting connections.
     """
 
     def __init__(self, busy_s: float) -> None:
@@ -23,11 +23,11 @@
         self._busy_until = trio.current_time() + busy_s
 
     def stop_accepting(self) -> None:
-        """Accept no more."""
+        """Stop accepting connections."""
         self.is_stopped = True
 
     def count_busy(self) -> int:
-        """Return one until the time has come."""
+        """Return 1 while connections are busy, then 0."""
         return int(trio.current_time() < self._busy_until)
 
 
@@ -37,9 +37,9 @@
 
 
 class PlannedStopTest(clocked.ClockedTestCase):
-    def test_a_stop_that_cannot_be_announced_waits_for_requests(self) -> None:
+    def test_a_stop_drains_although_announcing_it_failed(self) -> None:
         async def scenario() -> None:
-            listener = _Listener(8.0)
+            listener = _FakeListener(8.0)
             parts = mock.Mock(listener=listener)
             parts.begin_stop.side_effect = ValueError("no lease to hand over")
             started_at = trio.current_time()
@@ -53,44 +53,49 @@
 
         self.run_clocked(scenario)
 
-    def _stop(self, first_s: float, then_s: float, age_s: float = 0.0) -> float:
-        """Return how long a stop takes whose grace time changes at 4 s.
+    def _stop(
+        self,
+        initial_grace_s: float,
+        changed_grace_s: float,
+        signal_age_s: float = 0.0,
+    ) -> float:
+        """Return how long a stop takes when the grace time changes at 4 s.
 
-        Its signal came `age_s` before it begins.
+        The stop begins `signal_age_s` after its signal.
         """
-        took: list[float] = []
+        durations_s: list[float] = []
 
         async def scenario() -> None:
-            watch = _build_watch(first_s)
+            watch = _build_watch(initial_grace_s)
 
             async def change() -> None:
                 await trio.sleep(4.0)
-                watch.settings = _build_watch(then_s).settings
+                watch.settings = _build_watch(changed_grace_s).settings
 
-            parts = mock.Mock(listener=_Listener(100.0))
+            parts = mock.Mock(listener=_FakeListener(100.0))
             parts.begin_stop = mock.AsyncMock()
             started_at = trio.current_time()
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(change)
-                await gateway._stop(watch, parts, started_at - age_s)
-            took.append(trio.current_time() - started_at)
+                await gateway._stop(watch, parts, started_at - signal_age_s)
+            durations_s.append(trio.current_time() - started_at)
 
         self.run_clocked(scenario)
-        return took[0]
-
-    def test_a_grace_time_that_is_lengthened_counts(self) -> None:
-        took_s = self._stop(6.0, 12.0)
-        self.assertGreater(took_s, 11.0)
-        self.assertLess(took_s, 12.0)
-
-    def test_the_grace_time_counts_from_the_signal(self) -> None:
-        # A daemon that was asked to stop while it started would be killed
-        # with its last requests.
-        took_s = self._stop(8.0, 8.0, age_s=3.0)
-        self.assertGreater(took_s, 4.0)
-        self.assertLess(took_s, 5.0)
-
-    def test_a_grace_time_that_is_shortened_counts(self) -> None:
-        took_s = self._stop(12.0, 6.0)
-        self.assertGreater(took_s, 5.0)
-        self.assertLess(took_s, 6.0)
+        return durations_s[0]
+
+    def test_a_longer_grace_time_applies_during_a_stop(self) -> None:
+        duration_s = self._stop(6.0, 12.0)
+        self.assertGreater(duration_s, 11.0)
+        self.assertLess(duration_s, 12.0)
+
+    def test_the_grace_time_starts_at_the_signal(self) -> None:
+        # Otherwise a daemon signalled during its start would be killed before
+        # its last requests end.
+        duration_s = self._stop(8.0, 8.0, signal_age_s=3.0)
+        self.assertGreater(duration_s, 4.0)
+        self.assertLess(duration_s, 5.0)
+
+    def test_a_shorter_grace_time_applies_during_a_stop(self) -> None:
+        duration_s = self._stop(12.0, 6.0)
+        self.assertGreater(duration_s, 5.0)
+        self.assertLess(duration_s, 6.0)
--- a/tests/test_daemon/test_settings_watch.py
+++ b/tests/test_daemon/test_settings_watch.py
@@ -1,4 +1,4 @@
-"""Changed settings are taken; bad ones leave the last good ones."""
+"""Changed settings are applied; invalid ones leave the previous settings."""
 
 from __future__ import annotations
 
@@ -27,25 +27,25 @@
         content = builders.build_gateway_settings(**changes)
         self.path.write_text("// A comment.\n" + json.dumps(content))
 
-    def _build(self) -> settings_watch.SettingsWatch:
+    def _create_watch(self) -> settings_watch.SettingsWatch:
         self._write()
-        first = msgspec.convert(
+        settings = msgspec.convert(
             builders.build_gateway_settings(), gateway.GatewaySettings
         )
         return settings_watch.SettingsWatch(
-            str(self.path), first, self.applied.append
+            str(self.path), settings, self.applied.append
         )
 
-    def test_a_change_is_taken_at_the_signal(self) -> None:
-        watch = self._build()
+    def test_reload_applies_a_change(self) -> None:
+        watch = self._create_watch()
         self._write(zone="b")
         watch.reload()
         self.assertEqual("b", watch.settings.zone)
         self.assertEqual(["b"], [s.zone for s in self.applied])
 
-    def test_a_change_without_a_signal_is_found(self) -> None:
+    def test_polling_applies_a_change(self) -> None:
         async def scenario() -> None:
-            watch = self._build()
+            watch = self._create_watch()
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(watch.run)
                 await trio.sleep(5.0)
@@ -57,13 +57,13 @@
 
         self.run_clocked(scenario)
 
-    def test_a_file_that_is_half_written_changes_nothing(self) -> None:
-        # The platform writes while a signal asks to read; whatever stands
-        # there, reading it must not end the daemon.
-        watch = self._build()
+    def test_a_truncated_or_malformed_file_changes_nothing(self) -> None:
+        # A signal may arrive while the file is being written; reading a partial
+        # file must not end the daemon.
+        watch = self._create_watch()
         self._write(zone="b")
         whole = self.path.read_bytes()
-        odd = [
+        invalid = [
             b"",
             b"[]",
             b"7",
@@ -74,7 +74,7 @@
             b"[" * 100_000,
             b'{"\\ud800": 1}',
         ]
-        for content in [whole[:n] for n in range(len(whole) - 1)] + odd:
+        for content in [whole[:n] for n in range(len(whole) - 1)] + invalid:
             self.path.write_bytes(content)
             watch.reload()
             self.assertEqual([], self.applied, content)
@@ -84,8 +84,8 @@
         watch.reload()
         self.assertEqual(["b"], [s.zone for s in self.applied])
 
-    def test_bad_settings_change_nothing(self) -> None:
-        watch = self._build()
+    def test_invalid_settings_change_nothing(self) -> None:
+        watch = self._create_watch()
         self._write(zone="")
         watch.reload()
         self.path.write_text("{")
--- a/tests/test_daemon/test_supervision.py
+++ b/tests/test_daemon/test_supervision.py
@@ -1,4 +1,4 @@
-"""A background task's fault is logged, and the task starts anew."""
+"""A background task that fails is logged and restarted."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
             if self.starts == 1:
                 nursery.start_soon(self._fail_twice)
 
-    def test_a_task_that_fails_starts_anew_until_it_ends(self) -> None:
+    def test_a_failing_task_is_restarted_until_it_ends(self) -> None:
         async def scenario() -> None:
             await supervision.keep_running("usage", self._fail_twice)
 
@@ -38,14 +38,14 @@
         self.assertIn("fault 1", self.lines[0]["text"])
         self.assertIn("_fail_twice", self.lines[0]["trace"])
 
-    def test_a_fault_inside_a_nursery_counts_as_one(self) -> None:
+    def test_a_failure_inside_a_nursery_is_handled(self) -> None:
         async def scenario() -> None:
             await supervision.keep_running("links", self._fail_in_a_nursery)
 
         self.run_clocked(scenario)
         self.assertGreaterEqual(self.starts, 2)
 
-    def test_it_ends_when_it_is_cancelled(self) -> None:
+    def test_cancelling_ends_the_supervision(self) -> None:
         async def scenario() -> None:
             with trio.move_on_after(5.0):
                 await supervision.keep_running("lease", trio.sleep_forever)
--- a/tests/test_forwarding/test_forwarder_streams.py
+++ b/tests/test_forwarding/test_forwarder_streams.py
@@ -150,13 +150,13 @@
             prompt = b"prefix-hash: aa:500,bb:%d\r\n" % uncached
             counts = b"token-counts: %d,80\r\n\r\n" % (500 + uncached)
             call = (case.CALL % (b"GET /lookup/7", 5000))[:-2]
-            before = scene.hurries
+            before = scene.early_digests
             # Closing at once could cancel the request before it is counted.
             async with await scene.open_caller() as stream:
                 await stream.send_all(call + prompt + counts)
                 await serving_scene.read_reply(stream)
                 await trio.sleep(0.05)
-            return scene.hurries - before
+            return scene.early_digests - before
 
         async def scenario(scene: serving_scene.Scene) -> None:
             self.assertEqual(0, await count_early_digests(scene, 100))
--- a/tests/test_forwarding/test_old_entries.py
+++ b/tests/test_forwarding/test_old_entries.py
@@ -29,7 +29,7 @@
         async def scenario(scene: serving_scene.Scene) -> None:
             age = scene.follower.copy_age
             age.confirmed_at = trio.current_time() - _OLD_S
-            scene.let_leave(0)
+            scene.put_leaving_entry(0)
             for _ in range(_ASKS):
                 reply = await scene.ask(_REQUEST)
                 self.assertEqual(200, reply.status)
--- a/tests/test_forwarding/test_quarantine_filter.py
+++ b/tests/test_forwarding/test_quarantine_filter.py
@@ -42,7 +42,7 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(scene.ask, _REQUEST % 1)
                 await scene.runners[0].heard.wait()
-                scene.let_leave(0)
+                scene.put_leaving_entry(0)
                 await scene.follower.read_now()
                 scene.runners[0].crash()
             self.assertTrue(scene.quarantine.is_empty)
@@ -93,7 +93,7 @@
                 for runner in scene.runners:
                     runner.crash()
             for number in range(len(scene.runners)):
-                scene.end_entry(number)
+                scene.drop_entry(number)
             await ask(0)
             nursery.cancel_scope.cancel()
         return replies
--- a/tests/test_promises/test_chaos.py
+++ b/tests/test_promises/test_chaos.py
@@ -1,4 +1,4 @@
-"""Histories of concurrent runs under seeded failures keep every promise."""
+"""Concurrent runs under seeded faults violate no guarantee to callers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
         plan = run.ChaosPlan(seed, faults=9, callers=1)
         report = trio.run(run.run_chaos, plan)
         self.assertEqual([], report.breaches)
-        # A run in which nothing happened would prove nothing.
+        # A run without faults and traffic would pass without checking anything.
         self.assertEqual(9, len(report.faults))
         self.assertGreater(len(report.history.bookings), 10)
         self.assertGreater(len(report.history.accepted), 3)
--- a/tests/test_promises/test_runner_limit.py
+++ b/tests/test_promises/test_runner_limit.py
@@ -1,11 +1,6 @@
-"""A runner that names a limit gets no more from all daemons together.
+"""All daemons together keep the request rate that a runner asks for.
 
-An engine named a limit of 1 request a second in its answers. It got 12
-requests in 4 s from eight daemons that it had told so, 41 in 20 s, as many as
-its neighbours which had named none; 11 in 4 s are borne. No daemon read what
-the answers said: here 66 came in 4 s, with no line about it in any log. Nor
-would it do that each daemon keeps the limit for itself, for the runner counts
-all of them together.
+A limit kept by each daemon on its own would be exceeded by their sum.
 """
 
 from __future__ import annotations
@@ -18,10 +13,10 @@
 _RUNNERS = 3
 _LIMIT_PER_S = 1.0
 _WINDOW_S = 4.0
-# What is borne: one and a half times the limit, and five requests.
-_MOST = 1.5 * _LIMIT_PER_S * _WINDOW_S + 5
-# Within this all daemons in touch go by what they were told.
-_CONTACT_S = 3.0
+# Requests allowed within the window.
+_MAX_REQUESTS = 1.5 * _LIMIT_PER_S * _WINDOW_S + 5
+# Time for a reported limit to reach all daemons.
+_PROPAGATION_S = 3.0
 _PER_DAEMON_S = 8.0
 
 
@@ -29,41 +24,41 @@
     daemons = _DAEMONS
     runners = _RUNNERS
 
-    def test_the_sum_over_all_daemons_keeps_the_limit(self) -> None:
+    def test_all_daemons_together_keep_the_limit(self) -> None:
         async def scenario(fleet: telling_fleet.TellingFleet) -> None:
             limited = fleet.runners[0]
             limited.lines = (b"server-limit: 1",)
             since = trio.current_time()
-            await fleet.send_load(_PER_DAEMON_S, _CONTACT_S + 3 * _WINDOW_S)
-            most = limited.count_most(_WINDOW_S, since + _CONTACT_S)
-            self.assertLessEqual(most, _MOST)
-            # It is not given up either.
-            self.assertGreater(most, 0)
+            await fleet.send_load(_PER_DAEMON_S, _PROPAGATION_S + 3 * _WINDOW_S)
+            max_count = limited.count_most(_WINDOW_S, since + _PROPAGATION_S)
+            self.assertLessEqual(max_count, _MAX_REQUESTS)
+            # A limited runner must still get requests.
+            self.assertGreater(max_count, 0)
 
         self.run_fleet(scenario)
 
-    def test_others_serve_what_it_does_not_take(self) -> None:
+    def test_other_runners_serve_the_excess(self) -> None:
         async def scenario(fleet: telling_fleet.TellingFleet) -> None:
             fleet.runners[0].lines = (b"server-limit: 1",)
-            await fleet.send_load(_PER_DAEMON_S, _CONTACT_S)
+            await fleet.send_load(_PER_DAEMON_S, _PROPAGATION_S)
             statuses = {reply.status for reply in fleet.replies}
             self.assertEqual({200}, statuses)
 
         self.run_fleet(scenario)
 
-    def test_it_gets_its_part_again_once_it_names_no_limit(self) -> None:
+    def test_it_gets_its_share_again_without_a_limit(self) -> None:
         async def scenario(fleet: telling_fleet.TellingFleet) -> None:
             limited = fleet.runners[0]
             limited.lines = (b"server-limit: 1",)
-            await fleet.send_load(_PER_DAEMON_S, _CONTACT_S)
+            await fleet.send_load(_PER_DAEMON_S, _PROPAGATION_S)
             limited.lines = ()
-            await fleet.send_load(_PER_DAEMON_S, 2 * _CONTACT_S)
-            last = trio.current_time() - _CONTACT_S
+            await fleet.send_load(_PER_DAEMON_S, 2 * _PROPAGATION_S)
+            counted_since = trio.current_time() - _PROPAGATION_S
             counts = [
-                sum(arrival.at > last for arrival in runner.arrivals)
+                sum(arrival.at > counted_since for arrival in runner.arrivals)
                 for runner in fleet.runners
             ]
-            # One second would say little: daemons choose by chance.
+            # Placement is random, so a shorter count would vary too much.
             self.assertGreater(counts[0], sum(counts) / _RUNNERS / 2)
 
         self.run_fleet(scenario)
--- a/tests/test_promises/test_runner_rest.py
+++ b/tests/test_promises/test_runner_rest.py
@@ -1,14 +1,4 @@
-"""A runner that turns a request away and asks for rest is left alone.
-
-Three of nine engines answered 503, not run, with a time of 3 s after which a
-daemon may come back. Each daemon tried another runner for that request and
-asked the same one for the next: 3 and 4 requests within 1.2 s, where two are
-borne in all 3 s. Both tries of every third request went to resting engines and
-its caller was refused, beside six engines that were well: of 45 attempts that
-were turned away in 4 s eleven were the second of a request. The time was read
-nowhere: a refusal of what has not run was forgotten with its request, and all
-nine engines were considered for the next. One daemon sent 28 here in 3 s.
-"""
+"""A runner that refuses a request with Retry-After is left alone that long."""
 
 from __future__ import annotations
 
@@ -21,78 +11,82 @@
 if TYPE_CHECKING:
     from martenquay_standins.ports import telling_runner
 
-_REST_S = 3.0
-_RESTS = (b"retry-after: 3",)
-# What is under way when a runner first asks for rest may still come.
-_UNDER_WAY_S = 0.5
-# What is borne between then and the end of the time.
-_MOST = 2
+_BACKOFF_S = 3.0
+_REFUSAL = (b"retry-after: 3",)
+# Requests in flight at the first refusal may still arrive.
+_IN_FLIGHT_S = 0.5
+# Refusals allowed within the rest of the backoff.
+_MAX_REFUSED = 2
 _PER_DAEMON_S = 20.0
-# A runner whose rest is over and that does not answer is tried so often.
-_TRIAL_S = 0.5
+# Interval of probes to a runner that does not answer after its backoff.
+_PROBE_INTERVAL_S = 0.5
 
 
-class RunnerRestTest(telling_fleet.TellingTestCase):
+class RunnerBackoffTest(telling_fleet.TellingTestCase):
     daemons = 1
     runners = 2
 
-    def test_a_daemon_that_was_told_keeps_away(self) -> None:
+    def test_an_informed_daemon_sends_it_nothing(self) -> None:
         async def scenario(fleet: telling_fleet.TellingFleet) -> None:
-            fleet.runners[0].refusal = _RESTS
-            await fleet.send_load(_PER_DAEMON_S, 2.5 * _REST_S)
-            self.assertLessEqual(_count_most(fleet.runners[0]), _MOST)
+            fleet.runners[0].refusal = _REFUSAL
+            await fleet.send_load(_PER_DAEMON_S, 2.5 * _BACKOFF_S)
+            self.assertLessEqual(
+                _count_max_refused(fleet.runners[0]), _MAX_REFUSED
+            )
             self.assertEqual({200}, {one.status for one in fleet.replies})
 
         self.run_fleet(scenario)
 
-    def test_it_gets_work_again_after_the_time(self) -> None:
+    def test_it_gets_requests_again_after_the_backoff(self) -> None:
         async def scenario(fleet: telling_fleet.TellingFleet) -> None:
             runner = fleet.runners[0]
-            runner.refusal = _RESTS
+            runner.refusal = _REFUSAL
             await fleet.send_load(_PER_DAEMON_S, 0.5)
             runner.refusal = None
-            await fleet.send_load(_PER_DAEMON_S, 2 * _REST_S)
-            last = trio.current_time() - _REST_S
-            recent = [one for one in runner.arrivals if one.at > last]
-            # More than the requests that only try whether it takes one.
-            self.assertGreater(len(recent), _REST_S / _TRIAL_S)
+            await fleet.send_load(_PER_DAEMON_S, 2 * _BACKOFF_S)
+            counted_since = trio.current_time() - _BACKOFF_S
+            recent = [one for one in runner.arrivals if one.at > counted_since]
+            # Probes alone would be fewer.
+            self.assertGreater(len(recent), _BACKOFF_S / _PROBE_INTERVAL_S)
 
         self.run_fleet(scenario)
 
-    def test_after_the_time_one_request_goes_first(self) -> None:
+    def test_one_probe_is_sent_after_the_backoff(self) -> None:
         async def scenario(fleet: telling_fleet.TellingFleet) -> None:
             runner = fleet.runners[0]
-            runner.refusal = _RESTS
-            await fleet.send_load(_PER_DAEMON_S, 2 * _REST_S + 1.0)
+            runner.refusal = _REFUSAL
+            await fleet.send_load(_PER_DAEMON_S, 2 * _BACKOFF_S + 1.0)
             refused = [one for one in runner.arrivals if one.is_refused]
-            # The first ones, and one each time that the rest is over.
+            # Two at first, then one probe after each backoff.
             self.assertLessEqual(len(refused), 2 + 2)
 
         self.run_fleet(scenario)
 
-    def test_where_all_rest_callers_are_told_when_to_come_back(self) -> None:
+    def test_if_all_runners_back_off_callers_get_a_retry_time(self) -> None:
         async def scenario(fleet: telling_fleet.TellingFleet) -> None:
             for runner in fleet.runners:
-                runner.refusal = _RESTS
+                runner.refusal = _REFUSAL
             await fleet.send_load(_PER_DAEMON_S, 0.5)
             fleet.replies.clear()
             before = sum(len(one.arrivals) for one in fleet.runners)
             since = trio.current_time()
             reply = await fleet.daemons[0].ask()
-            self.assertLess(trio.current_time() - since, _UNDER_WAY_S)
+            self.assertLess(trio.current_time() - since, _IN_FLIGHT_S)
             self.assertEqual(503, reply.status)
-            left_s = float(reply.headers[b"retry-after"])
-            self.assertTrue(_REST_S / 2 < left_s <= _REST_S, left_s)
+            retry_after_s = float(reply.headers[b"retry-after"])
+            self.assertTrue(
+                _BACKOFF_S / 2 < retry_after_s <= _BACKOFF_S, retry_after_s
+            )
             after = sum(len(one.arrivals) for one in fleet.runners)
             self.assertEqual(before, after)
 
         self.run_fleet(scenario)
 
 
-def _count_most(runner: telling_runner.TellingRunner) -> int:
-    """Return the most requests that came while one time was to be kept."""
+def _count_max_refused(runner: telling_runner.TellingRunner) -> int:
+    """Return the largest number of refusals within one backoff."""
     refused = [one.at for one in runner.arrivals if one.is_refused]
     return max(
-        sum(at + _UNDER_WAY_S <= other < at + _REST_S for other in refused)
+        sum(at + _IN_FLIGHT_S <= other < at + _BACKOFF_S for other in refused)
         for at in refused
     )
--- a/tests/test_promises/test_suspension.py
+++ b/tests/test_promises/test_suspension.py
@@ -1,8 +1,7 @@
-"""What an instance may do ends while it sleeps, before any of its tasks wake.
+"""Leases, quota and other time limits expire during a suspension.
 
-A machine may be suspended for seconds, in which its steady clock stands. The
-clock here leaps as the one that daemons use does on waking, and no task runs
-between the leap and the question: what asks first must get the right answer.
+The mock clock jumps as the daemon's clock does on resume; the checks follow
+before any task has run.
 """
 
 from __future__ import annotations
@@ -20,7 +19,7 @@
 from martenquay_standins.ports import log
 from tests import allowance_fleet
 
-_SLEEP_S = 5.0
+_SUSPENDED_S = 5.0
 _LEASE_S = 3.0
 
 
@@ -29,9 +28,9 @@
         super().setUp()
         self.clock = trio.testing.MockClock(autojump_threshold=0)
 
-    def test_a_lease_is_over_and_its_fence_with_it(self) -> None:
+    def test_a_lease_expires(self) -> None:
         async def scenario() -> None:
-            found = lease.create_lease(
+            held_lease = lease.create_lease(
                 log.MemoryLog(),
                 "lease",
                 "entry-1.aa",
@@ -40,71 +39,75 @@
                 view.FleetView("entry-1"),
             )
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(found.run)
-                while not found.is_held():
+                nursery.start_soon(held_lease.run)
+                while not held_lease.is_held():
                     await trio.sleep(0.1)
-                self.clock.jump(_SLEEP_S)
-                self.assertFalse(found.is_held())
-                self.assertIsNone(found.create_status())
+                self.clock.jump(_SUSPENDED_S)
+                self.assertFalse(held_lease.is_held())
+                self.assertIsNone(held_lease.create_status())
                 nursery.cancel_scope.cancel()
 
         self._run(scenario)
 
-    def test_a_borrowed_part_is_its_owners_again(self) -> None:
+    def test_a_delegated_share_returns_to_its_owner(self) -> None:
         async def scenario() -> None:
             hub = allowance_fleet.build_refill_shares(0.0)
-            lender = allowance_fleet.build_refill_shares(0.1)
+            owner = allowance_fleet.build_refill_shares(0.1)
             reported_at = trio.current_time()
-            loan = lender.delegate("hub.1", 7)
-            hub.accept_delegation("entry-1", "entry-1.1", loan, reported_at)
+            delegation = owner.delegate("hub.1", 7)
+            hub.accept_delegation(
+                "entry-1", "entry-1.1", delegation, reported_at
+            )
             self.assertAlmostEqual(0.1, hub.find_usable_share())
-            self.clock.jump(_SLEEP_S)
+            self.clock.jump(_SUSPENDED_S)
             self.assertEqual(0.0, hub.find_usable_share())
             hub.advance()
-            minted_s = sum(s.end - s.start for s in hub.list_spans(0.0))
-            self.assertLessEqual(minted_s, refill_shares.DELEGATION_S)
+            refilled_s = sum(s.end - s.start for s in hub.list_spans(0.0))
+            self.assertLessEqual(refilled_s, refill_shares.DELEGATION_S)
 
         self._run(scenario)
 
-    def test_units_end_with_their_time(self) -> None:
+    def test_quota_expires(self) -> None:
         async def scenario() -> None:
             ledger = allowance_fleet.build_ledger()
             await trio.sleep(20.0)
-            before = _count_units(ledger)
-            self.clock.jump(_SLEEP_S)
-            # What was minted meanwhile is no more than what has ended.
-            self.assertLessEqual(_count_units(ledger), before * 1.001)
+            quota_before = _count_quota(ledger)
+            self.clock.jump(_SUSPENDED_S)
+            # The refill during the suspension is at most what has expired.
+            self.assertLessEqual(_count_quota(ledger), quota_before * 1.001)
 
         self._run(scenario)
 
-    def test_entries_are_as_old_as_they_are(self) -> None:
+    def test_the_age_of_entries_includes_the_suspension(self) -> None:
         async def scenario() -> None:
-            age = copy_age.CopyAge()
-            age.confirm(trio.current_time(), copy_age.Step.READ)
-            self.clock.jump(_SLEEP_S)
-            self.assertEqual(_SLEEP_S, age.age_s)
+            entries_age = copy_age.CopyAge()
+            entries_age.confirm(trio.current_time(), copy_age.Step.READ)
+            self.clock.jump(_SUSPENDED_S)
+            self.assertEqual(_SUSPENDED_S, entries_age.age_s)
 
         self._run(scenario)
 
-    def test_repeats_leave_their_window(self) -> None:
+    def test_the_retry_window_slides(self) -> None:
         async def scenario() -> None:
-            bounds = retry_window.RetryBounds(0.0, _SLEEP_S - 1.0, 2.0)
+            bounds = retry_window.RetryBounds(0.0, _SUSPENDED_S - 1.0, 2.0)
             window = retry_window.RetryWindow(bounds, lambda: 1)
             self.assertTrue(window.try_spend("desk"))
             self.assertFalse(window.try_spend("desk"))
-            self.clock.jump(_SLEEP_S)
+            self.clock.jump(_SUSPENDED_S)
             self.assertTrue(window.try_spend("desk"))
 
         self._run(scenario)
 
-    def test_a_quarantine_lasts_as_long_as_was_told(self) -> None:
+    def test_a_quarantine_ends_at_the_announced_time(self) -> None:
         async def scenario() -> None:
             table = crash_table.CrashTable(trio.current_time)
             for number in range(crash_table.QUARANTINE_ROUNDS):
                 table.add(crash_table.CrashRecord("a", number, "runner-1"))
-            told_s = table.find_quarantine_s("a")
-            self.clock.jump(_SLEEP_S)
-            self.assertEqual(told_s - _SLEEP_S, table.find_quarantine_s("a"))
+            quarantine_s = table.find_quarantine_s("a")
+            self.clock.jump(_SUSPENDED_S)
+            self.assertEqual(
+                quarantine_s - _SUSPENDED_S, table.find_quarantine_s("a")
+            )
 
         self._run(scenario)
 
@@ -112,6 +115,6 @@
         trio.run(scenario, clock=self.clock)
 
 
-def _count_units(ledger) -> float:
+def _count_quota(ledger) -> float:
     ledger.refill([allowance_fleet.TEAM])
     return ledger.describe(allowance_fleet.TEAM.name).there
