--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -418,7 +418,7 @@
         self._quarantine = manager.create_quarantine_manager(
             self._ports.log, topic
         )
-        self._quarantine.on_strike = self.metrics.count_crash
+        self._quarantine.on_crash = self.metrics.count_crash
         self._quarantine.may_tidy = self._is_lease_held
         self._crash_follower = keyed_follower.KeyedFollower(
             self._ports.log,
--- a/packages/daemon/src/martenquay_daemon/quarantine/manager.py
+++ b/packages/daemon/src/martenquay_daemon/quarantine/manager.py
@@ -33,7 +33,7 @@
     others. It implements `keyed_follower.RecordSink`.
 
     Attributes:
-        on_strike: Called for each crash that this daemon finds.
+        on_crash: Called for each crash that this daemon finds.
         may_tidy: Returns whether this daemon removes dropped records from the
             log; one daemon at a time has to.
     """
@@ -41,7 +41,7 @@
     def __init__(
         self, log: ports.LogPort, topic: str, table: crash_table.CrashTable
     ) -> None:
-        self.on_strike: Callable[[], None] = _ignore
+        self.on_crash: Callable[[], None] = _ignore
         self.may_tidy: Callable[[], bool] = lambda: False
         self._log = log
         self._topic = topic
@@ -79,7 +79,7 @@
             runner: The id of the runner that ended.
             details: What else the log keeps of the crash.
         """
-        self.on_strike()
+        self.on_crash()
         crash = crash_table.CrashRecord(content, latest + 1, runner)
         if not self._table.add(crash):
             return
