--- a/packages/daemon/src/martenquay_daemon/answers.py
+++ b/packages/daemon/src/martenquay_daemon/answers.py
@@ -1,4 +1,4 @@
-"""Answer what other daemons ask of this one."""
+"""Dispatch requests of other daemons to the parts that answer them."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
     from martenquay_daemon.deferrable import manager as deferrable_manager
     from martenquay_daemon.operators import queries
 
-__all__ = ["PeerAnswers"]
+__all__ = ["PeerRequestHandler"]
 
 
-class PeerAnswers:
-    """Hand each message to the part that it is for."""
+class PeerRequestHandler:
+    """Answers the requests that arrive over links from other daemons."""
 
     def __init__(self) -> None:
         self._config: store.ConfigStore | None = None
@@ -31,14 +31,14 @@
         deferrable: deferrable_manager.DeferrableManager,
         query_handler: queries.QueryHandler,
     ) -> None:
-        """Name the parts; before that every question is put off."""
+        """Set the parts; until then each request is answered as unavailable."""
         self._config = config
         self._claims = claims
         self._deferrable = deferrable
         self._queries = query_handler
 
     async def answer(self, message: messages.Message) -> messages.Message:
-        """Return the reply to a message."""
+        """Return the reply to a request."""
         if (
             self._config is None
             or self._claims is None
--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -1,4 +1,4 @@
-"""Build the parts of a daemon that serves on a platform."""
+"""Build and connect the parts of a daemon that runs on a platform."""
 
 from __future__ import annotations
 
@@ -64,24 +64,25 @@
 
 __all__ = ["GatewayParts", "create_parts"]
 
-_MS = 1000
-# What is left of the bound on leaving runners when entries are read before
-# use: for that read (0.15 s), for choosing again after a runner that takes no
-# connection (0.1 s each), and for packets that are sent a second time (0.2 s).
-_DRAIN_RESERVE_S = 1.0
-# Reads come every 0.5 s in a small fleet.
-_LEAST_AGE_S = 0.7
+_MS_PER_S = 1000
+# Entries are read again before use at an age this far below the drain bound:
+# time for the read, for trying another runner when one refuses the connection,
+# and for retransmissions.
+_DRAIN_MARGIN_S = 1.0
+# Must exceed the read interval of a small fleet; otherwise requests would wait
+# for reads.
+_MIN_REFRESH_AGE_S = 0.7
 
 
 class GatewayParts:
-    """The connected parts.
+    """Parts of a daemon, connected.
 
     Attributes:
-        instance: The entry instance's name.
-        member: This process's id.
-        links: The links to other daemons.
+        instance: Name of the entry instance.
+        member: Id of this process among the daemons.
+        links: Links to other daemons.
         listener: Serves callers.
-        metrics: Counts.
+        metrics: Prometheus metrics.
     """
 
     def __init__(
@@ -93,8 +94,8 @@
         self._settings = settings
         self._ports = ports
         self._is_stopping = False
-        # A process that starts again is another member: it has forgotten
-        # what it has spent and counted.
+        # A new id per process tells peers that the quota and counts of the
+        # previous process are lost.
         self.member = f"{settings.instance}.{secrets.token_hex(4)}"
         self._rng = random.Random(settings.instance)
         self.metrics = metrics.create_metrics()
@@ -104,39 +105,40 @@
         self._build_forwarding()
         self._build_duties()
         self._initial_sync = self._create_initial_sync()
-        self._share_state()
+        self._build_state_gossip()
 
     def is_ready(self) -> bool:
-        """Tell whether callers are welcome."""
-        return not self._is_stopping and self._store.version > 0
+        """Return whether the readiness check succeeds."""
+        return not self._is_stopping and self._catalog_store.version > 0
 
     def apply_settings(self, settings: gateway.GatewaySettings) -> None:
-        """Take what can change without a new start.
+        """Apply the settings that can change without a restart.
 
-        Addresses, zone and instance take effect at the next start.
+        Addresses, zone and instance take effect at the next restart.
         """
         bounds = settings.bounds
         self._retries.bounds = _find_retry_bounds(bounds)
-        self._units.bounds = _find_tolerance(bounds)
-        self._units.shares.window_s = bounds.allowance_window_s
+        self._quota_ledger.bounds = _find_tolerance_bounds(bounds)
+        self._quota_ledger.shares.window_s = bounds.allowance_window_s
         if settings.platform.log:
             self._ports.log.set_address(settings.platform.log)
         if self._ports.cloud is not None and settings.platform.cloud:
             self._ports.cloud.set_address(settings.platform.cloud)
 
     def find_retry_bounds(self) -> retry_window.RetryBounds:
-        """Return how much may be sent again now."""
+        """Return the current bounds on retries."""
         return self._retries.bounds
 
-    async def begin_stop(self, find_end: Callable[[], float]) -> None:
-        """Turn callers away politely and hand over the duties.
+    async def begin_stop(self, find_deadline: Callable[[], float]) -> None:
+        """Fail readiness, close connections after answers, release the lease.
 
         Args:
-            find_end: Returns when all has to be over, in trio's time.
+            find_deadline: Returns when all requests must have ended, in trio's
+                time.
         """
         self._is_stopping = True
-        self._stop_window.begin(find_end)
-        self._shared.is_leaving = True
+        self._stop_window.begin(find_deadline)
+        self._state_gossip.is_leaving = True
         self.listener.begin_closing()
         await self._lease.release()
         self.links.send_now()
@@ -144,7 +146,7 @@
     async def run(
         self, *, task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Run everything but the listener and the readiness address."""
+        """Run all parts but the listener and the readiness check."""
         async with trio.open_nursery() as nursery:
             address = await nursery.start(self.links.run)
             for name, task in self._list_tasks().items():
@@ -161,8 +163,8 @@
             "catalog": self._catalog_follower.run,
             "runners": self._runner_follower.run,
             "members": self._member_follower.run,
-            "entries": self._entries.run,
-            "strikes": self._strike_follower.run,
+            "entries": self._entry_refresher.run,
+            "strikes": self._crash_follower.run,
             "quarantine": self._quarantine.run,
             "versions": self._rollouts.follower.run,
             **self._duties,
@@ -171,8 +173,8 @@
     def _build_discovery(self) -> None:
         ports = self._ports
         self._contact = contact.LogContact()
-        self._store = catalog_store.create_store(ports.records)
-        self._directory = runner_directory.RunnerDirectory(
+        self._catalog_store = catalog_store.create_store(ports.records)
+        self._runner_directory = runner_directory.RunnerDirectory(
             ports.records, self._contact
         )
         self._rollouts = rollout_parts.create_rollout_state(
@@ -188,51 +190,53 @@
             self._contact,
             ports.topics.catalog,
             fan_out_sink.FanOutSink(
-                catalog_sink.CatalogSink(self._store, ports.topics.catalog_key),
+                catalog_sink.CatalogSink(
+                    self._catalog_store, ports.topics.catalog_key
+                ),
                 self._rollouts.order_sink,
             ),
             read_schedules.CATALOG,
-            self._is_crowded,
+            self._uses_hubs,
             self._needs_log,
         )
         self._runner_follower = keyed_follower.KeyedFollower(
             ports.log,
             self._contact,
             ports.topics.runners,
-            self._directory,
+            self._runner_directory,
             read_schedules.RUNNERS,
-            self._reads_seldom,
+            self._relies_on_hub_reads,
             self._needs_log,
         )
         self._runner_follower.copy_age.observe = self.metrics.note_copy_age
         for follower in (self._catalog_follower, self._runner_follower):
             follower.on_unreadable = self.metrics.count_unusable_record
-        self._directory.on_unusable = lambda _: (
+        self._runner_directory.on_unusable = lambda _: (
             self.metrics.count_unusable_record(ports.topics.runners)
         )
-        drain_s = self._settings.bounds.drain_ms / _MS
-        self._entries = refresher.create_refresher(
+        drain_s = self._settings.bounds.drain_ms / _MS_PER_S
+        self._entry_refresher = refresher.create_refresher(
             self._runner_follower,
             "runners' entries",
-            max(_LEAST_AGE_S, drain_s - _DRAIN_RESERVE_S),
+            max(_MIN_REFRESH_AGE_S, drain_s - _DRAIN_MARGIN_S),
         )
 
     def _build_fleet(self) -> None:
         settings = self._settings
         listen = settings.listen
-        self._view = view.FleetView(settings.instance)
+        self._fleet_view = view.FleetView(settings.instance)
         self._roster = roster.Roster(settings.instance)
-        place = topology.PeerAddress(
+        own_address = topology.PeerAddress(
             f"{listen.ip}:{listen.peer_port}",
             settings.zone,
             settings.link_mbps,
         )
         self.links = links.FleetLinks(
-            place,
-            self._view,
+            own_address,
+            self._fleet_view,
             state_copies.FleetState(
-                self._store,
-                self._directory,
+                self._catalog_store,
+                self._runner_directory,
                 self._runner_follower,
                 self._contact,
             ),
@@ -247,22 +251,24 @@
             self._ports.log,
             self._contact,
             self._ports.topics.members,
-            announcements.MemberSink(self._view, self.links, self._roster),
+            announcements.MemberSink(
+                self._fleet_view, self.links, self._roster
+            ),
             read_schedules.MEMBERS,
-            self._is_crowded,
+            self._uses_hubs,
         )
         self._announcer = announcements.Announcer(
             self._ports.log,
             self._ports.topics.members,
             settings.instance,
-            place,
+            own_address,
             self._roster,
             self._member_follower.first_read,
         )
 
-    def _tell_peers_soon(self) -> None:
-        # Hubs report at their own pace; news for them sooner than that would
-        # only cost bytes, which the control traffic of 400 daemons lacks.
+    def _notify_mesh_peers_soon(self) -> None:
+        # Hubs report at fixed intervals, so an early digest to them would use
+        # bandwidth and reach no daemon sooner.
         if self.links.is_mesh():
             self.links.notify_soon()
 
@@ -271,32 +277,32 @@
             "catalog": self._catalog_follower.first_read,
             "runners": self._runner_follower.first_read,
             "members": self._member_follower.first_read,
-            "strikes": self._strike_follower.first_read,
+            "strikes": self._crash_follower.first_read,
             "versions": self._rollouts.follower.first_read,
         }
         return initial_sync.create_initial_sync(sources)
 
-    async def _wait_until_read(self) -> None:
-        # What it waits for is built after the forwarder.
+    async def _wait_initial_sync(self) -> None:
+        # A method, since `_initial_sync` is built after the forwarder.
         await self._initial_sync.wait()
 
     def _count_daemons(self) -> int:
-        # The view is built after what asks for it.
-        return self._view.count_daemons()
+        # A method, since `_fleet_view` is built after its users.
+        return self._fleet_view.count_daemons()
 
-    def _is_crowded(self) -> bool:
-        # The links are built after what they hand on.
+    def _uses_hubs(self) -> bool:
+        # A method, since `links` is built after the followers.
         return not self.links.is_mesh()
 
-    def _reads_seldom(self) -> bool:
+    def _relies_on_hub_reads(self) -> bool:
         return not self.links.leads_reading()
 
     def _needs_log(self) -> bool:
         return self.links.needs_log()
 
     def _create_digest(self) -> messages.Digest:
-        # What it is made from is built after the links.
-        return self._shared.create_digest()
+        # A method, since `_state_gossip` is built after `links`.
+        return self._state_gossip.create_digest()
 
     def _build_duties(self) -> None:
         settings = self._settings
@@ -305,8 +311,8 @@
             self._ports.topics.lease,
             self.member,
             settings.instance,
-            settings.bounds.lease_ms / _MS,
-            self._view,
+            settings.bounds.lease_ms / _MS_PER_S,
+            self._fleet_view,
         )
         self._duties: dict[str, Callable[[], Awaitable[None]]] = {}
         if self._ports.cloud is not None and settings.platform.duties:
@@ -314,13 +320,13 @@
                 ports=self._ports,
                 settings=settings,
                 lease=self._lease,
-                store=self._store,
-                directory=self._directory,
-                meter=self._meter,
+                store=self._catalog_store,
+                directory=self._runner_directory,
+                meter=self._demand_meter,
                 ledger=self._loads,
-                estimates=self._estimates,
+                estimates=self._runner_model,
                 usage=self._usage,
-                fleet=self._view,
+                fleet=self._fleet_view,
                 limits=self._backpressure.limits,
                 roster=self._roster,
                 links=self.links,
@@ -328,12 +334,12 @@
             )
             self._duties = duty_parts.list_tasks(sources, self._ports.cloud)
 
-    def _share_state(self) -> None:
+    def _build_state_gossip(self) -> None:
         settings = self._settings
-        news = runner_report_gossip.RunnerReportGossip(
+        report_gossip = runner_report_gossip.RunnerReportGossip(
             self._backpressure.limits, self._backpressure.leaving
         )
-        self._shared = state_gossip.StateGossip(
+        self._state_gossip = state_gossip.StateGossip(
             state_gossip.Identity(
                 self.member,
                 settings.instance,
@@ -341,46 +347,46 @@
                 settings.link_mbps,
             ),
             state_gossip.StateSources(
-                store=self._store,
-                directory=self._directory,
+                store=self._catalog_store,
+                directory=self._runner_directory,
                 contact=self._contact,
-                quota_exchange=self._unit_news,
+                quota_exchange=self._quota_exchange,
                 listed=self._roster,
                 loads=self._loads,
-                runner_report_gossip=news,
+                runner_report_gossip=report_gossip,
                 usage=self._usage,
-                meter=self._meter,
-                estimates=self._estimates,
+                meter=self._demand_meter,
+                estimates=self._runner_model,
                 orders=self._rollouts.orders,
                 trials=self._rollouts.trials,
                 lease=self._lease,
                 links=self.links,
-                fleet=self._view,
+                fleet=self._fleet_view,
             ),
         )
         self.links.listeners = links.Listeners(
-            self._shared.apply_digest,
-            self._shared.apply_report,
-            self._shared.change_mode,
-            self._unit_news.apply_subscriber_digest,
-            self._unit_news.create_update,
-            self._unit_news.apply_update,
-            self._unit_news.answer,
-            self._unit_news.find_zone_end,
-            news,
+            self._state_gossip.apply_digest,
+            self._state_gossip.apply_report,
+            self._state_gossip.change_mode,
+            self._quota_exchange.apply_subscriber_digest,
+            self._quota_exchange.create_update,
+            self._quota_exchange.apply_update,
+            self._quota_exchange.answer,
+            self._quota_exchange.find_zone_end,
+            report_gossip,
         )
-        self._view.listen_for_ends(self._shared.end_member)
+        self._fleet_view.listen_for_ends(self._state_gossip.end_member)
 
     def _forget_runner(self, runner_id: str) -> None:
-        """Drop what was learnt of a runner's process before this one."""
+        """Drop what was measured and reported of a runner's former process."""
         self._ejector.forget(runner_id)
         self._loads.forget_runner(runner_id)
         self._backpressure.admission.forget(runner_id)
 
     def _build_allowances(self) -> None:
         bounds = self._settings.bounds
-        self._units = quota_ledger.create_quota_ledger(
-            _find_tolerance(bounds),
+        self._quota_ledger = quota_ledger.create_quota_ledger(
+            _find_tolerance_bounds(bounds),
             refill_shares.RefillShares(
                 lambda: refill_shares.RateShare(
                     self._roster.find_own_share(), self._roster.share_since
@@ -391,46 +397,48 @@
             self.links.notify_quota_soon,
         )
         self.links.quota_client.observe = self.metrics.observe_quota_request
-        self._gate = gate.create_gate(self._units, self.links.quota_client)
-        self._unit_news = quota_exchange.QuotaExchange(
+        self._allowance_gate = gate.create_gate(
+            self._quota_ledger, self.links.quota_client
+        )
+        self._quota_exchange = quota_exchange.QuotaExchange(
             self.member,
             self._settings.zone,
-            self._store,
-            self._units,
-            self._gate,
+            self._catalog_store,
+            self._quota_ledger,
+            self._allowance_gate,
             self._roster,
             self._member_follower,
             self.links,
         )
 
-        self._gate.lacks_shares = self._unit_news.lacks_shares
+        self._allowance_gate.lacks_shares = self._quota_exchange.lacks_shares
 
     def _build_quarantine(self) -> None:
         topic = self._ports.topics.strikes
         self._quarantine = manager.create_quarantine_manager(
             self._ports.log, topic
         )
-        self._quarantine.on_strike = self.metrics.count_crash
+        self._quarantine.on_crash = self.metrics.count_crash
         self._quarantine.may_tidy = self._is_lease_held
-        self._strike_follower = keyed_follower.KeyedFollower(
+        self._crash_follower = keyed_follower.KeyedFollower(
             self._ports.log,
             self._contact,
             topic,
             self._quarantine,
             read_schedules.CRASH_RECORDS,
-            self._is_crowded,
+            self._uses_hubs,
         )
-        self._strike_follower.on_unreadable = self.metrics.count_unusable_record
+        self._crash_follower.on_unreadable = self.metrics.count_unusable_record
 
     def _is_lease_held(self) -> bool:
-        # The lease is built after what asks for it.
+        # A method, since `_lease` is built after its users.
         return self._lease.is_held()
 
     def _build_forwarding(self) -> None:
         bounds = self._settings.bounds
         self._loads = loads.LoadLedger()
-        self._meter = demand.DemandMeter()
-        self._estimates = model.RunnerModel()
+        self._demand_meter = demand.DemandMeter()
+        self._runner_model = model.RunnerModel()
         streams = durations.StreamDurations()
         self._stop_window = stop_window.StopWindow(streams)
         self._usage = usage_counts.UsageCounts(bounds.window_s)
@@ -438,30 +446,30 @@
         self._backpressure = backpressure_parts.create_backpressure(
             self.instance,
             self._roster,
-            self._directory.leaving,
+            self._runner_directory.leaving,
             self.metrics.count_runner_signal,
-            self._tell_peers_soon,
+            self._notify_mesh_peers_soon,
         )
-        self._directory.on_restart = self._forget_runner
+        self._runner_directory.on_restart = self._forget_runner
         self._build_allowances()
         codec = self._ports.calls
         self._retries = retry_window.RetryWindow(
-            _find_retry_bounds(bounds), self._view.count_daemons
+            _find_retry_bounds(bounds), self._fleet_view.count_daemons
         )
         parts = forwarder.ForwarderParts(
-            store=self._store,
-            directory=self._directory,
-            entries=self._entries,
-            allowances=self._gate,
+            store=self._catalog_store,
+            directory=self._runner_directory,
+            entries=self._entry_refresher,
+            allowances=self._allowance_gate,
             placer=placer.Placer(
                 self._settings.zone,
-                self._directory,
+                self._runner_directory,
                 self._loads,
-                self._estimates,
+                self._runner_model,
                 self._ejector,
                 self._rng,
-                self._view.is_zone_silent,
-                lambda: self._view.is_mesh,
+                self._fleet_view.is_zone_silent,
+                lambda: self._fleet_view.is_mesh,
                 self._backpressure.admission,
                 self._rollouts.versions.choose,
             ),
@@ -469,17 +477,17 @@
                 codec,
                 self._loads,
                 self._usage,
-                self._meter,
-                self._estimates,
+                self._demand_meter,
+                self._runner_model,
                 streams,
-                self._tell_peers_soon,
+                self._notify_mesh_peers_soon,
                 self._backpressure.admission,
             ),
             retries=self._retries,
             ejector=self._ejector,
             runner_admission=self._backpressure.admission,
             quarantine=quarantine_filter.QuarantineFilter(
-                self._quarantine, self._directory
+                self._quarantine, self._runner_directory
             ),
             stop=self._stop_window,
             trials=trial_recorder.TrialRecorder(
@@ -490,11 +498,11 @@
             metrics=self.metrics,
             codec=codec,
             rng=self._rng,
-            wait_until_read=self._wait_until_read,
+            wait_until_read=self._wait_initial_sync,
         )
         self.listener = listener.CallerListener(
             self._settings.listen.callers,
-            self._store,
+            self._catalog_store,
             codec,
             forwarder.Forwarder(parts),
         )
@@ -503,7 +511,7 @@
 def create_parts(
     settings: gateway.GatewaySettings, ports: gateway_ports.GatewayPorts
 ) -> GatewayParts:
-    """Return the parts, connected and not yet running."""
+    """Return the parts, connected but not running."""
     return GatewayParts(settings, ports)
 
 
@@ -515,7 +523,9 @@
     )
 
 
-def _find_tolerance(bounds: gateway.BoundSettings) -> terms.ToleranceBounds:
+def _find_tolerance_bounds(
+    bounds: gateway.BoundSettings,
+) -> terms.ToleranceBounds:
     return terms.ToleranceBounds(
         bounds.allowance_window_s,
         bounds.allowance_overrun,
--- a/packages/daemon/src/martenquay_daemon/main.py
+++ b/packages/daemon/src/martenquay_daemon/main.py
@@ -1,4 +1,4 @@
-"""Start `martenquayd` with a settings file."""
+"""Run `martenquayd` with the settings file given as a flag."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     "settings", None, "The settings file, JSON with comments.", required=True
 )
 _LOG = logs.create_log("daemon")
-_EXIT_SETTINGS = 7
+_EXIT_INVALID_SETTINGS = 7
 _EXIT_CUT_OFF = 1
 
 
@@ -37,7 +37,7 @@
     if settings.is_error():
         for problem in settings.error:
             print(reader.describe_problem(problem), file=sys.stderr)
-        return _EXIT_SETTINGS
+        return _EXIT_INVALID_SETTINGS
     logs.start_logging(settings.ok.instance)
     status = trio.run(
         _serve, settings.ok, held, clock=boot_clock.create_clock()
@@ -53,13 +53,15 @@
     async with trio.open_nursery() as nursery:
 
         def cut_off() -> None:
-            cut = process.note_cut_off()
-            _LOG.write(f"Cut off {cut} requests.", cut_off=cut)
+            cut = process.record_cut_off()
+            _LOG.write(
+                f"Stopping at once; cut off {cut} requests.", cut_off=cut
+            )
             nursery.cancel_scope.cancel()
 
-        handler = signals.SignalHandler(held, _note_reload, cut_off)
-        # It runs until the last request has ended: a signal that nobody
-        # handles ends the process, and what is in progress with it.
+        handler = signals.SignalHandler(held, _log_reload_ignored, cut_off)
+        # The handler runs until the last request has ended: an unhandled
+        # signal would end the process and the requests in progress.
         await nursery.start(handler.run)
         addresses = await nursery.start(process.run)
         _print_addresses(addresses, process.member)
@@ -69,12 +71,12 @@
         process.stop()
         await process.wait_stopped()
         nursery.cancel_scope.cancel()
-    # By now nothing is in progress any more, whether it ended or was cut off.
+    # `readiness.in_progress` is zero by now, also after requests were cut off.
     return _EXIT_CUT_OFF if process.cut_off else 0
 
 
 def _print_addresses(addresses: daemon.Addresses, member: str) -> None:
-    """Tell the launcher the ports that the system chose."""
+    """Print the addresses, whose ports the system may have chosen."""
     line = {
         "callers": addresses.callers,
         "operators": addresses.operators,
@@ -84,5 +86,5 @@
     print(json.dumps(line), flush=True)
 
 
-def _note_reload() -> None:
-    _LOG.write("Kept the settings; they are read at the start only.")
+def _log_reload_ignored() -> None:
+    _LOG.write("Ignored SIGHUP; settings are read only at the start.")
--- a/tests/test_platform/test_signals.py
+++ b/tests/test_platform/test_signals.py
@@ -23,7 +23,7 @@
 _STOPPING_PREFIX = "Stopping"
 _HUP_TEXT = "Took SIGHUP."
 # Log lines that report the outcome of reading the settings.
-_SETTINGS_READ_PREFIXES = ("Read the settings", "Took the settings")
+_SETTINGS_READ_PREFIXES = ("Read the settings", "Applied the changed settings")
 _TERM = signal.SIGTERM
 _HUP = signal.SIGHUP
 
@@ -64,7 +64,7 @@
             await scene.wait_text(_HUP_TEXT)
             scene.change_settings()
             scene.send_signals(_HUP)
-            await scene.wait_text("Took the settings")
+            await scene.wait_text("Applied the changed settings")
             await self._check_answer_and_exit(scene, stream)
             next_texts = [
                 after
