--- a/bench/platform_soak.py
+++ b/bench/platform_soak.py
@@ -14,7 +14,7 @@
 from martenquay_platform_standins import history, soak
 from martenquay_platform_standins.history import CallKind
 
-_FIRST = flags.DEFINE_integer("first_seed", 1, "The first seed.")
+_FIRST_SEED = flags.DEFINE_integer("first_seed", 1, "The first seed.")
 _SEEDS = flags.DEFINE_integer("seeds", 5, "How many seeds.")
 _FAULTS = flags.DEFINE_integer("faults", 24, "Faults a seed.")
 _SERIES = flags.DEFINE_integer("series", 8, "Planned series a seed.")
@@ -33,15 +33,15 @@
     del argv
     rows = []
     broken = 0
-    for seed in range(_FIRST.value, _FIRST.value + _SEEDS.value):
+    for seed in range(_FIRST_SEED.value, _FIRST_SEED.value + _SEEDS.value):
         plan = soak.SoakPlan(
             seed,
             faults=_FAULTS.value,
             series=_SERIES.value,
             daemons=_DAEMONS.value,
             runners=_RUNNERS.value,
-            lethal=_LETHAL.value,
-            needs=_NEEDS.value,
+            crashing_callers=_LETHAL.value,
+            reports=_NEEDS.value,
             calm_s=_CALM_S if _LETHAL.value else 0.0,
         )
         report = trio.run(soak.run_soak, plan)
@@ -61,13 +61,13 @@
     good = collections.Counter(
         call.kind
         for call in seen.calls.values()
-        if call.status == 200 and call.is_whole
+        if call.status == 200 and call.is_complete
     )
     return [
         str(seed),
         str(len(seen.disturbances)),
         *(f"{good[kind]}/{asked[kind]}" for kind in CallKind),
-        str(sum(r.path == history.LETHAL_PATH for r in seen.runs)),
+        str(sum(r.path == history.CRASHING_PATH for r in seen.runs)),
         str(len(seen.runs)),
         str(len(seen.duties)),
         str(len(report.breaches)),
--- a/tests/test_platform/test_need_rules.py
+++ b/tests/test_platform/test_need_rules.py
@@ -4,27 +4,27 @@
 
 import testtools
 
-from martenquay_platform_standins import history, need_rules, runner
-from martenquay_platform_standins.history import CallKind, NeedKind
+from martenquay_platform_standins import history, report_rules, runner
+from martenquay_platform_standins.history import CallKind, ReportKind
 
 _RUNNER = "runner-1"
 
 
-class SelectNeedsTest(testtools.TestCase):
+class SelectReportsTest(testtools.TestCase):
     def test_only_a_refusal_asks_for_rest(self) -> None:
         """A served answer once did, in the moment a runner began to rest.
 
         The judge then held the daemon to it: "logged of the word: Attempt 1:
         Whole", though a request that was served asks for nothing.
         """
-        needs = {"rest": 3.0, "leaves": 1.0}
-        served = runner.select_needs(needs, is_refused=False)
-        refused = runner.select_needs(needs, is_refused=True)
-        self.assertEqual([(NeedKind.LEAVES, 1.0)], served)
-        self.assertIn((NeedKind.REST, 3.0), refused)
+        reports = {"rest": 3.0, "leaves": 1.0}
+        served = runner.select_reports(reports, is_refused=False)
+        refused = runner.select_reports(reports, is_refused=True)
+        self.assertEqual([(ReportKind.DRAINING, 1.0)], served)
+        self.assertIn((ReportKind.BACKOFF, 3.0), refused)
 
 
-class NeedRulesTest(testtools.TestCase):
+class ReportRulesTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.seen = history.History()
@@ -38,23 +38,23 @@
         self.seen.arrivals.append(history.Arrival(at, _RUNNER, call_id))
         return call_id
 
-    def _tell(
-        self, at: float, kind: NeedKind, value: float, *processes: str
+    def _report(
+        self, at: float, kind: ReportKind, value: float, *processes: str
     ) -> None:
         """Have the runner say something to daemons, and mean it."""
-        need = history.Need(_RUNNER, kind, value, at, at + 20.0)
-        self.seen.needs.append(need)
+        span = history.ReportSpan(_RUNNER, kind, value, at, at + 20.0)
+        self.seen.report_spans.append(span)
         for process in processes or ("entry-0.1",):
             call_id = self._send(at, process)
-            told = history.Told(at, _RUNNER, call_id, kind, value)
-            self.seen.said.append(told)
+            report = history.RunnerReport(at, _RUNNER, call_id, kind, value)
+            self.seen.reports.append(report)
 
     def _count_breaches(self) -> int:
-        return len(need_rules.find_need_breaches(self.seen))
+        return len(report_rules.find_report_breaches(self.seen))
 
     def test_a_limit_counts_over_all_daemons_that_were_told(self) -> None:
         daemons = [f"entry-{number}.1" for number in range(6)]
-        self._tell(10.0, NeedKind.LIMIT, 1.0, *daemons)
+        self._report(10.0, ReportKind.LIMIT, 1.0, *daemons)
         for number in range(11):
             self._send(14.0 + number / 4, daemons[number % 6])
         self.assertEqual(0, self._count_breaches())
@@ -62,32 +62,32 @@
         self.assertEqual(1, self._count_breaches())
 
     def test_who_was_not_told_of_a_limit_is_not_bound(self) -> None:
-        self._tell(10.0, NeedKind.LIMIT, 1.0)
+        self._report(10.0, ReportKind.LIMIT, 1.0)
         for _ in range(20):
             self._send(15.0, "entry-3.1")
         self.assertEqual(0, self._count_breaches())
 
     def test_a_limit_binds_from_the_contact_time_to_its_end(self) -> None:
-        self._tell(10.0, NeedKind.LIMIT, 1.0)
+        self._report(10.0, ReportKind.LIMIT, 1.0)
         for at in (12.9, 30.1):
             for _ in range(20):
                 self._send(at)
         self.assertEqual(0, self._count_breaches())
 
     def test_a_request_long_after_the_word_of_leaving_is_a_breach(self) -> None:
-        self._tell(10.0, NeedKind.LEAVES, 1.0)
+        self._report(10.0, ReportKind.DRAINING, 1.0)
         self._send(11.9)
         self.assertEqual(0, self._count_breaches())
         self._send(12.2)
         self.assertEqual(1, self._count_breaches())
 
     def test_another_process_was_not_told(self) -> None:
-        self._tell(10.0, NeedKind.LEAVES, 1.0)
+        self._report(10.0, ReportKind.DRAINING, 1.0)
         self._send(15.0, "entry-0.2")
         self.assertEqual(0, self._count_breaches())
 
     def test_three_requests_in_a_rest_are_a_breach(self) -> None:
-        self._tell(10.0, NeedKind.REST, 3.0)
+        self._report(10.0, ReportKind.BACKOFF, 3.0)
         for at in (10.4, 11.0, 12.9, 13.1):
             self._send(at)
         self.assertEqual(0, self._count_breaches())
@@ -95,7 +95,7 @@
         self.assertEqual(1, self._count_breaches())
 
     def test_a_daemon_in_a_fault_is_excused(self) -> None:
-        self._tell(10.0, NeedKind.REST, 3.0)
+        self._report(10.0, ReportKind.BACKOFF, 3.0)
         for _ in range(5):
             self._send(12.0)
         freeze = history.Disturbance("freeze", "entry-0", 10.5, 11.5)
@@ -103,8 +103,8 @@
         self.assertEqual(0, self._count_breaches())
 
     def test_a_store_that_is_away_excuses_nothing(self) -> None:
-        self._tell(10.0, NeedKind.LEAVES, 1.0)
+        self._report(10.0, ReportKind.DRAINING, 1.0)
         self._send(15.0)
-        away = history.Disturbance("store down", "store", 9.0, 16.0)
-        self.seen.disturbances.append(away)
+        outage = history.Disturbance("store down", "store", 9.0, 16.0)
+        self.seen.disturbances.append(outage)
         self.assertEqual(1, self._count_breaches())
--- a/tests/test_platform/test_soak_judge.py
+++ b/tests/test_platform/test_soak_judge.py
@@ -9,7 +9,7 @@
 
 _BOUNDS = judge.Bounds(
     lease_s=3.0,
-    leaving_s=3.0,
+    drain_s=3.0,
     limited_team="greedy",
     allowance=1000.0,
     window_s=4.0,
@@ -28,12 +28,13 @@
         "ended_at": 10.1,
         "status": 200,
         "is_sealed": True,
-        "is_whole": True,
+        "is_complete": True,
         "body": runner.make_body(call_id),
     }
     if kind is CallKind.NOTE:
         fields["body"] = b"".join(
-            runner.make_event(call_id, n) for n in range(1, runner.EVENTS + 1)
+            runner.make_event(call_id, n)
+            for n in range(1, runner.STREAM_EVENTS + 1)
         )
     return history.Call(**(fields | changes))
 
@@ -86,7 +87,7 @@
             history.Disturbance(name, target, 9.0, 12.0)
         )
 
-    def _expect_cuts(self, *ids: str) -> None:
+    def _expect_interrupted(self, *ids: str) -> None:
         found = judge.find_breaches(self.seen, _BOUNDS)
         self.assertEqual(
             [f"{call_id} was cut off" for call_id in ids],
@@ -94,28 +95,32 @@
         )
 
     def test_few_runs_after_three_crashes_pass(self) -> None:
-        self.assertEqual([], self._judge_lethal([1.0, 1.2, 1.4, 1.6, 9.0]))
+        self.assertEqual(
+            [], self._judge_crashing_request([1.0, 1.2, 1.4, 1.6, 9.0])
+        )
 
     def test_a_request_that_goes_on_crashing_runners_is_a_breach(self) -> None:
-        found = self._judge_lethal([1.0, 1.2, 1.4, 9.0, 10.0, 11.0, 12.0])
+        found = self._judge_crashing_request(
+            [1.0, 1.2, 1.4, 9.0, 10.0, 11.0, 12.0]
+        )
         self.assertEqual(1, len(found))
 
     def test_daemons_in_a_fault_need_not_know_it(self) -> None:
-        harm = history.Disturbance("cut platform", "entry-0", 8.0, 12.0)
+        fault = history.Disturbance("cut platform", "entry-0", 8.0, 12.0)
         times = [1.0, 1.2, 1.4, 9.0, 10.0, 11.0, 12.0]
-        self.assertEqual([], self._judge_lethal(times, harm))
+        self.assertEqual([], self._judge_crashing_request(times, fault))
 
-    def _judge_lethal(
-        self, times: list[float], *harms: history.Disturbance
+    def _judge_crashing_request(
+        self, times: list[float], *faults: history.Disturbance
     ) -> list[str]:
         seen = history.History()
-        seen.disturbances += harms
+        seen.disturbances += faults
         for number, at in enumerate(times):
             call_id = f"call-{number}"
             seen.calls[call_id] = _build_call(
                 call_id,
                 CallKind.NOTE,
-                path=history.LETHAL_PATH,
+                path=history.CRASHING_PATH,
                 status=502,
                 sent_at=at,
                 ended_at=at + 0.1,
@@ -125,7 +130,7 @@
                     at,
                     f"runner-{number}",
                     call_id,
-                    history.LETHAL_PATH,
+                    history.CRASHING_PATH,
                     "florists",
                     0,
                     resumed=False,
@@ -177,13 +182,13 @@
         call = self.seen.calls["call-2"]
         call.body = runner.make_event("call-2", 1)
         self._expect(f"call-2 has a whole answer of {call.body!r}")
-        call.is_whole = False
+        call.is_complete = False
         self._disturb("kill", "entry-0")
         self._expect()
 
     def test_events_out_of_order_or_of_another_call(self) -> None:
         call = self.seen.calls["call-2"]
-        call.is_whole = False
+        call.is_complete = False
         self._disturb("kill", "entry-0")
         for second in (
             runner.make_event("call-2", 3),
@@ -246,7 +251,7 @@
         self._expect("greedy got 1200 in a window")
 
     def test_a_leaving_runner_that_gets_work(self) -> None:
-        self.seen.leaving["runner-1"] = 5.0
+        self.seen.draining_since["runner-1"] = 5.0
         late = [f"runner-1 got work {10.05 - 5.0:.1f} s after"] * 2
         self._expect(*late)
         self.seen.disturbances.append(
@@ -256,39 +261,39 @@
 
     def test_planned_work_that_cuts_a_request_off(self) -> None:
         call = self.seen.calls["call-1"]
-        call.is_whole = False
+        call.is_complete = False
         call.status = 0
         call.body = b""
         for name in ("stop", "reload", "series"):
             self.seen.disturbances.clear()
             self._disturb(name, "entry-0")
-            self._expect_cuts("call-1")
+            self._expect_interrupted("call-1")
 
     def test_planned_work_that_breaks_an_answer_off(self) -> None:
         call = self.seen.calls["call-2"]
-        call.is_whole = False
+        call.is_complete = False
         call.body = runner.make_event("call-2", 1)
         self._disturb("series", "entry-0")
-        self._expect_cuts("call-2")
+        self._expect_interrupted("call-2")
 
     def test_an_answer_that_its_own_time_breaks_off(self) -> None:
         call = self.seen.calls["call-2"]
-        call.is_whole = False
+        call.is_complete = False
         call.body = b""
         call.ended_at = call.sent_at + call.budget_s - 0.1
-        self._expect_cuts("call-2")
+        self._expect_interrupted("call-2")
         call.ended_at = call.sent_at + call.budget_s + 0.1
         self._expect()
         # One that was never begun had to be told so in time.
         call.status = 0
-        self._expect_cuts("call-2")
+        self._expect_interrupted("call-2")
 
     def test_a_request_that_is_cut_off_while_nothing_is_done(self) -> None:
-        self.seen.calls["call-1"].is_whole = False
-        self._expect_cuts("call-1")
+        self.seen.calls["call-1"].is_complete = False
+        self._expect_interrupted("call-1")
 
     def test_a_fault_that_may_have_cut_a_request_off(self) -> None:
-        self.seen.calls["call-1"].is_whole = False
+        self.seen.calls["call-1"].is_complete = False
         self._disturb("stop", "entry-0")
         for name, target in (
             ("kill", "entry-0"),
@@ -304,7 +309,7 @@
             self.seen.disturbances.pop()
 
     def test_a_fault_elsewhere_excuses_nothing(self) -> None:
-        self.seen.calls["call-1"].is_whole = False
+        self.seen.calls["call-1"].is_complete = False
         self._disturb("stop", "entry-0")
         for name, target in (
             ("kill", "entry-1"),
@@ -314,16 +319,16 @@
             ("leave", "runner-7"),
         ):
             self._disturb(name, target)
-            self._expect_cuts("call-1")
+            self._expect_interrupted("call-1")
             self.seen.disturbances.pop()
 
     def test_a_fault_long_before_excuses_nothing(self) -> None:
-        self.seen.calls["call-1"].is_whole = False
+        self.seen.calls["call-1"].is_complete = False
         self._disturb("stop", "entry-0")
         self.seen.disturbances.append(
             history.Disturbance("kill", "entry-0", 1.0, 6.9)
         )
-        self._expect_cuts("call-1")
+        self._expect_interrupted("call-1")
 
     def test_a_request_that_was_read_and_got_no_answer(self) -> None:
         call = _build_call(
@@ -331,10 +336,10 @@
         )
         call.waited_s = 1.45
         call.is_sealed = False
-        call.is_whole = False
+        call.is_complete = False
         self._add(call)
         self._disturb("series", "entry-0")
-        self._expect_cuts("call-3")
+        self._expect_interrupted("call-3")
         # This one crosses the close of its connection, and so does one during
         # which the soak stood still.
         call.waited_s = 0.05
@@ -356,5 +361,5 @@
         self._expect("call-4 ran 2 times")
 
     def test_a_process_that_ended_by_itself(self) -> None:
-        self.seen.lost.append("entry-0.1 ended 1: ...")
+        self.seen.failures.append("entry-0.1 ended 1: ...")
         self._expect("entry-0.1 ended 1: ...")
--- a/tests/test_promises/test_platform_soak.py
+++ b/tests/test_promises/test_platform_soak.py
@@ -36,17 +36,17 @@
 
     def test_a_request_that_crashes_runners_ends_few_of_them(self) -> None:
         plan = soak.SoakPlan(
-            _LETHAL_SEED, faults=_FAULTS, lethal=1, calm_s=_CALM_S
+            _LETHAL_SEED, faults=_FAULTS, crashing_callers=1, calm_s=_CALM_S
         )
         report = trio.run(self._run, plan)
         self.assertEqual([], report.breaches)
-        lethal = [
+        crashing_runs = [
             run
             for run in report.history.runs
-            if run.path == history.LETHAL_PATH
+            if run.path == history.CRASHING_PATH
         ]
         # Fewer would show that the caller was not heard.
-        self.assertGreaterEqual(len(lethal), 3)
+        self.assertGreaterEqual(len(crashing_runs), 3)
 
     async def _run(self, plan: soak.SoakPlan) -> soak.SoakReport:
         with trio.fail_after(_LIMIT_S):
