--- a/bench/platform_soak.py
+++ b/bench/platform_soak.py
@@ -1,4 +1,4 @@
-"""Soak the daemon on the platform: many seeds of faults, each judged.
+"""Run soak tests of the daemon on the platform, one for each seed.
 
 python -m bench.platform_soak --first_seed=1 --seeds=5
 """
@@ -16,20 +16,22 @@
 
 _FIRST_SEED = flags.DEFINE_integer("first_seed", 1, "The first seed.")
 _SEEDS = flags.DEFINE_integer("seeds", 5, "How many seeds.")
-_FAULTS = flags.DEFINE_integer("faults", 24, "Faults a seed.")
-_SERIES = flags.DEFINE_integer("series", 8, "Planned series a seed.")
+_FAULTS = flags.DEFINE_integer("faults", 24, "Faults for each seed.")
+_SERIES = flags.DEFINE_integer("series", 8, "Signal series for each seed.")
 _DAEMONS = flags.DEFINE_integer("daemons", 6, "Daemons.")
-_LETHAL = flags.DEFINE_integer("lethal", 1, "Callers that crash runners.")
-_NEEDS = flags.DEFINE_integer("needs", 9, "Runners that say what they need.")
+_CRASHING_CALLERS = flags.DEFINE_integer(
+    "lethal", 1, "Callers of a request that crashes runners."
+)
+_REPORTS = flags.DEFINE_integer("needs", 9, "Runner reports for each seed.")
 _RUNNERS = flags.DEFINE_integer("runners", 3, "Runners of each service.")
 
-# The verdict on a request that crashes runners is known 3 s after the third
-# crash; several sends have to come after that.
+# Long enough for several sends after the 3 s in which daemons learn of the
+# quarantine.
 _CALM_S = 10.0
 
 
 def main(argv: list[str]) -> int:
-    """Run the seeds one after the other; return 1 if any breaks a promise."""
+    """Run the seeds one after the other; return 1 if there is a breach."""
     del argv
     rows = []
     broken = 0
@@ -40,9 +42,9 @@
             series=_SERIES.value,
             daemons=_DAEMONS.value,
             runners=_RUNNERS.value,
-            crashing_callers=_LETHAL.value,
-            reports=_NEEDS.value,
-            calm_s=_CALM_S if _LETHAL.value else 0.0,
+            crashing_callers=_CRASHING_CALLERS.value,
+            reports=_REPORTS.value,
+            calm_s=_CALM_S if _CRASHING_CALLERS.value else 0.0,
         )
         report = trio.run(soak.run_soak, plan)
         for breach in report.breaches:
--- a/tests/test_platform/test_need_rules.py
+++ b/tests/test_platform/test_report_rules.py
@@ -1,4 +1,4 @@
-"""The judge sees when daemons do not heed what runners say of themselves."""
+"""The judge reports daemons that disobey limits, backoffs and drains."""
 
 from __future__ import annotations
 
@@ -11,12 +11,8 @@
 
 
 class SelectReportsTest(testtools.TestCase):
-    def test_only_a_refusal_asks_for_rest(self) -> None:
-        """A served answer once did, in the moment a runner began to rest.
-
-        The judge then held the daemon to it: "logged of the word: Attempt 1:
-        Whole", though a request that was served asks for nothing.
-        """
+    def test_only_a_rejection_asks_for_backoff(self) -> None:
+        """Otherwise requests that ran before the backoff count as breaches."""
         reports = {"rest": 3.0, "leaves": 1.0}
         served = runner.select_reports(reports, is_refused=False)
         refused = runner.select_reports(reports, is_refused=True)
@@ -30,7 +26,7 @@
         self.seen = history.History()
 
     def _send(self, at: float, process: str = "entry-0.1") -> str:
-        """Have a request come to the runner."""
+        """Record the arrival of a request at the runner; return its id."""
         call_id = f"call-{len(self.seen.calls)}"
         self.seen.calls[call_id] = history.Call(
             call_id, CallKind.LOOK, "/look/1", "florists", process, at - 0.01
@@ -41,7 +37,7 @@
     def _report(
         self, at: float, kind: ReportKind, value: float, *processes: str
     ) -> None:
-        """Have the runner say something to daemons, and mean it."""
+        """Record a span of reports and one report to each process."""
         span = history.ReportSpan(_RUNNER, kind, value, at, at + 20.0)
         self.seen.report_spans.append(span)
         for process in processes or ("entry-0.1",):
@@ -52,7 +48,7 @@
     def _count_breaches(self) -> int:
         return len(report_rules.find_report_breaches(self.seen))
 
-    def test_a_limit_counts_over_all_daemons_that_were_told(self) -> None:
+    def test_a_limit_counts_over_all_daemons_that_know_it(self) -> None:
         daemons = [f"entry-{number}.1" for number in range(6)]
         self._report(10.0, ReportKind.LIMIT, 1.0, *daemons)
         for number in range(11):
@@ -61,32 +57,32 @@
         self._send(16.9, daemons[5])
         self.assertEqual(1, self._count_breaches())
 
-    def test_who_was_not_told_of_a_limit_is_not_bound(self) -> None:
+    def test_a_daemon_that_does_not_know_a_limit_is_not_bound(self) -> None:
         self._report(10.0, ReportKind.LIMIT, 1.0)
         for _ in range(20):
             self._send(15.0, "entry-3.1")
         self.assertEqual(0, self._count_breaches())
 
-    def test_a_limit_binds_from_the_contact_time_to_its_end(self) -> None:
+    def test_a_limit_binds_from_its_propagation_time_to_its_end(self) -> None:
         self._report(10.0, ReportKind.LIMIT, 1.0)
         for at in (12.9, 30.1):
             for _ in range(20):
                 self._send(at)
         self.assertEqual(0, self._count_breaches())
 
-    def test_a_request_long_after_the_word_of_leaving_is_a_breach(self) -> None:
+    def test_a_request_long_after_a_drain_report_is_a_breach(self) -> None:
         self._report(10.0, ReportKind.DRAINING, 1.0)
         self._send(11.9)
         self.assertEqual(0, self._count_breaches())
         self._send(12.2)
         self.assertEqual(1, self._count_breaches())
 
-    def test_another_process_was_not_told(self) -> None:
+    def test_a_new_process_does_not_know_earlier_reports(self) -> None:
         self._report(10.0, ReportKind.DRAINING, 1.0)
         self._send(15.0, "entry-0.2")
         self.assertEqual(0, self._count_breaches())
 
-    def test_three_requests_in_a_rest_are_a_breach(self) -> None:
+    def test_three_requests_during_a_backoff_are_a_breach(self) -> None:
         self._report(10.0, ReportKind.BACKOFF, 3.0)
         for at in (10.4, 11.0, 12.9, 13.1):
             self._send(at)
@@ -102,7 +98,7 @@
         self.seen.disturbances.append(freeze)
         self.assertEqual(0, self._count_breaches())
 
-    def test_a_store_that_is_away_excuses_nothing(self) -> None:
+    def test_an_outage_of_the_store_excuses_nothing(self) -> None:
         self._report(10.0, ReportKind.DRAINING, 1.0)
         self._send(15.0)
         outage = history.Disturbance("store down", "store", 9.0, 16.0)
--- a/tests/test_platform/test_soak.py
+++ b/tests/test_platform/test_soak.py
@@ -1,4 +1,4 @@
-"""Planned signals, restarts and changes in series lose nothing."""
+"""Signals, restarts and setting changes at a daemon lose no request."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
         served = {
             call.kind for call in seen.calls.values() if call.status == 200
         }
-        # Slow requests are those that a stop finds at work.
+        # Slow kinds are the ones in progress when a daemon stops.
         self.assertLessEqual({"book", "note", "wait", "long"}, served)
 
     async def _run(self) -> soak.SoakReport:
--- a/tests/test_platform/test_soak_judge.py
+++ b/tests/test_platform/test_soak_judge.py
@@ -1,4 +1,4 @@
-"""The soak's judge lets a good history pass and rejects each bad one."""
+"""The soak's judge accepts a correct history and reports each breach."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def _build_call(call_id: str, kind: CallKind, **changes) -> history.Call:
-    """Return a call that was answered in full."""
+    """Return a call with a complete answer."""
     fields = {
         "id": call_id,
         "kind": kind,
@@ -40,7 +40,7 @@
 
 
 def _build_run(call_id: str, kind: CallKind, **changes) -> history.Run:
-    """Return a run of such a call."""
+    """Return an execution of such a call."""
     fields = {
         "at": 10.05,
         "runner": "runner-1",
@@ -54,7 +54,7 @@
 
 
 def _build_duty(at: float, holder: str, fence: int, **changes):
-    """Return a taken order."""
+    """Return an accepted call of the cloud API."""
     fields = {
         "at": at,
         "name": "scale",
@@ -99,13 +99,13 @@
             [], self._judge_crashing_request([1.0, 1.2, 1.4, 1.6, 9.0])
         )
 
-    def test_a_request_that_goes_on_crashing_runners_is_a_breach(self) -> None:
+    def test_a_request_that_keeps_crashing_runners_is_a_breach(self) -> None:
         found = self._judge_crashing_request(
             [1.0, 1.2, 1.4, 9.0, 10.0, 11.0, 12.0]
         )
         self.assertEqual(1, len(found))
 
-    def test_daemons_in_a_fault_need_not_know_it(self) -> None:
+    def test_a_fault_excuses_late_runs_of_a_crashing_request(self) -> None:
         fault = history.Disturbance("cut platform", "entry-0", 8.0, 12.0)
         times = [1.0, 1.2, 1.4, 9.0, 10.0, 11.0, 12.0]
         self.assertEqual([], self._judge_crashing_request(times, fault))
@@ -152,7 +152,7 @@
         self.seen.runs.append(_build_run("call-1", CallKind.BOOK))
         self._expect("call-1 ran 2 times")
 
-    def test_a_run_that_nobody_asked_for(self) -> None:
+    def test_a_run_without_a_request(self) -> None:
         self.seen.runs.append(_build_run("call-9", CallKind.BOOK))
         self._expect("call-9 ran and nobody asked for it")
 
@@ -164,7 +164,7 @@
             "call-1 ran with another path", "call-1 ran for another team"
         )
 
-    def test_a_false_not_run(self) -> None:
+    def test_a_refused_request_that_ran(self) -> None:
         call = _build_call("call-1", CallKind.BOOK, status=503, body=b"")
         call.is_sealed = False
         self._add(call)
@@ -174,11 +174,11 @@
         del self.seen.runs[0]
         self._expect("call-1 was answered and never ran")
 
-    def test_an_answer_that_no_runner_vouches_for(self) -> None:
+    def test_an_answer_without_a_runner_seal(self) -> None:
         self.seen.calls["call-1"].is_sealed = False
         self._expect("call-1 has an answer that no runner vouches for")
 
-    def test_a_cut_answer_that_seems_whole(self) -> None:
+    def test_a_truncated_answer_that_seems_complete(self) -> None:
         call = self.seen.calls["call-2"]
         call.body = runner.make_event("call-2", 1)
         self._expect(f"call-2 has a whole answer of {call.body!r}")
@@ -215,7 +215,7 @@
         self.seen.runs.append(_build_run("call-7", CallKind.PROBE))
         self._expect("entry-0.1 went back from version 5 behind 5")
 
-    def test_fences_that_fall_are_shared_or_come_by_turns(self) -> None:
+    def test_fencing_tokens_that_fall_are_shared_or_alternate(self) -> None:
         self.seen.duties = [_build_duty(1.0, "a", 5), _build_duty(9.0, "b", 4)]
         self._expect("fence 4 came after 5")
         self.seen.duties = [_build_duty(1.0, "a", 5), _build_duty(9.0, "b", 5)]
@@ -250,7 +250,7 @@
             )
         self._expect("greedy got 1200 in a window")
 
-    def test_a_leaving_runner_that_gets_work(self) -> None:
+    def test_a_draining_runner_that_gets_work(self) -> None:
         self.seen.draining_since["runner-1"] = 5.0
         late = [f"runner-1 got work {10.05 - 5.0:.1f} s after"] * 2
         self._expect(*late)
@@ -259,7 +259,7 @@
         )
         self._expect()
 
-    def test_planned_work_that_cuts_a_request_off(self) -> None:
+    def test_a_planned_operation_that_interrupts_a_request(self) -> None:
         call = self.seen.calls["call-1"]
         call.is_complete = False
         call.status = 0
@@ -269,14 +269,14 @@
             self._disturb(name, "entry-0")
             self._expect_interrupted("call-1")
 
-    def test_planned_work_that_breaks_an_answer_off(self) -> None:
+    def test_a_planned_operation_that_interrupts_an_answer(self) -> None:
         call = self.seen.calls["call-2"]
         call.is_complete = False
         call.body = runner.make_event("call-2", 1)
         self._disturb("series", "entry-0")
         self._expect_interrupted("call-2")
 
-    def test_an_answer_that_its_own_time_breaks_off(self) -> None:
+    def test_an_answer_that_its_deadline_interrupts(self) -> None:
         call = self.seen.calls["call-2"]
         call.is_complete = False
         call.body = b""
@@ -284,15 +284,15 @@
         self._expect_interrupted("call-2")
         call.ended_at = call.sent_at + call.budget_s + 0.1
         self._expect()
-        # One that was never begun had to be told so in time.
+        # Without a response head, the daemon had to answer with an error.
         call.status = 0
         self._expect_interrupted("call-2")
 
-    def test_a_request_that_is_cut_off_while_nothing_is_done(self) -> None:
+    def test_an_interrupted_request_without_a_disturbance(self) -> None:
         self.seen.calls["call-1"].is_complete = False
         self._expect_interrupted("call-1")
 
-    def test_a_fault_that_may_have_cut_a_request_off(self) -> None:
+    def test_a_fault_that_may_have_interrupted_a_request(self) -> None:
         self.seen.calls["call-1"].is_complete = False
         self._disturb("stop", "entry-0")
         for name, target in (
@@ -340,14 +340,14 @@
         self._add(call)
         self._disturb("series", "entry-0")
         self._expect_interrupted("call-3")
-        # This one crosses the close of its connection, and so does one during
-        # which the soak stood still.
+        # A short wait may be a race with the close of the connection, however
+        # much time passed while the soak's own process was stalled.
         call.waited_s = 0.05
         self._expect()
         call.ended_at = 10.2
         self._expect()
 
-    def test_slow_kinds_are_bound_as_the_quick_ones(self) -> None:
+    def test_slow_kinds_have_the_rules_of_the_quick_ones(self) -> None:
         for call_id, kind in (("call-4", CallKind.WAIT), ("call-5", "long")):
             call = _build_call(call_id, CallKind(kind))
             if kind == "long":
@@ -360,6 +360,6 @@
         self.seen.runs.append(_build_run("call-4", CallKind.WAIT))
         self._expect("call-4 ran 2 times")
 
-    def test_a_process_that_ended_by_itself(self) -> None:
+    def test_a_process_that_exited_unexpectedly(self) -> None:
         self.seen.failures.append("entry-0.1 ended 1: ...")
         self._expect("entry-0.1 ended 1: ...")
--- a/tests/test_platform/test_soak_needs.py
+++ b/tests/test_platform/test_soak_reports.py
@@ -1,4 +1,4 @@
-"""Daemons heed what runners say they need, alone and beside faults."""
+"""Daemons obey runners' limits, backoffs and drains, also beside faults."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 _REPORTS_WITH_FAULTS = soak.SoakPlan(4, faults=6, reports=6)
 
 
-class NeedsTest(testtools.TestCase):
-    def test_each_need_is_heeded(self) -> None:
+class RunnerReportsTest(testtools.TestCase):
+    def test_each_report_is_obeyed(self) -> None:
         self._run_soak(_REPORTS_ALONE)
 
-    def test_needs_beside_faults_are_heeded(self) -> None:
+    def test_reports_beside_faults_are_obeyed(self) -> None:
         self._run_soak(_REPORTS_WITH_FAULTS)
 
     def _run_soak(self, plan: soak.SoakPlan) -> None:
         report = trio.run(self._run, plan)
         self.assertEqual([], report.breaches)
-        # Each kind was said to somebody.
+        # Otherwise a kind of report was never tested.
         reported = {one.need for one in report.history.reports}
         self.assertEqual(set(history.ReportKind), reported)
 
--- a/tests/test_platform/test_soak_stops.py
+++ b/tests/test_platform/test_soak_stops.py
@@ -1,4 +1,4 @@
-"""A soak's fleet tells of each process that does not end as it has to."""
+"""A soak's fleet records each process that exits in an unexpected way."""
 
 from __future__ import annotations
 
@@ -17,41 +17,41 @@
     "import signal, sys, time; signal.signal({}, lambda *_: sys.exit({}))"
 )
 _PRINT = "print('{}', flush=True)"
-# More than the interpreter's first moments.
+# Longer than the CPU time in which a signal can't be caught.
 _BUSY_STARTUP = "while time.process_time() < 0.3: pass"
-# A signal that comes in the moment before a sleep is handled only after it; in
-# one long sleep it was lost, and the program did not stop in time.
+# Many short sleeps: a signal that arrives just before a sleep is handled only
+# after it.
 _SLEEP = "for _ in range(1200): time.sleep(0.05)"
 _LIMIT_S = 60.0
 
 
 class StopTest(testtools.TestCase):
     async def _start(self, *lines: str) -> programs.Program:
-        words = ["-c", "\n".join(lines)]
-        return await programs.start_program("entry-0.1", words, os.environ)
+        args = ["-c", "\n".join(lines)]
+        return await programs.start_program("entry-0.1", args, os.environ)
 
     async def _start_ready(self, *lines: str) -> programs.Program:
-        """Start a program and wait until it is past its first moments."""
+        """Start a program and wait until it can handle signals."""
         end = (_BUSY_STARTUP, _PRINT.format("{}"), _SLEEP)
         program = await self._start(*lines, *end)
         await self._read_line(program)
         return program
 
     async def _read_line(self, program: programs.Program) -> None:
-        """Wait for one line of a program, which may come in two pieces.
+        """Wait for a line of a program.
 
-        An interpreter that does not buffer writes the end of a line by itself;
-        taken for the next word, it had the next signal come too early.
+        An unbuffered interpreter writes the line's end separately; taken for
+        the next line, it would let the test send a signal too early.
         """
-        assert program.process.stdout is not None, "it has a pipe"
+        assert program.process.stdout is not None, "it is started with a pipe"
         output = b""
         while not output.endswith(b"\n"):
             piece = await program.process.stdout.receive_some()
-            assert piece, "it has ended"
+            assert piece, "the program exited before it printed a line"
             output += piece
 
     async def _stop(self, program: programs.Program) -> list[str]:
-        """Stop it as a daemon; return what the fleet tells of that."""
+        """Stop a program as a daemon; return the failures recorded."""
         seen = history.History()
         unused_proxy = proxy.FaultyProxy("")
         instance = instances.DaemonInstance(
@@ -77,14 +77,14 @@
 
         trio.run(limit)
 
-    def test_a_stop_that_ends_with_zero_passes(self) -> None:
+    def test_a_stop_with_exit_status_zero_passes(self) -> None:
         async def run() -> None:
             program = await self._start_ready(_HANDLER.format(15, 0))
             self.assertEqual([], await self._stop(program))
 
         self._run(run)
 
-    def test_a_stop_that_ends_with_another_status(self) -> None:
+    def test_a_stop_with_another_exit_status(self) -> None:
         async def run() -> None:
             program = await self._start_ready(_HANDLER.format(15, 4))
             (failure,) = await self._stop(program)
@@ -112,7 +112,7 @@
 
         self._run(run)
 
-    def test_a_signal_that_nobody_could_catch(self) -> None:
+    def test_a_signal_before_a_handler_could_exist(self) -> None:
         async def run() -> None:
             program = await self._start("import time; time.sleep(60)")
             self.assertEqual([], await self._stop(program))
@@ -120,7 +120,7 @@
 
         self._run(run)
 
-    def test_an_early_signal_excuses_no_other_end(self) -> None:
+    def test_an_early_signal_excuses_no_other_exit(self) -> None:
         async def run() -> None:
             program = await self._start(
                 "import signal, time",
@@ -134,7 +134,7 @@
 
         self._run(run)
 
-    def test_a_program_that_outlived_an_early_signal(self) -> None:
+    def test_a_program_that_survived_an_early_signal(self) -> None:
         async def run() -> None:
             program = await self._start(
                 "import signal, time",
--- a/tests/test_promises/test_platform_soak.py
+++ b/tests/test_promises/test_platform_soak.py
@@ -1,4 +1,4 @@
-"""Processes on the platform's wire keep their promises under seeded faults."""
+"""Daemons keep the guarantees to callers under faults drawn from a seed."""
 
 from __future__ import annotations
 
@@ -9,16 +9,15 @@
 from martenquay_platform_standins.history import CallKind
 
 _LIMIT_S = 240.0
-# Seeds whose faults once broke a promise are played again here, with a line
-# on the cause; so far none has.
+# Seeds that found a fault are added here, each with a line on the cause.
 _SEEDS = (1,)
 _FAULTS = 8
-_LETHAL_SEED = 2
+_CRASHING_REQUEST_SEED = 2
 _CALM_S = 12.0
 
 
 class PlatformSoakTest(testtools.TestCase):
-    def test_no_promise_is_broken(self) -> None:
+    def test_no_guarantee_is_broken(self) -> None:
         for seed in _SEEDS:
             with self.subTest(seed=seed):
                 plan = soak.SoakPlan(seed, faults=_FAULTS)
@@ -36,7 +35,10 @@
 
     def test_a_request_that_crashes_runners_ends_few_of_them(self) -> None:
         plan = soak.SoakPlan(
-            _LETHAL_SEED, faults=_FAULTS, crashing_callers=1, calm_s=_CALM_S
+            _CRASHING_REQUEST_SEED,
+            faults=_FAULTS,
+            crashing_callers=1,
+            calm_s=_CALM_S,
         )
         report = trio.run(self._run, plan)
         self.assertEqual([], report.breaches)
@@ -45,7 +47,7 @@
             for run in report.history.runs
             if run.path == history.CRASHING_PATH
         ]
-        # Fewer would show that the caller was not heard.
+        # With fewer, quarantine would never be reached.
         self.assertGreaterEqual(len(crashing_runs), 3)
 
     async def _run(self, plan: soak.SoakPlan) -> soak.SoakReport:
