--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -221,14 +221,14 @@
     Mutation(
         "silent links are asked",
         f"{CORE}/peers/sockets.py",
-        "    inner.setsockopt(zmq.HEARTBEAT_IVL, ask_ms)\n",
+        "    raw_socket.setsockopt(zmq.HEARTBEAT_IVL, heartbeat_interval_ms)\n",
         "",
         "tests.test_core.test_silent_peers",
     ),
     Mutation(
         "one silent call casts doubt on other connections",
         f"{CORE}/util/http.py",
-        "            self._keeper.replace(generation)\n",
+        "            self._pools.replace(generation)\n",
         "",
         _SILENT_STORE,
     ),
--- a/packages/core/src/martenquay_core/config/fold.py
+++ b/packages/core/src/martenquay_core/config/fold.py
@@ -207,11 +207,13 @@
 
 
 def _store(owner: PartnerState, offset: int, change: records.Change) -> None:
-    place = (change.kind, change.name)
+    object_id = (change.kind, change.name)
     if change.fields is None:
-        owner.stored.pop(place, None)
+        owner.stored.pop(object_id, None)
         return
-    owner.stored[place] = StoredObject(offset, change.operator, change.fields)
+    owner.stored[object_id] = StoredObject(
+        offset, change.operator, change.fields
+    )
 
 
 def _as_list(stored: StoredObject) -> list[Any]:
--- a/packages/core/src/martenquay_core/config/objects.py
+++ b/packages/core/src/martenquay_core/config/objects.py
@@ -219,7 +219,9 @@
     try:
         return Ok(_ADAPTERS[kind].validate_python(fields))
     except pydantic.ValidationError as error:
-        return Error("; ".join(_explain(part) for part in error.errors()))
+        return Error(
+            "; ".join(_describe_error(detail) for detail in error.errors())
+        )
 
 
 def list_fields(kind: Kind) -> list[str]:
@@ -227,6 +229,6 @@
     return [field.name for field in dataclasses.fields(_TYPES[kind])]
 
 
-def _explain(part: Any) -> str:
-    place = ".".join(str(word) for word in part["loc"])
-    return f"{place}: {part['msg']}"
+def _describe_error(detail: Any) -> str:
+    field_path = ".".join(str(key) for key in detail["loc"])
+    return f"{field_path}: {detail['msg']}"
--- a/packages/core/src/martenquay_core/config/snapshot.py
+++ b/packages/core/src/martenquay_core/config/snapshot.py
@@ -100,24 +100,24 @@
         except msgspec.MsgspecError:
             return
         if chunk.partner == payload.partner:
-            self._keep(chunk, raw)
+            self._add_chunk(chunk, raw)
 
     def whole_chunks(self) -> dict[str, list[bytes]]:
         """Return the signed chunks of the best snapshots, by partner."""
         return dict(self._whole)
 
-    def _keep(self, chunk: Chunk, raw: bytes) -> None:
-        known = self.best.get(chunk.partner)
-        if known is not None and known.applied >= chunk.applied:
+    def _add_chunk(self, chunk: Chunk, raw: bytes) -> None:
+        current = self.best.get(chunk.partner)
+        if current is not None and current.applied >= chunk.applied:
             return
-        place = (chunk.partner, chunk.applied, chunk.digest)
-        parts = self._parts[place]
+        snapshot_id = (chunk.partner, chunk.applied, chunk.digest)
+        parts = self._parts[snapshot_id]
         parts[chunk.index] = (chunk.piece, raw)
         if len(parts) < chunk.count:
             return
         ordered = [parts[index] for index in sorted(parts)]
         image = b"".join(piece for piece, _ in ordered)
-        del self._parts[place]
+        del self._parts[snapshot_id]
         if hashlib.sha256(image).hexdigest() == chunk.digest:
             self.best[chunk.partner] = restore_partner(chunk.partner, image)
             self._whole[chunk.partner] = [signed for _, signed in ordered]
--- a/packages/core/src/martenquay_core/language/parser.py
+++ b/packages/core/src/martenquay_core/language/parser.py
@@ -75,14 +75,14 @@
     def create(self, parts: list[Any]) -> statements.Create:
         kind, name, *assignments = parts
         _check_fields(kind, assignments)
-        plain = tuple(assignment for _, assignment in assignments)
-        return statements.Create(str(kind), name, plain)
+        fields = tuple(assignment for _, assignment in assignments)
+        return statements.Create(str(kind), name, fields)
 
     def change(self, parts: list[Any]) -> statements.Set:
         kind, name, *assignments, version = parts
         _check_fields(kind, assignments)
-        plain = tuple(assignment for _, assignment in assignments)
-        return statements.Set(str(kind), name, plain, version)
+        fields = tuple(assignment for _, assignment in assignments)
+        return statements.Set(str(kind), name, fields, version)
 
     def drop(self, parts: list[Any]) -> statements.Drop:
         kind, name, version = parts
@@ -129,9 +129,9 @@
     try:
         return Ok(_Builder().transform(_PARSER.parse(text)))
     except lark.exceptions.VisitError as error:
-        wrong = error.orig_exc
-        if isinstance(wrong, _WrongWordError):
-            return Error(SyntaxFailure(wrong.column, wrong.message))
+        cause = error.orig_exc
+        if isinstance(cause, _WrongWordError):
+            return Error(SyntaxFailure(cause.column, cause.message))
         raise
     except lark.exceptions.UnexpectedEOF:
         return Error(SyntaxFailure(len(text) + 1, "the statement ends early"))
@@ -140,7 +140,7 @@
 
 
 def _locate(text: str, error: lark.exceptions.UnexpectedInput) -> SyntaxFailure:
-    names = sorted(_name_terminal(name) for name in _expected(error))
+    names = sorted(_name_terminal(name) for name in _list_expected(error))
     message = "expected " + " or ".join(dict.fromkeys(names))
     token = getattr(error, "token", None)
     if token is not None and token.type == "$END":
@@ -148,12 +148,12 @@
     return SyntaxFailure(max(error.column, 1), message)
 
 
-def _expected(error: lark.exceptions.UnexpectedInput) -> set[str]:
+def _list_expected(error: lark.exceptions.UnexpectedInput) -> set[str]:
     return set(getattr(error, "accepts", None) or getattr(error, "allowed", ()))
 
 
 def _name_terminal(name: str) -> str:
-    friendly = {
+    descriptions = {
         "NAME": "a name",
         "$END": "the end",
         "INT": "a whole number",
@@ -164,7 +164,7 @@
         "EQUAL": "'='",
         "IDENTIFIER": "a request id",
     }
-    return friendly.get(name, name.lower())
+    return descriptions.get(name, name.lower())
 
 
 def _check_word(word: lark.Token, allowed: tuple[str, ...]) -> None:
--- a/packages/core/src/martenquay_core/logs.py
+++ b/packages/core/src/martenquay_core/logs.py
@@ -43,19 +43,21 @@
 
 
 def start_bounded_logging(
-    source: str, descriptor: int, *few: PartLog
+    source: str, descriptor: int, *unlimited: PartLog
 ) -> line_writer.LineWriter:
     """Send all log lines to a descriptor without ever waiting for it.
 
     Args:
         source: Stands in each line.
         descriptor: For instance that of standard output.
-        *few: Parts whose lines are few and not bounded in rate.
+        *unlimited: Parts whose lines are few and not bounded in rate.
 
     Returns:
         The writer, to be closed at the end.
     """
     eliot.add_global_fields(source=source)
-    writer = line_writer.create_writer(descriptor, [log.prefix for log in few])
+    writer = line_writer.create_writer(
+        descriptor, [log.prefix for log in unlimited]
+    )
     eliot.add_destinations(writer.write)
     return writer
--- a/packages/core/src/martenquay_core/peers/sockets.py
+++ b/packages/core/src/martenquay_core/peers/sockets.py
@@ -14,27 +14,27 @@
 
 __all__ = ["PeerSocket", "bind_router", "connect_dealer"]
 
-_NO_LINGER = 0
-_QUEUE_LENGTH = 10_000
-_RECONNECT_MS = 100
+_LINGER_MS = 0
+_QUEUE_MESSAGES = 10_000
+_RECONNECT_MIN_MS = 100
 _RECONNECT_MAX_MS = 1000
 # A peer without power, or behind a cut, says nothing: give up a connection
 # whose bytes are not acknowledged, and one that does not come up. The first
 # is past the second time that they are sent again (0.6 s), and short since a
 # daemon unheard for 1.2 s counts as silent.
-_UNACKNOWLEDGED_MS = 800
-_CONNECT_MS = 1000
+_UNACKNOWLEDGED_TIMEOUT_MS = 800
+_CONNECT_TIMEOUT_MS = 1000
 # A link may also be acknowledged on the way and yet deliver nothing. Asking
 # this often and waiting this long for a word finds it within 2.25 s;
 # the wait covers two lost packets (0.2 s and 0.4 s till they are sent again).
-_ASK_MS = 1500
-_WORD_MS = 750
+_HEARTBEAT_INTERVAL_MS = 1500
+_HEARTBEAT_TIMEOUT_MS = 750
 # The listening side holds a descriptor for each link that it was not told the
 # end of. They are few between two losses, so it need not ask often.
-_HELD_ASK_MS = 5000
+_LISTENER_HEARTBEAT_INTERVAL_MS = 5000
 # A handshake takes two ways there and back; one that falls silent would keep
 # the link down for ZeroMQ's 30 s.
-_HANDSHAKE_MS = 1000
+_HANDSHAKE_TIMEOUT_MS = 1000
 
 
 class PeerSocket:
@@ -44,17 +44,19 @@
         address: Where a bound socket listens; empty for others.
     """
 
-    def __init__(self, inner: zmq.Socket[bytes], address: str = "") -> None:
+    def __init__(
+        self, raw_socket: zmq.Socket[bytes], address: str = ""
+    ) -> None:
         self.address = address
-        self._inner = inner
+        self._raw_socket = raw_socket
         # A duplicate, so that trio's registration never meets libzmq's own.
-        self._waiter = os.dup(inner.getsockopt(zmq.FD))
-        self._wait: trio.CancelScope | None = None
+        self._event_fd = os.dup(raw_socket.getsockopt(zmq.FD))
+        self._receive_scope: trio.CancelScope | None = None
 
     def send(self, frames: list[bytes]) -> bool:
         """Queue a message; False if the peer's queue is full or it is gone."""
         try:
-            self._inner.send_multipart(frames, zmq.NOBLOCK)
+            self._raw_socket.send_multipart(frames, zmq.NOBLOCK)
         except zmq.ZMQError:
             return False
         finally:
@@ -64,45 +66,45 @@
     async def receive(self) -> list[bytes]:
         """Return the next message."""
         while not self._has_message():
-            with trio.CancelScope() as self._wait:
-                await trio.lowlevel.wait_readable(self._waiter)
+            with trio.CancelScope() as self._receive_scope:
+                await trio.lowlevel.wait_readable(self._event_fd)
         await trio.lowlevel.checkpoint()
-        return self._inner.recv_multipart(zmq.NOBLOCK)
+        return self._raw_socket.recv_multipart(zmq.NOBLOCK)
 
     def close(self) -> None:
         """Close without waiting for queued messages."""
-        trio.lowlevel.notify_closing(self._waiter)
-        os.close(self._waiter)
-        self._inner.close(_NO_LINGER)
+        trio.lowlevel.notify_closing(self._event_fd)
+        os.close(self._event_fd)
+        self._raw_socket.close(_LINGER_MS)
 
     def _has_message(self) -> bool:
-        return bool(self._inner.getsockopt(zmq.EVENTS) & zmq.POLLIN)
+        return bool(self._raw_socket.getsockopt(zmq.EVENTS) & zmq.POLLIN)
 
     def _wake_receiver(self) -> None:
         # A send may swallow the edge that announced an incoming message.
-        if self._wait is not None and self._has_message():
-            self._wait.cancel()
+        if self._receive_scope is not None and self._has_message():
+            self._receive_scope.cancel()
 
 
 def bind_router(
     context: zmq.Context[zmq.Socket[bytes]], address: str
 ) -> PeerSocket:
     """Return a socket that takes messages from any number of peers."""
-    inner = context.socket(zmq.ROUTER)
-    inner.setsockopt(zmq.RCVHWM, _QUEUE_LENGTH)
-    inner.setsockopt(zmq.SNDHWM, _QUEUE_LENGTH)
-    _bound_silence(inner, _HELD_ASK_MS)
+    raw_socket = context.socket(zmq.ROUTER)
+    raw_socket.setsockopt(zmq.RCVHWM, _QUEUE_MESSAGES)
+    raw_socket.setsockopt(zmq.SNDHWM, _QUEUE_MESSAGES)
+    _set_timeouts(raw_socket, _LISTENER_HEARTBEAT_INTERVAL_MS)
     host, port = address.rsplit(":", 1)
-    inner.bind(f"tcp://{host}:{'*' if port == '0' else port}")
-    endpoint = inner.getsockopt(zmq.LAST_ENDPOINT).decode().rstrip("\x00")
-    return PeerSocket(inner, endpoint.removeprefix("tcp://"))
+    raw_socket.bind(f"tcp://{host}:{'*' if port == '0' else port}")
+    endpoint = raw_socket.getsockopt(zmq.LAST_ENDPOINT).decode().rstrip("\x00")
+    return PeerSocket(raw_socket, endpoint.removeprefix("tcp://"))
 
 
 def connect_dealer(
     context: zmq.Context[zmq.Socket[bytes]],
     address: str,
     *,
-    queue_length: int = _QUEUE_LENGTH,
+    queue_length: int = _QUEUE_MESSAGES,
     waits_for_peer: bool = True,
 ) -> PeerSocket:
     """Return a socket that talks to one peer and reconnects by itself.
@@ -117,24 +119,26 @@
     Raises:
         zmq.ZMQError: The address is none, or no socket is free.
     """
-    inner = context.socket(zmq.DEALER)
-    inner.setsockopt(zmq.SNDHWM, queue_length)
-    inner.setsockopt(zmq.IMMEDIATE, 0 if waits_for_peer else 1)
-    _bound_silence(inner, _ASK_MS)
-    inner.setsockopt(zmq.CONNECT_TIMEOUT, _CONNECT_MS)
-    inner.setsockopt(zmq.RECONNECT_IVL, _RECONNECT_MS)
-    inner.setsockopt(zmq.RECONNECT_IVL_MAX, _RECONNECT_MAX_MS)
+    raw_socket = context.socket(zmq.DEALER)
+    raw_socket.setsockopt(zmq.SNDHWM, queue_length)
+    raw_socket.setsockopt(zmq.IMMEDIATE, 0 if waits_for_peer else 1)
+    _set_timeouts(raw_socket, _HEARTBEAT_INTERVAL_MS)
+    raw_socket.setsockopt(zmq.CONNECT_TIMEOUT, _CONNECT_TIMEOUT_MS)
+    raw_socket.setsockopt(zmq.RECONNECT_IVL, _RECONNECT_MIN_MS)
+    raw_socket.setsockopt(zmq.RECONNECT_IVL_MAX, _RECONNECT_MAX_MS)
     try:
-        inner.connect(f"tcp://{address}")
+        raw_socket.connect(f"tcp://{address}")
     except zmq.ZMQError:
-        inner.close(_NO_LINGER)
+        raw_socket.close(_LINGER_MS)
         raise
-    return PeerSocket(inner)
+    return PeerSocket(raw_socket)
 
 
-def _bound_silence(inner: zmq.Socket[bytes], ask_ms: int) -> None:
+def _set_timeouts(
+    raw_socket: zmq.Socket[bytes], heartbeat_interval_ms: int
+) -> None:
     """Have connections given up that are not heard or not acknowledged."""
-    inner.setsockopt(zmq.TCP_MAXRT, _UNACKNOWLEDGED_MS)
-    inner.setsockopt(zmq.HEARTBEAT_IVL, ask_ms)
-    inner.setsockopt(zmq.HEARTBEAT_TIMEOUT, _WORD_MS)
-    inner.setsockopt(zmq.HANDSHAKE_IVL, _HANDSHAKE_MS)
+    raw_socket.setsockopt(zmq.TCP_MAXRT, _UNACKNOWLEDGED_TIMEOUT_MS)
+    raw_socket.setsockopt(zmq.HEARTBEAT_IVL, heartbeat_interval_ms)
+    raw_socket.setsockopt(zmq.HEARTBEAT_TIMEOUT, _HEARTBEAT_TIMEOUT_MS)
+    raw_socket.setsockopt(zmq.HANDSHAKE_IVL, _HANDSHAKE_TIMEOUT_MS)
--- a/packages/core/src/martenquay_core/platform/cloud.py
+++ b/packages/core/src/martenquay_core/platform/cloud.py
@@ -103,9 +103,9 @@
             case Result(tag="ok", ok=http.Answer(status=409 | 503)):
                 effect = outcome.Effect.NOT_DONE
                 return Error(outcome.PlatformFailure(effect, "refused"))
-            case Result(tag="ok", ok=whole):
+            case Result(tag="ok", ok=other):
                 effect = outcome.Effect.UNKNOWN
-                message = f"status {whole.status}"
+                message = f"status {other.status}"
                 return Error(outcome.PlatformFailure(effect, message))
             case _:
                 return Error(outcome.describe_call_failure(answer.error))
--- a/packages/core/src/martenquay_core/platform/instances.py
+++ b/packages/core/src/martenquay_core/platform/instances.py
@@ -97,8 +97,8 @@
     def __init__(self, client: http.HttpClient, url: str) -> None:
         self._client = client
         self._url = url.rstrip("/")
-        self._tag = b""
-        self._latest: list[Instance] = []
+        self._etag = b""
+        self._cached: list[Instance] = []
 
     async def list_instances(
         self,
@@ -108,7 +108,7 @@
         The list is large and seldom changes, so it is sent again only when
         its entity tag has changed.
         """
-        headers = [(b"if-none-match", self._tag)] if self._tag else []
+        headers = [(b"if-none-match", self._etag)] if self._etag else []
         answer = await self._client.call(
             "GET",
             f"{self._url}/instances",
@@ -116,11 +116,11 @@
             timeout_s=_TIMEOUT_S,
         )
         if answer.is_ok() and answer.ok.status == _NOT_MODIFIED:
-            return Ok(self._latest)
+            return Ok(self._cached)
         listed = http.decode_json(answer, list[Instance])
         if listed.is_ok():
-            self._tag = dict(answer.ok.headers).get(b"etag", b"")
-            self._latest = listed.ok
+            self._etag = dict(answer.ok.headers).get(b"etag", b"")
+            self._cached = listed.ok
         return listed.map_error(outcome.describe_call_failure)
 
     async def read_notices(
--- a/packages/core/src/martenquay_core/platform/log.py
+++ b/packages/core/src/martenquay_core/platform/log.py
@@ -14,7 +14,7 @@
 
 __all__ = ["LogClient", "LogPage", "LogRecord", "create_client"]
 
-_UNAVAILABLE = 503
+_SERVICE_UNAVAILABLE = 503
 _OK = 200
 _DEFAULT_TIMEOUT_S = 3.0
 
@@ -79,8 +79,8 @@
         match answer:
             case Result(tag="ok", ok=http.Answer(status=200, body=body)):
                 return Ok(msgspec.msgpack.decode(body, type=_Appended).offset)
-            case Result(tag="ok", ok=whole):
-                return Error(_refuse(whole))
+            case Result(tag="ok", ok=other):
+                return Error(_describe_refusal(other))
             case _:
                 return Error(outcome.describe_call_failure(answer.error))
 
@@ -103,8 +103,8 @@
         match answer:
             case Result(tag="ok", ok=http.Answer(status=200, body=body)):
                 return Ok(msgspec.msgpack.decode(body, type=LogPage))
-            case Result(tag="ok", ok=whole):
-                return Error(_refuse(whole))
+            case Result(tag="ok", ok=other):
+                return Error(_describe_refusal(other))
             case _:
                 return Error(outcome.describe_call_failure(answer.error))
 
@@ -114,9 +114,9 @@
     return LogClient(client, url)
 
 
-def _refuse(answer: http.Answer) -> outcome.PlatformFailure:
+def _describe_refusal(answer: http.Answer) -> outcome.PlatformFailure:
     # Only the service's own refusal says that nothing was done; an error of
     # something on the way may hide an append that took effect.
-    known = answer.status == _UNAVAILABLE
-    effect = outcome.Effect.NOT_DONE if known else outcome.Effect.UNKNOWN
+    is_refused = answer.status == _SERVICE_UNAVAILABLE
+    effect = outcome.Effect.NOT_DONE if is_refused else outcome.Effect.UNKNOWN
     return outcome.PlatformFailure(effect, f"status {answer.status}")
--- a/packages/core/src/martenquay_core/runners/engine.py
+++ b/packages/core/src/martenquay_core/runners/engine.py
@@ -131,20 +131,20 @@
         )
 
     async def _post(
-        self, address: str, call: str, content: Any
+        self, address: str, path: str, content: Any
     ) -> Result[http.Answer, http.CallFailure]:
         return await self._client.call(
             "POST",
-            f"http://{address}/v1/{call}",
+            f"http://{address}/v1/{path}",
             body=msgspec.json.encode(content),
             timeout_s=_TIMEOUT_S,
         )
 
     async def _get(
-        self, address: str, call: str, wait_s: float = 0.0
+        self, address: str, path: str, wait_s: float = 0.0
     ) -> Result[http.Answer, http.CallFailure]:
         return await self._client.call(
             "GET",
-            f"http://{address}/v1/{call}",
+            f"http://{address}/v1/{path}",
             timeout_s=_TIMEOUT_S + wait_s,
         )
--- a/packages/core/src/martenquay_core/settings/reader.py
+++ b/packages/core/src/martenquay_core/settings/reader.py
@@ -59,8 +59,9 @@
         return Error([SettingsProblem(code, path, error.lineno, "", message)])
     if issubclass(model, msgspec.Struct):
         return structs.check_struct(content, model).map_error(
-            lambda found: [
-                _describe(path, text, one.place, one.message) for one in found
+            lambda problems: [
+                _describe(path, text, problem.key_path, problem.message)
+                for problem in problems
             ]
         )
     return _check_model(path, text, content, model)
@@ -68,9 +69,11 @@
 
 def describe_problem(problem: SettingsProblem) -> str:
     """Return one line for a person."""
-    place = f"{problem.file}:{problem.line}" if problem.line else problem.file
+    location = (
+        f"{problem.file}:{problem.line}" if problem.line else problem.file
+    )
     key = f" {problem.key}:" if problem.key else ""
-    return f"{place}:{key} {problem.message} ({problem.code.value})"
+    return f"{location}:{key} {problem.message} ({problem.code.value})"
 
 
 def _check_model(
@@ -82,42 +85,42 @@
     try:
         return Ok(model.model_validate(content))
     except pydantic.ValidationError as error:
-        return Error([_locate(path, text, part) for part in error.errors()])
+        return Error([_locate(path, text, detail) for detail in error.errors()])
 
 
-def _locate(path: str, text: str, part: Any) -> SettingsProblem:
-    message = part["msg"]
-    if part["type"] != "missing" and not isinstance(part["input"], dict):
-        message += f"; found {part['input']!r}"
-    return _describe(path, text, part["loc"], message)
+def _locate(path: str, text: str, detail: Any) -> SettingsProblem:
+    message = detail["msg"]
+    if detail["type"] != "missing" and not isinstance(detail["input"], dict):
+        message += f"; found {detail['input']!r}"
+    return _describe(path, text, detail["loc"], message)
 
 
 def _describe(
-    path: str, text: str, place: tuple[int | str, ...], message: str
+    path: str, text: str, key_path: tuple[int | str, ...], message: str
 ) -> SettingsProblem:
     return SettingsProblem(
         results.ResultCode.SETTINGS_INVALID,
         path,
-        _find_line(text, place),
-        ".".join(str(word) for word in place),
+        _find_line(text, key_path),
+        ".".join(str(key) for key in key_path),
         message,
     )
 
 
-def _find_line(text: str, place: tuple[int | str, ...]) -> int:
+def _find_line(text: str, key_path: tuple[int | str, ...]) -> int:
     """Return the line of a key by following its path through the text.
 
     The JSON library keeps no positions. Keys are looked for in their order,
     so a key that a comment repeats can lead to a line nearby.
     """
     position = 0
-    for word in place:
-        if isinstance(word, int):
-            for _ in range(word + 1):
+    for key in key_path:
+        if isinstance(key, int):
+            for _ in range(key + 1):
                 found = text.find("{", position + 1)
                 position = found if found >= 0 else position
             continue
-        found = re.search(rf'"{re.escape(word)}"\s*:', text[position:])
+        found = re.search(rf'"{re.escape(key)}"\s*:', text[position:])
         if found:
             position += found.start()
-    return text.count("\n", 0, position) + 1 if place else 0
+    return text.count("\n", 0, position) + 1 if key_path else 0
--- a/packages/core/src/martenquay_core/settings/structs.py
+++ b/packages/core/src/martenquay_core/settings/structs.py
@@ -13,7 +13,7 @@
 
 __all__ = ["StructProblem", "check_struct"]
 
-Wanted = TypeVar("Wanted", bound=msgspec.Struct)
+StructType = TypeVar("StructType", bound=msgspec.Struct)
 
 
 @dataclasses.dataclass(frozen=True)
@@ -21,61 +21,65 @@
     """One thing that is wrong.
 
     Attributes:
-        place: The keys that lead there.
+        key_path: The keys that lead there.
         message: What is wrong and what is allowed.
     """
 
-    place: tuple[str, ...]
+    key_path: tuple[str, ...]
     message: str
 
 
 def check_struct(
-    content: Any, wanted: type[Wanted]
-) -> Result[Wanted, list[StructProblem]]:
+    content: Any, expected_type: type[StructType]
+) -> Result[StructType, list[StructProblem]]:
     """Return the struct, or all problems together.
 
     msgspec stops at the first problem, so each field is looked at by itself
     once there is one.
     """
     try:
-        return Ok(msgspec.convert(content, wanted))
+        return Ok(msgspec.convert(content, expected_type))
     except msgspec.ValidationError as error:
-        found = list(_list_problems(content, wanted, ()))
-        return Error(found or [StructProblem((), str(error))])
+        problems = list(_list_problems(content, expected_type, ()))
+        return Error(problems or [StructProblem((), str(error))])
 
 
 def _list_problems(
-    content: Any, wanted: type[msgspec.Struct], place: tuple[str, ...]
+    content: Any, expected_type: type[msgspec.Struct], key_path: tuple[str, ...]
 ) -> Iterator[StructProblem]:
     if not isinstance(content, dict):
-        yield StructProblem(place, f"Expected an object; found {content!r}")
+        yield StructProblem(key_path, f"Expected an object; found {content!r}")
         return
-    fields = {field.name: field for field in msgspec.structs.fields(wanted)}
-    hints = get_type_hints(wanted, include_extras=True)
+    fields = {
+        field.name: field for field in msgspec.structs.fields(expected_type)
+    }
+    hints = get_type_hints(expected_type, include_extras=True)
     for name in content:
         if name not in fields:
             allowed = ", ".join(fields)
             message = f"There is no such setting; there are {allowed}"
-            yield StructProblem((*place, name), message)
+            yield StructProblem((*key_path, name), message)
     for name, field in fields.items():
-        inner = (*place, name)
+        field_path = (*key_path, name)
         if name not in content:
             if field.required:
-                yield StructProblem(inner, "Field required")
+                yield StructProblem(field_path, "Field required")
         elif _is_struct(hints[name]) and content[name] is not None:
-            yield from _list_problems(content[name], hints[name], inner)
+            yield from _list_problems(content[name], hints[name], field_path)
         else:
-            yield from _check_value(content[name], hints[name], inner)
+            yield from _check_value(content[name], hints[name], field_path)
 
 
 def _check_value(
-    value: Any, wanted: Any, place: tuple[str, ...]
+    value: Any, expected_type: Any, key_path: tuple[str, ...]
 ) -> Iterator[StructProblem]:
     try:
-        msgspec.convert(value, wanted)
+        msgspec.convert(value, expected_type)
     except msgspec.ValidationError as error:
-        yield StructProblem(place, f"{error}; found {value!r}")
+        yield StructProblem(key_path, f"{error}; found {value!r}")
 
 
-def _is_struct(wanted: Any) -> bool:
-    return isinstance(wanted, type) and issubclass(wanted, msgspec.Struct)
+def _is_struct(expected_type: Any) -> bool:
+    return isinstance(expected_type, type) and issubclass(
+        expected_type, msgspec.Struct
+    )
--- a/packages/core/src/martenquay_core/util/held_signals.py
+++ b/packages/core/src/martenquay_core/util/held_signals.py
@@ -41,22 +41,22 @@
     def __init__(self) -> None:
         # In pairs, for a handler has to be short.
         self._numbers: list[int] = []
-        self._came_at: list[float] = []
+        self._received_at: list[float] = []
 
     def take(self) -> list[HeldSignal]:
         """Return those that wait and forget them."""
         numbers, self._numbers = self._numbers, []
-        came_at, self._came_at = self._came_at, []
+        received_at, self._received_at = self._received_at, []
         now = boot_time.read_boot_time()
         return [
             HeldSignal(number, now - at)
-            for number, at in zip(numbers, came_at, strict=True)
+            for number, at in zip(numbers, received_at, strict=True)
         ]
 
     def hold(self, number: int, frame: FrameType | None) -> None:
         """Keep one; a handler as the signal module wants it."""
         del frame
-        self._came_at.append(boot_time.read_boot_time())
+        self._received_at.append(boot_time.read_boot_time())
         self._numbers.append(number)
 
 
--- a/packages/core/src/martenquay_core/util/http.py
+++ b/packages/core/src/martenquay_core/util/http.py
@@ -38,10 +38,10 @@
 )
 # For connections on which nothing is under way or a call waits long, both
 # silent by nature: gone after 3 s. Calls have limits of their own.
-_SILENCE = keepalive.KeepAlive(idle_s=1, asks=2)
+_KEEPALIVE = keepalive.KeepAlive(idle_s=1, asks=2)
 _DEFAULT_TIMEOUT_S = 10.0
 _MAX_CONNECTIONS = 1000
-_KEEPALIVE_S = 4.0
+_IDLE_EXPIRY_S = 4.0
 
 Content = TypeVar("Content")
 Headers = list[tuple[bytes, bytes]]
@@ -98,14 +98,14 @@
             httpcore.NetworkError: The connection broke.
             httpcore.ProtocolError: The body ended early.
         """
-        rest = b""
+        incomplete = b""
         async for piece in self._response.aiter_stream():
-            *lines, rest = (rest + piece).split(b"\n")
+            *lines, incomplete = (incomplete + piece).split(b"\n")
             for line in lines:
                 if line:
                     yield line
-        if rest:
-            yield rest
+        if incomplete:
+            yield incomplete
 
 
 class HttpClient:
@@ -114,8 +114,8 @@
     After a call without an answer, later ones get new connections.
     """
 
-    def __init__(self, keeper: pools.PoolManager) -> None:
-        self._keeper = keeper
+    def __init__(self, pool_manager: pools.PoolManager) -> None:
+        self._pools = pool_manager
 
     async def call(
         self,
@@ -137,7 +137,7 @@
             timeout_s: The time for all of it.
             may_be_cut: `cut_silent` may end it; for what may be repeated.
         """
-        async with self._keeper.use() as generation:
+        async with self._pools.use() as generation:
             try:
                 with generation.limit(timeout_s, may_be_cut=may_be_cut):
                     response = await generation.pool.request(
@@ -145,7 +145,7 @@
                         url,
                         headers=headers or [],
                         content=body,
-                        extensions=_limit_connect(timeout_s),
+                        extensions=_create_timeouts(timeout_s),
                     )
                     names = _lower_names(response.headers)
                     return Ok(Answer(response.status, names, response.content))
@@ -157,7 +157,7 @@
                 httpcore.TimeoutException,
             ) as error:
                 return Error(CallFailure(sent=True, message=_describe(error)))
-            self._keeper.replace(generation)
+            self._pools.replace(generation)
         message = f"no answer in {timeout_s:.3f} s or before it was cut"
         return Error(CallFailure(sent=True, message=message, is_silent=True))
 
@@ -166,7 +166,7 @@
 
         For when a new connection has shown that the other side is well.
         """
-        self._keeper.cut_older()
+        self._pools.cut_older()
 
     @contextlib.asynccontextmanager
     async def stream(
@@ -188,7 +188,7 @@
         """
         limits = {"connect": connect_timeout_s, "read": read_timeout_s}
         async with (
-            self._keeper.use() as generation,
+            self._pools.use() as generation,
             generation.pool.stream(
                 method,
                 url,
@@ -201,7 +201,7 @@
 
 
 def decode_json(
-    answer: Result[Answer, CallFailure], wanted: type[Content]
+    answer: Result[Answer, CallFailure], content_type: type[Content]
 ) -> Result[Content, CallFailure]:
     """Return the typed content of a good answer.
 
@@ -210,9 +210,9 @@
     """
     match answer:
         case Result(tag="ok", ok=Answer(status=200, body=body)):
-            return _decode_body(body, wanted)
-        case Result(tag="ok", ok=whole):
-            message = f"status {whole.status}"
+            return _decode_body(body, content_type)
+        case Result(tag="ok", ok=other):
+            message = f"status {other.status}"
             return Error(CallFailure(sent=True, message=message))
         case _:
             return Error(answer.error)
@@ -231,7 +231,7 @@
         resets: Close connections by resetting them, so that a call that was
             given up is never delivered later.
     """
-    options = [*_SOCKET_OPTIONS, *keepalive.list_options(_SILENCE)]
+    options = [*_SOCKET_OPTIONS, *keepalive.list_options(_KEEPALIVE)]
     if resets:
         options.append(_RESET_ON_CLOSE)
 
@@ -239,29 +239,29 @@
         return httpcore.AsyncConnectionPool(
             max_connections=_MAX_CONNECTIONS,
             max_keepalive_connections=_MAX_CONNECTIONS if reuse else 0,
-            keepalive_expiry=_KEEPALIVE_S,
+            keepalive_expiry=_IDLE_EXPIRY_S,
             socket_options=options,
         )
 
-    keeper = pools.PoolManager(create_pool)
+    pool_manager = pools.PoolManager(create_pool)
     try:
-        yield HttpClient(keeper)
+        yield HttpClient(pool_manager)
     finally:
-        await keeper.close()
+        await pool_manager.close()
 
 
 def _decode_body(
-    body: bytes, wanted: type[Content]
+    body: bytes, content_type: type[Content]
 ) -> Result[Content, CallFailure]:
     try:
-        return Ok(msgspec.json.decode(body, type=wanted))
+        return Ok(msgspec.json.decode(body, type=content_type))
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
         # What another program answers must not end this one.
         message = f"malformed answer: {_describe(error)}"
         return Error(CallFailure(sent=True, message=message))
 
 
-def _limit_connect(timeout_s: float) -> dict[str, dict[str, float]]:
+def _create_timeouts(timeout_s: float) -> dict[str, dict[str, float]]:
     return {"timeout": {"connect": min(timeout_s, 2.0)}}
 
 
--- a/packages/core/src/martenquay_core/util/keepalive.py
+++ b/packages/core/src/martenquay_core/util/keepalive.py
@@ -11,7 +11,7 @@
 
 __all__ = ["KeepAlive", "enable_keepalive", "list_options"]
 
-_MS = 1000
+_MS_PER_S = 1000
 
 
 @dataclasses.dataclass(frozen=True)
@@ -40,19 +40,19 @@
         return self.idle_s + self.asks - 0.5
 
 
-def list_options(bound: KeepAlive) -> list[tuple[int, int, int]]:
+def list_options(limits: KeepAlive) -> list[tuple[int, int, int]]:
     """Return the options of a socket."""
-    wait_ms = int(bound.unacknowledged_s * _MS)
+    wait_ms = int(limits.unacknowledged_s * _MS_PER_S)
     return [
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, bound.idle_s),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, limits.idle_s),
         (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, bound.asks),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, limits.asks),
         (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, wait_ms),
     ]
 
 
-def enable_keepalive(sock: trio.socket.SocketType, bound: KeepAlive) -> None:
+def enable_keepalive(sock: trio.socket.SocketType, limits: KeepAlive) -> None:
     """Set the options on a socket."""
-    for level, option, value in list_options(bound):
+    for level, option, value in list_options(limits):
         sock.setsockopt(level, option, value)
--- a/packages/core/src/martenquay_core/util/line_writer.py
+++ b/packages/core/src/martenquay_core/util/line_writer.py
@@ -4,8 +4,8 @@
 queue full, or their kind's rate used up, are left out and counted; the count
 is written with the next line that gets through.
 
-Kinds that are named as few are bounded in number only: how a process ended
-must not be left out because the second before was a busy one.
+Kinds without a limit are bounded in number only: how a process ended must not
+be left out because the second before was a busy one.
 """
 
 from __future__ import annotations
@@ -28,8 +28,8 @@
 # this is several times that, and 100 KB/s at most a kind.
 _LINES_PER_S = 250
 # About one MB of lines waits for a slow reader.
-_MAX_WAITING = 4000
-_KIND = "message_type"
+_QUEUE_LINES = 4000
+_KIND_FIELD = "message_type"
 _END = b""
 
 
@@ -40,41 +40,42 @@
         self,
         descriptor: int,
         read_clock: Callable[[], float] = time.monotonic,
-        few: Collection[str] = (),
+        unlimited_kinds: Collection[str] = (),
     ) -> None:
         """Write nothing yet.
 
         Args:
             descriptor: Where lines go.
             read_clock: Returns seconds.
-            few: Kinds that are not bounded in rate. Nothing that others can
+            unlimited_kinds: Kinds that are not bounded in rate. Nothing that
+                others can
                 repeat at will, as signals or requests, may write them.
         """
         self._descriptor = descriptor
         self._read_clock = read_clock
-        self._few = frozenset(few)
-        self._waiting: queue.Queue[bytes] = queue.Queue(_MAX_WAITING)
+        self._unlimited_kinds = frozenset(unlimited_kinds)
+        self._queue: queue.Queue[bytes] = queue.Queue(_QUEUE_LINES)
         self._thread = threading.Thread(
             target=self._write_lines, name="log", daemon=True
         )
         self._second = 0
         self._counts: dict[str, int] = {}
-        self._left_out: dict[str, int] = {}
+        self._dropped: dict[str, int] = {}
 
     def write(self, message: dict[str, Any]) -> None:
         """Queue one line; never waits."""
-        kind = str(message.get(_KIND, ""))
-        if not self._is_allowed(kind):
-            self._left_out[kind] = self._left_out.get(kind, 0) + 1
+        kind = str(message.get(_KIND_FIELD, ""))
+        if not self._is_within_rate(kind):
+            self._dropped[kind] = self._dropped.get(kind, 0) + 1
             return
-        left_out = self._left_out.pop(kind, 0)
+        left_out = self._dropped.pop(kind, 0)
         if left_out:
             message = {**message, "left_out": left_out}
         line = msgspec.json.encode(message, enc_hook=str) + b"\n"
         try:
-            self._waiting.put_nowait(line)
+            self._queue.put_nowait(line)
         except queue.Full:
-            self._left_out[kind] = left_out + 1
+            self._dropped[kind] = left_out + 1
 
     def start(self) -> None:
         """Start the thread."""
@@ -83,12 +84,12 @@
     def close(self, timeout_s: float) -> None:
         """Give the lines that wait so long to be written."""
         with contextlib.suppress(queue.Full):
-            self._waiting.put_nowait(_END)
+            self._queue.put_nowait(_END)
         self._thread.join(timeout_s)
 
     def _write_lines(self) -> None:
         while True:
-            line = self._waiting.get()
+            line = self._queue.get()
             if line is _END:
                 return
             try:
@@ -97,8 +98,8 @@
                 # Nobody can be told: this is where lines go.
                 return
 
-    def _is_allowed(self, kind: str) -> bool:
-        if kind in self._few:
+    def _is_within_rate(self, kind: str) -> bool:
+        if kind in self._unlimited_kinds:
             return True
         second = int(self._read_clock())
         if second != self._second:
@@ -109,9 +110,11 @@
         return count < _LINES_PER_S
 
 
-def create_writer(descriptor: int, few: Collection[str] = ()) -> LineWriter:
+def create_writer(
+    descriptor: int, unlimited_kinds: Collection[str] = ()
+) -> LineWriter:
     """Return a writer whose thread runs as long as the process."""
-    writer = LineWriter(descriptor, few=few)
+    writer = LineWriter(descriptor, unlimited_kinds=unlimited_kinds)
     writer.start()
     return writer
 
--- a/packages/core/src/martenquay_core/util/pools.py
+++ b/packages/core/src/martenquay_core/util/pools.py
@@ -31,7 +31,7 @@
     def __init__(self, pool: httpcore.AsyncConnectionPool) -> None:
         self.pool = pool
         self.users = 0
-        self._waiting: set[trio.CancelScope] = set()
+        self._cancellable: set[trio.CancelScope] = set()
 
     @contextlib.contextmanager
     def limit(
@@ -40,15 +40,15 @@
         """Limit a call's time; `cut` may end it earlier."""
         with trio.move_on_after(timeout_s) as scope:
             if may_be_cut:
-                self._waiting.add(scope)
+                self._cancellable.add(scope)
             try:
                 yield scope
             finally:
-                self._waiting.discard(scope)
+                self._cancellable.discard(scope)
 
     def cut(self) -> None:
         """End the calls that may be cut."""
-        for scope in list(self._waiting):
+        for scope in list(self._cancellable):
             scope.cancel()
 
 
--- a/packages/core/src/martenquay_core/util/signals.py
+++ b/packages/core/src/martenquay_core/util/signals.py
@@ -41,22 +41,22 @@
         self,
         held: held_signals.HeldSignals,
         reload: Callable[[], None],
-        insist: Callable[[], None] | None = None,
+        force_stop: Callable[[], None] | None = None,
     ) -> None:
         """Handle nothing yet.
 
         Args:
             held: Signals that came before.
             reload: Called at each SIGHUP.
-            insist: Called at each SIGINT after the stop was asked for, since
-                a person at the terminal wants the end now.
+            force_stop: Called at each SIGINT after the stop was asked for,
+                since a person at the terminal wants the end now.
         """
         self.stop = trio.Event()
         self.stopped_at = math.inf
         self.stage = Stage.STARTING
         self._held = held
         self._reload = reload
-        self._insist = insist
+        self._force_stop = force_stop
 
     async def run(
         self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
@@ -64,12 +64,12 @@
         """Handle signals until cancelled, which is to be at the very end."""
         with trio.open_signal_receiver(*held_signals.HANDLED) as received:
             for held in self._held.take():
-                self._obey(held.number, held.age_s)
+                self._handle(held.number, held.age_s)
             task_status.started()
             async for number in received:
-                self._obey(signal.Signals(number))
+                self._handle(signal.Signals(number))
 
-    def _obey(self, number: signal.Signals, age_s: float = 0.0) -> None:
+    def _handle(self, number: signal.Signals, age_s: float = 0.0) -> None:
         # A stop or reload that nobody here asked for is told from one that
         # was by this line alone.
         _LOG.write(
@@ -81,8 +81,8 @@
             # The kill is due a grace time after the signal, not after this.
             self.stopped_at = trio.current_time() - age_s
             self.stop.set()
-        elif number is signal.SIGINT and self._insist is not None:
-            self._insist()
+        elif number is signal.SIGINT and self._force_stop is not None:
+            self._force_stop()
 
 
 def ignore_signals() -> None:
--- a/tests/test_core/test_line_writer.py
+++ b/tests/test_core/test_line_writer.py
@@ -24,7 +24,7 @@
         self.addCleanup(os.close, self.reading)
         self.second = 0.0
         self.writer = line_writer.LineWriter(
-            self.writing, lambda: self.second, few=["few"]
+            self.writing, lambda: self.second, unlimited_kinds=["few"]
         )
 
     def _finish(self) -> list[dict[str, object]]:
