--- a/packages/core/src/martenquay_core/__init__.py
+++ b/packages/core/src/martenquay_core/__init__.py
@@ -1,1 +1,1 @@
-"""Hold what the daemon, the operators' client and the stand-ins share."""
+"""Code shared by the daemon, the operators' client and the stand-ins."""
--- a/packages/core/src/martenquay_core/config/__init__.py
+++ b/packages/core/src/martenquay_core/config/__init__.py
@@ -1,1 +1,1 @@
-"""Hold the configuration model and the fold of the log into it."""
+"""Configuration objects, signed change records, replay and snapshots."""
--- a/packages/core/src/martenquay_core/config/fold.py
+++ b/packages/core/src/martenquay_core/config/fold.py
@@ -1,7 +1,7 @@
-"""Fold change records, in the log's order, into the configuration in force.
+"""Apply change records in log order to the configuration in force.
 
-Every daemon folds the same records and reaches the same verdict on each, so
-the order of the log settles every race and no daemon has to be asked.
+The result depends on the records alone, so all daemons reach the same verdict
+on each record. Of concurrent changes the first in the log wins.
 """
 
 from __future__ import annotations
@@ -31,12 +31,12 @@
     "digest_partner",
 ]
 
-# Two days of the 1,100 changes a day that are expected.
+# Per partner; a change repeated with an id older than these is judged anew.
 REMEMBERED_CHANGES = 2048
 
 
 class Verdict(enum.StrEnum):
-    """What the fold decided on a record."""
+    """Verdict on a change."""
 
     ACCEPTED = "accepted"
     CONFLICT = "conflict"
@@ -45,12 +45,12 @@
 
 
 class Judgement(msgspec.Struct, frozen=True, array_like=True):
-    """The decision on one change.
+    """Verdict on one change, with its reason.
 
     Attributes:
-        verdict: The decision.
-        offset: Where the change stands in the log.
-        reason: Why, when it was not accepted.
+        verdict: Verdict.
+        offset: Offset of the change in the log.
+        reason: Reason if the change was not accepted.
     """
 
     verdict: Verdict
@@ -59,12 +59,12 @@
 
 
 class StoredObject(msgspec.Struct, frozen=True, array_like=True):
-    """An object in force.
+    """An object in force, as stored.
 
     Attributes:
-        version: The offset of the change that made it what it is.
-        operator: Who asked for that change.
-        fields: Its fields as they were asked for.
+        version: Offset of the last change to the object.
+        operator: Operator who made that change.
+        fields: Fields as given in that change, without defaults.
     """
 
     version: int
@@ -74,13 +74,13 @@
 
 @dataclasses.dataclass
 class PartnerState:
-    """What one partner has in force.
+    """Configuration of one partner.
 
     Attributes:
-        partner: The owner.
-        applied: The highest offset folded in; it only grows.
-        stored: The objects by kind and name.
-        judged: The latest decisions by change id, oldest first.
+        partner: Name of the partner.
+        applied: Highest offset applied; only grows.
+        stored: Objects by kind and name.
+        judged: Latest verdicts by change id, oldest first.
     """
 
     partner: str
@@ -93,33 +93,33 @@
     )
 
     def version_of(self, key: objects.ObjectKey) -> int:
-        """Return the object's version, 0 if there is none."""
+        """Return the version of an object, 0 if it does not exist."""
         stored = self.stored.get((key.kind, key.name))
         return stored.version if stored else 0
 
 
 @dataclasses.dataclass
 class ConfigState:
-    """The configuration in force of all partners.
+    """Configuration in force of all partners.
 
     Attributes:
-        partners: One state a partner.
+        partners: State of each partner by name.
     """
 
     partners: dict[str, PartnerState]
 
     @property
     def applied(self) -> int:
-        """Return the offset up to which all partners' states are folded."""
+        """Return the offset up to which all partners' states are applied."""
         return min(state.applied for state in self.partners.values())
 
     def find(self, key: objects.ObjectKey) -> StoredObject | None:
-        """Return the object as it is stored, or None."""
+        """Return an object as it is stored, or None."""
         state = self.partners.get(key.partner)
         return state.stored.get((key.kind, key.name)) if state else None
 
     def get(self, key: objects.ObjectKey) -> objects.ConfigObject | None:
-        """Return the object, typed, or None."""
+        """Return an object as its typed class, or None."""
         stored = self.find(key)
         if stored is None:
             return None
@@ -128,7 +128,7 @@
     def iterate(
         self, kind: objects.Kind
     ) -> Iterator[tuple[objects.ObjectKey, StoredObject]]:
-        """Yield the objects of a kind with their keys."""
+        """Yield all objects of a kind with their keys."""
         for partner, state in self.partners.items():
             for (stored_kind, name), stored in state.stored.items():
                 if stored_kind == kind:
@@ -143,13 +143,14 @@
 def apply_record(
     state: ConfigState, offset: int, raw: bytes, verifier: records.Verifier
 ) -> Judgement | None:
-    """Fold one record in and return the decision on it.
+    """Apply one record to the state.
 
-    Offsets count from 1. A record at or below what a partner's state has
-    folded changes nothing there, so an older state never comes back.
+    Offsets count from 1. A record at or below a partner's applied offset does
+    not change that partner's state, so replaying records is safe.
 
     Returns:
-        The decision, or None for a record that no partner signed.
+        The verdict; None for a record that was applied already or has no
+        valid signature.
     """
     change = records.decode_change(raw, verifier)
     owner = state.partners.get(change.partner) if change else None
@@ -162,7 +163,7 @@
 
 
 def digest_partner(state: PartnerState) -> str:
-    """Return a digest by which two daemons compare what they folded."""
+    """Return a digest to compare a partner's state between daemons."""
     content = (
         sorted(
             (kind, name, _as_list(stored))
--- a/packages/core/src/martenquay_core/config/objects.py
+++ b/packages/core/src/martenquay_core/config/objects.py
@@ -1,4 +1,4 @@
-"""Define the objects that operators configure, checked at the border."""
+"""Types of the objects that operators configure, and their validation."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 NAME_PATTERN = r"^[a-z0-9][a-z0-9-]{0,62}$"
 
-# pydantic reads this from a plain data class; unknown fields are refused.
+# pydantic reads `__pydantic_config__` from a plain data class.
 _STRICT = pydantic.ConfigDict(extra="forbid")
 
 Name = Annotated[str, pydantic.Field(pattern=NAME_PATTERN)]
@@ -40,7 +40,7 @@
 
 
 class Kind(enum.StrEnum):
-    """The kinds of object."""
+    """Kinds of configuration objects."""
 
     TEAM = "team"
     POOL = "pool"
@@ -51,7 +51,7 @@
 
 
 class Urgency(enum.StrEnum):
-    """How long a request may wait."""
+    """Priority class of a request."""
 
     URGENT = "urgent"
     INTERACTIVE = "interactive"
@@ -59,12 +59,12 @@
 
     @property
     def rank(self) -> int:
-        """Return 0 for the most urgent, growing from there."""
+        """Return the priority; 0 is the most urgent."""
         return list(Urgency).index(self)
 
 
 class PoolKind(enum.StrEnum):
-    """What the runners of a pool are."""
+    """Kind of the runners in a pool."""
 
     MODEL = "model"
     SERVICE = "service"
@@ -72,12 +72,12 @@
 
 @dataclasses.dataclass(frozen=True, order=True)
 class ObjectKey:
-    """Name an object.
+    """Unique key of a configuration object.
 
     Attributes:
-        partner: Its owner.
-        kind: Its kind.
-        name: Its name, unique within partner and kind.
+        partner: Partner that owns the object.
+        kind: Kind of the object.
+        name: Name, unique within partner and kind.
     """
 
     partner: str
@@ -85,7 +85,7 @@
     name: str
 
     def __str__(self) -> str:
-        """Return the form that operators write."""
+        """Return the key as operators write it."""
         return f"{self.kind} {self.partner}/{self.name}"
 
 
@@ -94,10 +94,10 @@
     """A team of callers.
 
     Attributes:
-        credential: Digest of its key.
-        weight: Its share when the partner's teams compete.
-        concurrency: The most requests it may have running.
-        token_rate: The most tokens a second it may have generated.
+        credential: Digest of the team's API key.
+        weight: Weight in fair queueing among the partner's teams.
+        concurrency: Maximum requests in progress.
+        token_rate: Rate limit in generated tokens a second.
     """
 
     __pydantic_config__ = _STRICT
@@ -110,12 +110,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Pool:
-    """A set of runners that serve the same thing.
+    """A set of interchangeable runners.
 
     Attributes:
         kind: Model engines or a plain service.
-        checks_orders: The runners themselves refuse a repeated key and an
-            order with an old fencing token.
+        checks_orders: The runners themselves refuse a repeated idempotency
+            key and a request with an outdated fencing token.
     """
 
     __pydantic_config__ = _STRICT
@@ -126,13 +126,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Route:
-    """What callers name to be served.
+    """A name that callers send requests to.
 
     Attributes:
-        pool: The pool of the same partner that serves it.
-        urgency: How long its requests may wait.
-        repeatable: A call may be sent again when its answer is lost.
-        deadline_s: Seconds that a request may take in all.
+        pool: Pool of the same partner that serves the requests.
+        urgency: Priority class of the requests.
+        repeatable: A request may be retried after its answer was lost.
+        deadline_s: Seconds that a request may take in total.
     """
 
     __pydantic_config__ = _STRICT
@@ -145,12 +145,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Rule:
-    """An urgency that one team has on one route.
+    """Override of a route's priority class for one team.
 
     Attributes:
-        route: The route.
-        team: The team.
-        urgency: What holds instead of the route's.
+        route: Name of the route.
+        team: Name of the team.
+        urgency: Priority class that replaces the route's.
     """
 
     __pydantic_config__ = _STRICT
@@ -162,12 +162,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Limit:
-    """A bound on a pool's use at each daemon.
+    """Concurrency and queue limits of a pool at each daemon.
 
     Attributes:
-        pool: The pool.
-        concurrency: The most requests running there from one daemon.
-        queue: The most requests waiting for it at one daemon.
+        pool: Name of the pool.
+        concurrency: Maximum requests in progress from one daemon.
+        queue: Maximum requests queued at one daemon.
     """
 
     __pydantic_config__ = _STRICT
@@ -182,10 +182,10 @@
     """Capacity that the owner lends to the other partner.
 
     Attributes:
-        pool: The owner's pool.
-        to: The partner who may use it.
-        fraction: The part of the pool's runners that may be used.
-        serves: The borrower's pool whose requests may come here.
+        pool: Pool of the owner.
+        to: Partner that may use the pool.
+        serves: Pool of that partner whose requests the lent runners serve.
+        fraction: Fraction of the pool's runners that may be used.
     """
 
     __pydantic_config__ = _STRICT
@@ -215,7 +215,7 @@
 def check_object(
     kind: Kind, fields: dict[str, Any]
 ) -> Result[ConfigObject, str]:
-    """Build the object of a kind from its fields, or say what is wrong."""
+    """Validate fields; return the object, or a description of all errors."""
     try:
         return Ok(_ADAPTERS[kind].validate_python(fields))
     except pydantic.ValidationError as error:
@@ -225,7 +225,7 @@
 
 
 def list_fields(kind: Kind) -> list[str]:
-    """Return the names of the fields that a kind has."""
+    """Return the field names of a kind."""
     return [field.name for field in dataclasses.fields(_TYPES[kind])]
 
 
--- a/packages/core/src/martenquay_core/config/records.py
+++ b/packages/core/src/martenquay_core/config/records.py
@@ -1,4 +1,4 @@
-"""Write and read change records, signed by the partner who owns the object."""
+"""Encode and decode change records, signed by the operator's partner."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
 
 
 class Change(msgspec.Struct, frozen=True, array_like=True):
-    """One change that an operator asked for.
+    """One change that an operator requested.
 
     Attributes:
-        partner: Whose operator asks.
-        operator: Who asks.
-        change_id: Names the change; the same id sent again changes nothing.
-        key_partner: The owner of the object.
-        kind: The object's kind.
-        name: The object's name.
-        base_version: The version that the operator saw; 0 for none.
-        fields: The whole new object, or None to drop it.
+        partner: Partner of the operator.
+        operator: Name of the operator.
+        change_id: Idempotency key; a repeated id changes nothing.
+        key_partner: Partner that owns the object.
+        kind: Kind of the object.
+        name: Name of the object.
+        base_version: Version that the change is based on; 0 for a new object.
+        fields: All fields of the new version; None to delete the object.
     """
 
     partner: str
@@ -49,17 +49,17 @@
 
     @property
     def key(self) -> objects.ObjectKey:
-        """Return the object's key."""
+        """Return the key of the object."""
         return objects.ObjectKey(self.key_partner, self.kind, self.name)
 
 
 class SignedPayload(msgspec.Struct, frozen=True, array_like=True):
-    """Bytes and who vouches for them.
+    """Signed bytes.
 
     Attributes:
-        partner: Whose key signed.
-        signature: Ed25519 over the body.
-        body: The encoded content.
+        partner: Partner whose key made the signature.
+        signature: Ed25519 signature of the body.
+        body: Encoded content.
     """
 
     partner: str
@@ -69,34 +69,34 @@
 
 @dataclasses.dataclass(frozen=True)
 class Signer:
-    """Sign for one partner.
+    """Signs with one partner's key.
 
     Attributes:
-        partner: Whose key it is.
-        key: The private key.
+        partner: Name of the partner.
+        key: Private key of the partner.
     """
 
     partner: str
     key: ed25519.Ed25519PrivateKey
 
     def sign(self, body: bytes) -> bytes:
-        """Return the body, encoded with its signature."""
+        """Return the body encoded as a `SignedPayload`."""
         payload = SignedPayload(self.partner, self.key.sign(body), body)
         return msgspec.msgpack.encode(payload)
 
 
 @dataclasses.dataclass(frozen=True)
 class Verifier:
-    """Check who signed.
+    """Verifies partners' signatures.
 
     Attributes:
-        keys: The partners' public keys.
+        keys: Public keys by partner.
     """
 
     keys: dict[str, ed25519.Ed25519PublicKey]
 
     def open(self, raw: bytes) -> SignedPayload | None:
-        """Return the payload if its partner really signed it."""
+        """Return the payload, or None if it is malformed or forged."""
         try:
             payload = msgspec.msgpack.decode(raw, type=SignedPayload)
             self.keys[payload.partner].verify(payload.signature, payload.body)
@@ -110,13 +110,13 @@
 
 
 def create_signer(partner: str, private_key_hex: str) -> Signer:
-    """Return a signer for a private key of 32 bytes in hexadecimal."""
+    """Create a signer from a 32-byte private key in hexadecimal."""
     raw = bytes.fromhex(private_key_hex)
     return Signer(partner, ed25519.Ed25519PrivateKey.from_private_bytes(raw))
 
 
 def create_verifier(public_keys_hex: dict[str, str]) -> Verifier:
-    """Return a verifier for the partners' public keys in hexadecimal."""
+    """Create a verifier from the partners' public keys in hexadecimal."""
     keys = {
         partner: ed25519.Ed25519PublicKey.from_public_bytes(bytes.fromhex(key))
         for partner, key in public_keys_hex.items()
@@ -125,21 +125,21 @@
 
 
 def generate_key() -> tuple[str, str]:
-    """Return a new private key and its public key, both in hexadecimal."""
+    """Generate a key pair; return private and public key in hexadecimal."""
     key = ed25519.Ed25519PrivateKey.generate()
     public = key.public_key().public_bytes_raw()
     return key.private_bytes_raw().hex(), public.hex()
 
 
 def encode_change(change: Change, signer: Signer) -> bytes:
-    """Return the bytes of a change as they go to the log."""
+    """Sign and encode a change for the log."""
     return signer.sign(msgspec.msgpack.encode(change))
 
 
 def decode_change(raw: bytes, verifier: Verifier) -> Change | None:
-    """Return the change, or None if it is malformed or its signature false.
+    """Decode a change; None if it is malformed or its signature invalid.
 
-    A change whose partner is not the signer counts as false too.
+    A change in another partner's name than the signer's is invalid too.
     """
     payload = verifier.open(raw)
     if payload is None:
--- a/packages/core/src/martenquay_core/config/snapshot.py
+++ b/packages/core/src/martenquay_core/config/snapshot.py
@@ -1,4 +1,4 @@
-"""Cut a partner's state into signed chunks and put chunks together again."""
+"""Encode a partner's configuration as signed chunks and reassemble them."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 
 class Chunk(msgspec.Struct, frozen=True, array_like=True):
-    """A piece of a snapshot.
+    """One chunk of a snapshot.
 
     Attributes:
-        partner: Whose state it is.
-        applied: The offset up to which the state was folded.
-        index: The piece's place, from 0.
-        count: How many pieces there are.
-        digest: SHA-256 of the whole, in hexadecimal.
-        piece: The bytes.
+        partner: Partner whose state it is.
+        applied: Highest offset applied to the state.
+        index: Index of the chunk, from 0.
+        count: Number of chunks.
+        digest: SHA-256 of the complete snapshot, in hexadecimal.
+        piece: Content of the chunk.
     """
 
     partner: str
@@ -44,7 +44,7 @@
 def encode_snapshot(
     state: fold.PartnerState, signer: records.Signer
 ) -> list[bytes]:
-    """Return the chunks of a state, each signed, ready for the log."""
+    """Return the signed chunks of a state, ready to append to the log."""
     image = msgspec.msgpack.encode(
         _Image(
             state.applied,
@@ -73,11 +73,12 @@
 
 @dataclasses.dataclass
 class SnapshotBuffer:
-    """Gather chunks until a snapshot is whole.
+    """Collects chunks until a snapshot is complete.
 
     Attributes:
-        verifier: Checks who signed a chunk.
-        best: The whole snapshot with the highest offset, by partner.
+        verifier: Verifies the chunks' signatures.
+        best: State of the complete snapshot with the highest offset, by
+            partner.
     """
 
     verifier: records.Verifier
@@ -88,9 +89,9 @@
     _whole: dict[str, list[bytes]] = dataclasses.field(default_factory=dict)
 
     def add(self, raw: bytes) -> None:
-        """Take in one chunk; a false one is ignored.
+        """Add a chunk; ignore it if it is malformed or wrongly signed.
 
-        A chunk counts only if the partner whose state it holds signed it.
+        A chunk must be signed by the partner whose state it holds.
         """
         payload = self.verifier.open(raw)
         if payload is None:
@@ -103,7 +104,7 @@
             self._add_chunk(chunk, raw)
 
     def whole_chunks(self) -> dict[str, list[bytes]]:
-        """Return the signed chunks of the best snapshots, by partner."""
+        """Return the signed chunks of the snapshots in `best`, by partner."""
         return dict(self._whole)
 
     def _add_chunk(self, chunk: Chunk, raw: bytes) -> None:
@@ -124,7 +125,7 @@
 
 
 def restore_partner(partner: str, image: bytes) -> fold.PartnerState:
-    """Return the state that an image holds."""
+    """Decode a complete snapshot image."""
     decoded = msgspec.msgpack.decode(image, type=_Image)
     return fold.PartnerState(
         partner,
--- a/packages/core/src/martenquay_core/language/__init__.py
+++ b/packages/core/src/martenquay_core/language/__init__.py
@@ -1,1 +1,1 @@
-"""Read the operators' query and command language."""
+"""Parser of the operators' query and command language."""
--- a/packages/core/src/martenquay_core/language/parser.py
+++ b/packages/core/src/martenquay_core/language/parser.py
@@ -1,4 +1,4 @@
-"""Parse one statement and point at the word that is wrong."""
+"""Parse a statement of the operators' language, with error positions."""
 
 from __future__ import annotations
 
@@ -34,10 +34,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class SyntaxFailure:
-    """Say where a statement goes wrong.
+    """Syntax error in a statement.
 
     Attributes:
-        column: The place of the wrong word, from 1.
+        column: Column of the invalid word, from 1.
         message: What is wrong and what is allowed.
     """
 
@@ -45,7 +45,7 @@
     message: str
 
     def point_at(self, text: str) -> str:
-        """Return the statement with a mark below the wrong word."""
+        """Return the statement with a caret below the invalid word."""
         return f"{text}\n{' ' * (self.column - 1)}^ {self.message}"
 
 
@@ -56,7 +56,10 @@
 
 
 class _Builder(lark.Transformer):
-    """Turn the parse tree into typed statements."""
+    """Transforms the parse tree into statements.
+
+    lark calls the method that has the name of a grammar rule.
+    """
 
     def show(self, parts: list[Any]) -> statements.Show:
         noun, name, conditions = parts
@@ -125,7 +128,7 @@
 def parse_statement(
     text: str,
 ) -> Result[statements.Statement, SyntaxFailure]:
-    """Return the statement that the text holds, or where it goes wrong."""
+    """Parse a statement; return it, or the first syntax error."""
     try:
         return Ok(_Builder().transform(_PARSER.parse(text)))
     except lark.exceptions.VisitError as error:
--- a/packages/core/src/martenquay_core/language/statements.py
+++ b/packages/core/src/martenquay_core/language/statements.py
@@ -1,4 +1,4 @@
-"""Define the statements of the operators' language, typed."""
+"""Syntax tree types of the operators' language."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Qualified:
-    """A name, with its partner when one was written.
+    """A name, optionally qualified with a partner.
 
     Attributes:
-        partner: The partner, or None for the operator's own.
-        name: The name.
+        partner: Name of the partner; None for the operator's own.
+        name: Name of the object.
     """
 
     partner: str | None
@@ -38,11 +38,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Condition:
-    """Keep rows whose field has this value.
+    """Filter for rows in which a field has a value.
 
     Attributes:
-        field: The field's name.
-        value: The value it has to have.
+        field: Name of the field.
+        value: Value to compare with.
     """
 
     field: str
@@ -51,11 +51,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Assignment:
-    """Give a field a value.
+    """Assignment of a value to a field.
 
     Attributes:
-        field: The field's name.
-        value: Its new value.
+        field: Name of the field.
+        value: New value.
     """
 
     field: str
@@ -64,12 +64,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Show:
-    """List things of one kind.
+    """Query that lists rows of one kind.
 
     Attributes:
-        noun: What to list.
-        name: Only the one of this name.
-        conditions: Only rows that meet all of these.
+        noun: Kind of rows, such as `runners`.
+        name: List only the row of this name; None for all.
+        conditions: Filters that a row must match, all of them.
     """
 
     noun: str
@@ -79,10 +79,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Why:
-    """Ask for the decisions on one request.
+    """Query for the decisions made on one request.
 
     Attributes:
-        request_id: The request.
+        request_id: Id of the request.
     """
 
     request_id: str
@@ -90,12 +90,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Create:
-    """Make a new object.
+    """Command that creates an object.
 
     Attributes:
-        kind: Its kind.
-        name: Its name.
-        assignments: Its fields.
+        kind: Kind of the object.
+        name: Name of the object.
+        assignments: Values of its fields.
     """
 
     kind: str
@@ -105,13 +105,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Set:
-    """Change fields of an object.
+    """Command that changes fields of an object.
 
     Attributes:
-        kind: Its kind.
-        name: Its name.
-        assignments: The fields to change.
-        version: The version it has to be at, if the operator says so.
+        kind: Kind of the object.
+        name: Name of the object.
+        assignments: New values of the fields to change.
+        version: Required current version; None for any.
     """
 
     kind: str
@@ -122,12 +122,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Drop:
-    """Remove an object.
+    """Command that deletes an object.
 
     Attributes:
-        kind: Its kind.
-        name: Its name.
-        version: The version it has to be at, if the operator says so.
+        kind: Kind of the object.
+        name: Name of the object.
+        version: Required current version; None for any.
     """
 
     kind: str
--- a/packages/core/src/martenquay_core/logs.py
+++ b/packages/core/src/martenquay_core/logs.py
@@ -1,7 +1,7 @@
-"""Write structured log lines: a fixed prefix for each part, a short sentence.
+"""Structured logging with eliot, one JSON object for each line.
 
-eliot writes one JSON object a line. `message_type` holds the prefix, `text`
-the sentence, and further fields what a program may want to search for.
+`message_type` is the fixed prefix of the part that logs, `text` a sentence for
+people, and further fields are values to search for.
 """
 
 from __future__ import annotations
@@ -17,27 +17,27 @@
 
 
 class PartLog:
-    """Log for one part of the system.
+    """Logger of one part of the system.
 
     Attributes:
-        prefix: The part's fixed prefix.
+        prefix: Fixed prefix of the part's lines.
     """
 
     def __init__(self, prefix: str) -> None:
         self.prefix = prefix
 
     def write(self, text: str, **fields: Any) -> None:
-        """Log a sentence with its fields."""
+        """Log a sentence with further fields."""
         eliot.log_message(message_type=self.prefix, text=text, **fields)
 
 
 def create_log(prefix: str) -> PartLog:
-    """Return the log of the part with this prefix."""
+    """Create the logger of the part with this prefix."""
     return PartLog(prefix)
 
 
 def start_logging(source: str, stream: TextIO | None = None) -> None:
-    """Send all log lines to a stream, each with the name of its source."""
+    """Write all log lines to a stream, each with the `source` field."""
     eliot.add_global_fields(source=source)
     eliot.to_file(stream or sys.stderr)
 
@@ -45,15 +45,15 @@
 def start_bounded_logging(
     source: str, descriptor: int, *unlimited: PartLog
 ) -> line_writer.LineWriter:
-    """Send all log lines to a descriptor without ever waiting for it.
+    """Write all log lines to a descriptor from a thread, never blocking.
 
     Args:
-        source: Stands in each line.
-        descriptor: For instance that of standard output.
-        *unlimited: Parts whose lines are few and not bounded in rate.
+        source: Value of each line's `source` field.
+        descriptor: File descriptor, such as that of standard output.
+        *unlimited: Loggers whose lines are never dropped for their rate.
 
     Returns:
-        The writer, to be closed at the end.
+        The writer, which the caller must close at the end.
     """
     eliot.add_global_fields(source=source)
     writer = line_writer.create_writer(
--- a/packages/core/src/martenquay_core/peers/__init__.py
+++ b/packages/core/src/martenquay_core/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Define what daemons say to each other and the sockets they use for it."""
+"""Messages between daemons and the ZeroMQ sockets that carry them."""
--- a/packages/core/src/martenquay_core/peers/messages.py
+++ b/packages/core/src/martenquay_core/peers/messages.py
@@ -1,4 +1,4 @@
-"""Define the messages between daemons; msgpack with a tag each."""
+"""Messages between daemons, encoded as tagged msgpack arrays."""
 
 from __future__ import annotations
 
@@ -35,7 +35,10 @@
 
 
 class MemberState(enum.IntEnum):
-    """What is known of a daemon; of two reports the higher one holds."""
+    """State of a daemon in the membership.
+
+    Of two reports with equal incarnations the higher state wins.
+    """
 
     ALIVE = 0
     LEAVING = 1
@@ -46,15 +49,15 @@
 class MemberUpdate(
     msgspec.Struct, frozen=True, array_like=True, tag="m", kw_only=True
 ):
-    """What is known of one daemon.
+    """Gossiped membership entry of one daemon.
 
     Attributes:
-        member: The daemon's id; a restarted process has a new one.
-        partner: Its partner.
-        zone: Its availability zone.
-        address: Where its peer link listens.
-        incarnation: Raised by the daemon itself to refute a false report.
-        state: Its state.
+        member: Id of the daemon; a restarted process has a new one.
+        partner: Partner that runs the daemon.
+        zone: Availability zone.
+        address: Address that its socket for other daemons listens on.
+        incarnation: Number that the daemon raises to refute a false report.
+        state: State of the daemon.
     """
 
     member: str
@@ -66,10 +69,10 @@
 
 
 class RunnerLeaving(msgspec.Struct, frozen=True, array_like=True, tag="r"):
-    """A runner that is being reclaimed or stopped; this is never taken back.
+    """Gossip that a runner is being reclaimed or stopped; never withdrawn.
 
     Attributes:
-        runner: The runner's name.
+        runner: Name of the runner.
     """
 
     runner: str
@@ -79,14 +82,14 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True, tag="hb"):
-    """Say that the sender is alive and what changed since the last one.
+    """Heartbeat with membership updates for the receiver.
 
     Attributes:
-        member: The sender.
-        applied: The offset of the configuration in force there.
-        updates: What the receiver may not know yet.
-        is_new: The sender does not know the receiver yet, so the reply
-            should tell what the receiver knows.
+        member: Id of the sender.
+        applied: Offset of the configuration in force at the sender.
+        updates: Updates that the receiver may not have yet.
+        is_new: The sender has just joined the receiver, so the reply must
+            hold all that the receiver knows.
     """
 
     member: str
@@ -96,13 +99,13 @@
 
 
 class HeartbeatReply(msgspec.Struct, frozen=True, array_like=True, tag="hbr"):
-    """Answer a heartbeat.
+    """Reply to a heartbeat.
 
     Attributes:
-        member: Who answers.
-        applied: The offset of the configuration in force there.
-        updates: What the asker has to refute about itself, or all that is
-            known here if the asker is new.
+        member: Id of the daemon that replies.
+        applied: Offset of the configuration in force there.
+        updates: Reports that the sender must refute about itself, or all
+            known updates if the sender is new.
     """
 
     member: str
@@ -111,22 +114,22 @@
 
 
 class FetchConfig(msgspec.Struct, frozen=True, array_like=True, tag="fc"):
-    """Ask a peer for configuration when the log cannot be read.
+    """Request configuration from a peer while the log cannot be read.
 
     Attributes:
-        from_offset: The first offset that the asker lacks.
+        from_offset: First offset that the requesting daemon lacks.
     """
 
     from_offset: int
 
 
 class ConfigReply(msgspec.Struct, frozen=True, array_like=True, tag="fcr"):
-    """What a peer has of the configuration.
+    """Reply to `FetchConfig`.
 
     Attributes:
-        chunks: Signed snapshots; empty if the records suffice.
-        records: Offsets and raw records, in order, without a gap.
-        applied: The offset in force at the peer.
+        chunks: Signed snapshot chunks; empty if the records suffice.
+        records: Offsets and raw records, in order and without gaps.
+        applied: Offset of the configuration in force at the peer.
     """
 
     chunks: list[bytes]
@@ -135,11 +138,11 @@
 
 
 class WaitApplied(msgspec.Struct, frozen=True, array_like=True, tag="wa"):
-    """Ask to be told when an offset of the configuration is in force.
+    """Wait until a configuration offset is in force at the peer.
 
     Attributes:
-        offset: The offset.
-        wait_s: How long the asker waits.
+        offset: Offset to wait for.
+        wait_s: Maximum wait in seconds.
     """
 
     offset: int
@@ -147,10 +150,10 @@
 
 
 class AppliedReply(msgspec.Struct, frozen=True, array_like=True, tag="war"):
-    """What is in force.
+    """Reply to `WaitApplied`.
 
     Attributes:
-        applied: The offset in force when the wait ended.
+        applied: Offset in force when the wait ended.
     """
 
     applied: int
@@ -159,14 +162,15 @@
 class SettleClaim(
     msgspec.Struct, frozen=True, array_like=True, tag="sc", kw_only=True
 ):
-    """Ask a follower of a claim stream to put a claim into it.
+    """Request that a follower of a claim stream appends a claim to it.
 
     Attributes:
-        shard: The stream's number.
-        key: The caller's key with its team and route.
-        attempt: Names this claim.
-        holder: Who will make the call.
-        request_digest: Tells a repeat from another request of the same key.
+        shard: Number of the claim stream.
+        key: Idempotency key, with team and route.
+        attempt: Unique id of this claim.
+        holder: Daemon that will send the request to a runner.
+        request_digest: Digest that distinguishes a repeated request from
+            another one with the same key.
     """
 
     shard: int
@@ -177,7 +181,7 @@
 
 
 class Settlement(enum.IntEnum):
-    """How a claim was settled by the log's order."""
+    """Outcome of a claim, decided by the order of the log."""
 
     WON = 0
     HELD = 1
@@ -190,14 +194,14 @@
 class SettleReply(
     msgspec.Struct, frozen=True, array_like=True, tag="scr", kw_only=True
 ):
-    """How the claim was settled.
+    """Reply to `SettleClaim` and `WaitOutcome`.
 
     Attributes:
-        settlement: The decision.
-        holder: Who has the claim, if it is held.
-        status: The kept answer's HTTP status; 0 if the outcome is unknown.
-        content_type: The kept answer's content type.
-        body: The kept answer's body.
+        settlement: Outcome of the claim.
+        holder: Daemon that holds the key, if another one does.
+        status: HTTP status of the stored answer; 0 if the outcome is unknown.
+        content_type: Content type of the stored answer.
+        body: Body of the stored answer.
     """
 
     settlement: Settlement
@@ -210,14 +214,15 @@
 class WaitOutcome(
     msgspec.Struct, frozen=True, array_like=True, tag="wo", kw_only=True
 ):
-    """Ask to be told when the held claim on a key has its outcome.
+    """Wait for the outcome of another daemon's claim on a key.
 
     Attributes:
-        shard: The stream's number.
-        key: The caller's key with its team and route.
-        attempt: The asker's own claim.
-        request_digest: Tells a repeat from another request of the same key.
-        wait_s: How long the asker waits.
+        shard: Number of the claim stream.
+        key: Idempotency key, with team and route.
+        attempt: Id of the requesting daemon's own claim.
+        request_digest: Digest that distinguishes a repeated request from
+            another one with the same key.
+        wait_s: Maximum wait in seconds.
     """
 
     shard: int
@@ -228,11 +233,11 @@
 
 
 class ReportOutcome(msgspec.Struct, frozen=True, array_like=True, tag="ro"):
-    """Hand over a record on a claim to be put into its stream.
+    """Request that a follower appends a claim record to its stream.
 
     Attributes:
-        shard: The stream's number.
-        record: The encoded claim record.
+        shard: Number of the claim stream.
+        record: Encoded claim record.
     """
 
     shard: int
@@ -240,21 +245,21 @@
 
 
 class FetchAnswer(msgspec.Struct, frozen=True, array_like=True, tag="fa"):
-    """Ask a follower of a work stream for the answer to a ticket.
+    """Request the result of a deferrable request from a follower.
 
     Attributes:
-        ticket: The ticket.
+        ticket: Ticket of the deferrable request.
     """
 
     ticket: str
 
 
 class AnswerReply(msgspec.Struct, frozen=True, array_like=True, tag="far"):
-    """What is known of a ticket.
+    """Reply to `FetchAnswer`.
 
     Attributes:
-        known: The ticket was accepted.
-        answer: The answer's bytes, None while there is none.
+        known: The stream holds the ticket.
+        answer: Encoded answer; None until there is one.
     """
 
     known: bool
@@ -262,11 +267,11 @@
 
 
 class FetchRows(msgspec.Struct, frozen=True, array_like=True, tag="fr"):
-    """Ask for a daemon's own rows of a query.
+    """Request a daemon's own rows for an operator's query.
 
     Attributes:
-        noun: What to list.
-        argument: A request id, or empty.
+        noun: Kind of rows to list, as in the operators' language.
+        argument: Request id, or empty.
     """
 
     noun: str
@@ -274,24 +279,24 @@
 
 
 class RowsReply(msgspec.Struct, frozen=True, array_like=True, tag="frr"):
-    """The rows asked for, as JSON.
+    """Reply to `FetchRows`.
 
     Attributes:
-        rows: A JSON array of objects.
+        rows: JSON array of objects.
     """
 
     rows: bytes
 
 
 class Acknowledged(msgspec.Struct, frozen=True, array_like=True, tag="ok"):
-    """Done."""
+    """Reply that the request was carried out."""
 
 
 class Unavailable(msgspec.Struct, frozen=True, array_like=True, tag="na"):
-    """Cannot do that here.
+    """Reply that the peer cannot carry out the request.
 
     Attributes:
-        reason: Why.
+        reason: Reason, for logs and error messages.
     """
 
     reason: str
@@ -321,14 +326,14 @@
 
 
 def encode_message(message: Message) -> bytes:
-    """Return the message's bytes."""
+    """Encode a message as msgpack."""
     return _ENCODER.encode(message)
 
 
 def decode_message(raw: bytes) -> Message:
-    """Return the message.
+    """Decode a message.
 
     Raises:
-        msgspec.MsgspecError: The bytes hold none.
+        msgspec.MsgspecError: The bytes are not a valid message.
     """
     return _DECODER.decode(raw)
--- a/packages/core/src/martenquay_core/peers/sockets.py
+++ b/packages/core/src/martenquay_core/peers/sockets.py
@@ -1,8 +1,8 @@
-"""Use ZeroMQ sockets under trio.
+"""ZeroMQ sockets for trio.
 
-pyzmq has no trio support. A socket's descriptor is edge-triggered: it tells
-only that something may have changed, so the events are read again after each
-send and each receive, and before each wait.
+pyzmq has no trio support. A socket's descriptor is edge-triggered: it signals
+only that the state may have changed, so ZMQ_EVENTS is read after each send and
+before each wait.
 """
 
 from __future__ import annotations
@@ -18,30 +18,29 @@
 _QUEUE_MESSAGES = 10_000
 _RECONNECT_MIN_MS = 100
 _RECONNECT_MAX_MS = 1000
-# A peer without power, or behind a cut, says nothing: give up a connection
-# whose bytes are not acknowledged, and one that does not come up. The first
-# is past the second time that they are sent again (0.6 s), and short since a
-# daemon unheard for 1.2 s counts as silent.
+# Detects a peer that lost power or its network. Longer than two TCP
+# retransmissions (0.6 s), shorter than the 1.2 s without a message after which
+# a daemon counts as silent.
 _UNACKNOWLEDGED_TIMEOUT_MS = 800
 _CONNECT_TIMEOUT_MS = 1000
-# A link may also be acknowledged on the way and yet deliver nothing. Asking
-# this often and waiting this long for a word finds it within 2.25 s;
-# the wait covers two lost packets (0.2 s and 0.4 s till they are sent again).
+# ZeroMQ heartbeats detect a link that something on the path acknowledges but
+# does not deliver. The timeout covers two lost packets (retransmitted after
+# 0.2 s and 0.4 s).
 _HEARTBEAT_INTERVAL_MS = 1500
 _HEARTBEAT_TIMEOUT_MS = 750
-# The listening side holds a descriptor for each link that it was not told the
-# end of. They are few between two losses, so it need not ask often.
+# Frees the listening side's descriptors of links that ended without a FIN.
 _LISTENER_HEARTBEAT_INTERVAL_MS = 5000
-# A handshake takes two ways there and back; one that falls silent would keep
-# the link down for ZeroMQ's 30 s.
+# ZeroMQ's default of 30 s would keep the link down that long if the peer went
+# silent during the handshake.
 _HANDSHAKE_TIMEOUT_MS = 1000
 
 
 class PeerSocket:
-    """Send and receive multipart messages in one trio run.
+    """Sends and receives multipart messages under trio.
 
     Attributes:
-        address: Where a bound socket listens; empty for others.
+        address: Host and port that a bound socket listens on; empty for
+            others.
     """
 
     def __init__(
@@ -49,12 +48,12 @@
     ) -> None:
         self.address = address
         self._raw_socket = raw_socket
-        # A duplicate, so that trio's registration never meets libzmq's own.
+        # libzmq owns and polls the original; trio must register another.
         self._event_fd = os.dup(raw_socket.getsockopt(zmq.FD))
         self._receive_scope: trio.CancelScope | None = None
 
     def send(self, frames: list[bytes]) -> bool:
-        """Queue a message; False if the peer's queue is full or it is gone."""
+        """Queue a message; False if the queue is full or the peer gone."""
         try:
             self._raw_socket.send_multipart(frames, zmq.NOBLOCK)
         except zmq.ZMQError:
@@ -64,7 +63,7 @@
         return True
 
     async def receive(self) -> list[bytes]:
-        """Return the next message."""
+        """Wait for the next message and return its frames."""
         while not self._has_message():
             with trio.CancelScope() as self._receive_scope:
                 await trio.lowlevel.wait_readable(self._event_fd)
@@ -72,7 +71,7 @@
         return self._raw_socket.recv_multipart(zmq.NOBLOCK)
 
     def close(self) -> None:
-        """Close without waiting for queued messages."""
+        """Close the socket and drop queued messages."""
         trio.lowlevel.notify_closing(self._event_fd)
         os.close(self._event_fd)
         self._raw_socket.close(_LINGER_MS)
@@ -81,7 +80,8 @@
         return bool(self._raw_socket.getsockopt(zmq.EVENTS) & zmq.POLLIN)
 
     def _wake_receiver(self) -> None:
-        # A send may swallow the edge that announced an incoming message.
+        # A send may clear the descriptor's edge for an incoming message; the
+        # receiver would then wait for the next one.
         if self._receive_scope is not None and self._has_message():
             self._receive_scope.cancel()
 
@@ -89,7 +89,7 @@
 def bind_router(
     context: zmq.Context[zmq.Socket[bytes]], address: str
 ) -> PeerSocket:
-    """Return a socket that takes messages from any number of peers."""
+    """Return a bound ROUTER socket that receives from any number of peers."""
     raw_socket = context.socket(zmq.ROUTER)
     raw_socket.setsockopt(zmq.RCVHWM, _QUEUE_MESSAGES)
     raw_socket.setsockopt(zmq.SNDHWM, _QUEUE_MESSAGES)
@@ -107,17 +107,17 @@
     queue_length: int = _QUEUE_MESSAGES,
     waits_for_peer: bool = True,
 ) -> PeerSocket:
-    """Return a socket that talks to one peer and reconnects by itself.
+    """Return a DEALER socket that connects to one peer and reconnects.
 
     Args:
         context: The process's ZeroMQ context.
         address: Host and port of the peer.
-        queue_length: Messages that wait for the peer before more are refused.
-        waits_for_peer: Messages also wait while there is no connection;
-            without, they are refused then, so that none comes late.
+        queue_length: Maximum queued messages; further ones are refused.
+        waits_for_peer: Also queue messages while there is no connection.
+            Otherwise they are refused, so that none is delivered late.
 
     Raises:
-        zmq.ZMQError: The address is none, or no socket is free.
+        zmq.ZMQError: The address is invalid, or no socket is available.
     """
     raw_socket = context.socket(zmq.DEALER)
     raw_socket.setsockopt(zmq.SNDHWM, queue_length)
@@ -137,7 +137,7 @@
 def _set_timeouts(
     raw_socket: zmq.Socket[bytes], heartbeat_interval_ms: int
 ) -> None:
-    """Have connections given up that are not heard or not acknowledged."""
+    """Close connections whose peer is silent or acknowledges nothing."""
     raw_socket.setsockopt(zmq.TCP_MAXRT, _UNACKNOWLEDGED_TIMEOUT_MS)
     raw_socket.setsockopt(zmq.HEARTBEAT_IVL, heartbeat_interval_ms)
     raw_socket.setsockopt(zmq.HEARTBEAT_TIMEOUT, _HEARTBEAT_TIMEOUT_MS)
--- a/packages/core/src/martenquay_core/platform/__init__.py
+++ b/packages/core/src/martenquay_core/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Meet the platform: the log, the instance list and the cloud API."""
+"""Clients of the platform's log, instance list and cloud API."""
--- a/packages/core/src/martenquay_core/platform/cloud.py
+++ b/packages/core/src/martenquay_core/platform/cloud.py
@@ -1,7 +1,7 @@
-"""Start and stop instances through the platform's cloud API.
+"""Client of the cloud API that starts and stops instances.
 
-A start carries an id: sent again after a lost answer, it starts no second
-instance and gives the first one's name.
+Starting is idempotent: an order repeated with the same id starts no second
+instance and returns the name of the first.
 """
 
 from __future__ import annotations
@@ -27,21 +27,21 @@
 
 
 class MachineClass(enum.Enum):
-    """How an instance is paid for."""
+    """Price class of an instance."""
 
     RECLAIMABLE = "reclaimable"
     ON_DEMAND = "on-demand"
 
 
 class InstanceOrder(msgspec.Struct, frozen=True):
-    """Ask for an instance.
+    """Order for one instance.
 
     Attributes:
-        order_id: Names the order, so that it can be sent again.
-        partner: Who pays.
-        pool: The pool that it is for.
-        zone: The availability zone.
-        machine_class: How it is paid for.
+        order_id: Idempotency key of the order.
+        partner: Partner that pays for the instance.
+        pool: Pool that the instance joins.
+        zone: Availability zone.
+        machine_class: Price class.
     """
 
     order_id: str
@@ -55,19 +55,19 @@
     """An instance that is starting.
 
     Attributes:
-        name: Its name in the instance list.
+        name: Name of the instance in the instance list.
     """
 
     name: str
 
 
 class Price(msgspec.Struct, frozen=True):
-    """What an hour of an instance costs now.
+    """Current price of an instance hour.
 
     Attributes:
-        zone: The availability zone.
-        machine_class: The class.
-        price: The price, in any one unit.
+        zone: Availability zone.
+        machine_class: Price class.
+        price: Price, in one currency for all.
     """
 
     zone: str
@@ -76,7 +76,7 @@
 
 
 class CloudClient:
-    """Talk to the cloud API."""
+    """Calls the cloud API."""
 
     def __init__(self, client: http.HttpClient, url: str) -> None:
         self._client = client
@@ -87,8 +87,8 @@
     ) -> Result[Started, outcome.PlatformFailure]:
         """Order an instance.
 
-        A refusal is `Effect.NOT_DONE`; an answer that was lost is
-        `Effect.UNKNOWN`, and the same order may be sent again.
+        A refusal is `Effect.NOT_DONE`. A lost answer is `Effect.UNKNOWN`;
+        the same order may then be sent again.
         """
         answer = await self._client.call(
             "POST",
@@ -113,7 +113,7 @@
     async def stop_instance(
         self, name: str
     ) -> Result[bool, outcome.PlatformFailure]:
-        """Stop an instance; stopping one that is gone is no failure."""
+        """Stop an instance; succeeds if it has already stopped."""
         answer = await self._client.call(
             "DELETE", f"{self._url}/instances/{name}", timeout_s=_TIMEOUT_S
         )
@@ -123,7 +123,7 @@
     async def list_prices(
         self,
     ) -> Result[list[Price], outcome.PlatformFailure]:
-        """Return the prices of today by zone and class."""
+        """Return the current prices by zone and price class."""
         answer = await self._client.call(
             "GET", f"{self._url}/prices", timeout_s=_TIMEOUT_S
         )
--- a/packages/core/src/martenquay_core/platform/instances.py
+++ b/packages/core/src/martenquay_core/platform/instances.py
@@ -1,4 +1,4 @@
-"""Read the platform's lagging list of live and leaving instances."""
+"""Client of the instance list and its reclaim notices."""
 
 from __future__ import annotations
 
@@ -25,34 +25,34 @@
 
 
 class InstanceKind(enum.Enum):
-    """What an instance is for."""
+    """Role of an instance."""
 
     ENTRY = "entry"
     RUNNER = "runner"
 
 
 class InstanceState(enum.Enum):
-    """What the list says of an instance."""
+    """State of an instance in the list."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class Instance(msgspec.Struct, frozen=True):
-    """One instance of the list.
+    """One instance in the list.
 
     Attributes:
-        name: Unique, never used again.
-        kind: Entry instance or runner.
-        partner: The partner who pays for it.
-        zone: Its availability zone.
-        address: Host and port: of a runner's HTTP, or of an entry
-            instance's peer link.
+        name: Unique name, never reused.
+        kind: Entry instance (with a daemon) or runner.
+        partner: Partner that pays for the instance.
+        zone: Availability zone.
+        address: Host and port of a runner's HTTP server, or of a daemon's
+            socket for other daemons.
         state: Live or leaving.
-        pool: The runner's pool; empty for entry instances.
-        machine_class: Its price class.
-        price: What an hour costs, in any one unit.
-        slots: How many requests the runner works on at once.
+        pool: Pool of a runner; empty for entry instances.
+        machine_class: Price class.
+        price: Price of an hour, in one currency for all.
+        slots: Requests that a runner processes concurrently.
     """
 
     name: str
@@ -68,11 +68,11 @@
 
 
 class Notice(msgspec.Struct, frozen=True):
-    """An announcement that an instance is being reclaimed.
+    """Notice that the platform is reclaiming an instance.
 
     Attributes:
-        instance: The instance's name.
-        zone: Its availability zone.
+        instance: Name of the instance.
+        zone: Availability zone.
     """
 
     instance: str
@@ -80,11 +80,11 @@
 
 
 class NoticePage(msgspec.Struct, frozen=True):
-    """Notices after a position.
+    """Reclaim notices after a position.
 
     Attributes:
-        end: The position to go on from.
-        notices: The notices.
+        end: Position to continue reading from.
+        notices: Notices, oldest first.
     """
 
     end: int
@@ -92,7 +92,7 @@
 
 
 class InstanceClient:
-    """Talk to the instance list."""
+    """Reads the instance list and reclaim notices."""
 
     def __init__(self, client: http.HttpClient, url: str) -> None:
         self._client = client
@@ -103,10 +103,10 @@
     async def list_instances(
         self,
     ) -> Result[list[Instance], outcome.PlatformFailure]:
-        """Return the list as it stands at the platform, which lags.
+        """Return the platform's list, which lags behind the real instances.
 
-        The list is large and seldom changes, so it is sent again only when
-        its entity tag has changed.
+        The list is large and seldom changes, so a conditional request with
+        its ETag avoids another transfer of an unchanged list.
         """
         headers = [(b"if-none-match", self._etag)] if self._etag else []
         answer = await self._client.call(
@@ -126,7 +126,7 @@
     async def read_notices(
         self, position: int, wait_s: float
     ) -> Result[NoticePage, outcome.PlatformFailure]:
-        """Return reclaim notices after a position, waiting for one."""
+        """Return reclaim notices after a position; wait up to `wait_s`."""
         query = f"from={position}&wait_ms={int(wait_s * 1000)}"
         answer = await self._client.call(
             "GET",
--- a/packages/core/src/martenquay_core/platform/log.py
+++ b/packages/core/src/martenquay_core/platform/log.py
@@ -1,7 +1,7 @@
-"""Append to and read from the platform's log service.
+"""Client of the platform's log service.
 
-The wire is the log stand-in's: msgpack bodies over HTTP. Another log is met
-by another implementation of `LogClient`'s two calls.
+The protocol is that of the log stand-in: msgpack bodies over HTTP. Another log
+service needs another implementation of `LogClient.append` and `read`.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 
 
 class LogRecord(msgspec.Struct, frozen=True, array_like=True):
-    """One record.
+    """One record of a stream.
 
     Attributes:
-        offset: Its place in the stream; offsets only grow.
-        payload: Its bytes.
+        offset: Offset in the stream; offsets only grow.
+        payload: Content.
     """
 
     offset: int
@@ -32,11 +32,11 @@
 
 
 class LogPage(msgspec.Struct, frozen=True):
-    """A run of records.
+    """Consecutive records of a stream.
 
     Attributes:
-        start: The lowest offset that the log still keeps.
-        end: The offset that the next record will get.
+        start: Lowest offset that the log still retains.
+        end: Offset that the next appended record will get.
         records: Records in offset order.
     """
 
@@ -50,7 +50,7 @@
 
 
 class LogClient:
-    """Talk to the log service."""
+    """Appends to and reads from the log service."""
 
     def __init__(
         self,
@@ -65,10 +65,10 @@
     async def append(
         self, stream: str, payloads: list[bytes]
     ) -> Result[int, outcome.PlatformFailure]:
-        """Append records as one run and return the offset of the first.
+        """Append records contiguously and return the offset of the first.
 
-        A failure with `Effect.UNKNOWN` means that the records may be in the
-        log now or turn up later.
+        After a failure with `Effect.UNKNOWN` the records may be in the log
+        already or appear later.
         """
         answer = await self._client.call(
             "POST",
@@ -92,7 +92,7 @@
         wait_s: float = 0.0,
         limit: int = 1000,
     ) -> Result[LogPage, outcome.PlatformFailure]:
-        """Read records from an offset on, waiting if there is none yet."""
+        """Read records from an offset on; wait up to `wait_s` for the first."""
         wait_ms = int(wait_s * 1000)
         query = f"from={from_offset}&limit={limit}&wait_ms={wait_ms}"
         answer = await self._client.call(
@@ -115,8 +115,8 @@
 
 
 def _describe_refusal(answer: http.Answer) -> outcome.PlatformFailure:
-    # Only the service's own refusal says that nothing was done; an error of
-    # something on the way may hide an append that took effect.
+    # Only the log service answers 503 before it appends. Another error status
+    # may come from a proxy and hide an append that took effect.
     is_refused = answer.status == _SERVICE_UNAVAILABLE
     effect = outcome.Effect.NOT_DONE if is_refused else outcome.Effect.UNKNOWN
     return outcome.PlatformFailure(effect, f"status {answer.status}")
--- a/packages/core/src/martenquay_core/platform/outcome.py
+++ b/packages/core/src/martenquay_core/platform/outcome.py
@@ -1,4 +1,4 @@
-"""Type what a call to the platform came to."""
+"""Failures of calls to the platform."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class PlatformFailure:
-    """Why the platform gave no answer.
+    """Why a call to the platform failed.
 
     Attributes:
-        effect: Whether it may have taken effect all the same.
-        message: One sentence for the log.
+        effect: Whether the call may have taken effect.
+        message: Reason, for the log.
     """
 
     effect: Effect
@@ -33,6 +33,6 @@
 
 
 def describe_call_failure(failure: http.CallFailure) -> PlatformFailure:
-    """Turn a failed HTTP call into a platform failure."""
+    """Convert a failed HTTP call to a platform failure."""
     effect = Effect.UNKNOWN if failure.sent else Effect.NOT_DONE
     return PlatformFailure(effect, failure.message)
--- a/packages/core/src/martenquay_core/results.py
+++ b/packages/core/src/martenquay_core/results.py
@@ -1,4 +1,4 @@
-"""Number the results that callers and operators are told."""
+"""Result codes of answers to callers and operators."""
 
 from __future__ import annotations
 
@@ -9,11 +9,10 @@
 
 
 class ResultCode(enum.IntEnum):
-    """Numbered results; docs/usage/results.md lists them all.
+    """Result codes; docs/usage/results.md lists them all.
 
-    The thousands tell the kind: 1 done, 2 refused for what the caller sent,
-    3 not run, 4 outcome unknown, 5 operators' changes, 6 settings,
-    7 the platform.
+    The thousands digit is the category: 1 done, 2 invalid request, 3 not run,
+    4 outcome unknown, 5 operators' changes, 6 settings, 7 the platform.
     """
 
     OK = 1000
@@ -54,12 +53,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class ResultInfo:
-    """What one result code means.
+    """Properties of a result code.
 
     Attributes:
-        http_status: The status that goes with it over HTTP.
-        exit_code: The exit status of the operators' client.
-        meaning: One sentence for the reader of the docs.
+        http_status: HTTP status of an answer with this code.
+        exit_code: Exit status of the operators' client.
+        meaning: One sentence, as in the documentation.
     """
 
     http_status: int
@@ -169,12 +168,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Failure:
-    """Say why something did not give an answer.
+    """Why a request or command failed.
 
     Attributes:
-        code: The numbered result.
-        message: One sentence for a person.
-        retry_after_s: Seconds after which to come back, when that helps.
+        code: Result code.
+        message: One sentence for people.
+        retry_after_s: Seconds after which a retry may succeed; None if no
+            time is known.
     """
 
     code: ResultCode
@@ -183,5 +183,5 @@
 
 
 def describe_result(code: ResultCode) -> ResultInfo:
-    """Return the status, exit code and meaning of a result code."""
+    """Return HTTP status, exit code and meaning of a result code."""
     return _INFO[code]
--- a/packages/core/src/martenquay_core/runners/__init__.py
+++ b/packages/core/src/martenquay_core/runners/__init__.py
@@ -1,1 +1,1 @@
-"""Meet the runners: model engines and plain services."""
+"""Client and message types of the model engines."""
--- a/packages/core/src/martenquay_core/runners/engine.py
+++ b/packages/core/src/martenquay_core/runners/engine.py
@@ -1,7 +1,7 @@
-"""Call model engines.
+"""Client of the model engines.
 
-The wire is the engine stand-in's: JSON over HTTP. Another engine is met by
-another implementation of these few calls.
+The protocol is that of the engine stand-in: JSON over HTTP. Another engine
+needs another implementation of `EngineClient`.
 """
 
 from __future__ import annotations
@@ -33,16 +33,16 @@
 
 
 class EngineStream:
-    """The events of one stream."""
+    """Reads the events of one generation stream."""
 
     def __init__(self, answer: http.StreamedAnswer) -> None:
         self._answer = answer
 
     async def iterate(self) -> AsyncIterator[orders.StreamEvent]:
-        """Yield events as they come.
+        """Yield events as they arrive.
 
         Raises:
-            StreamLostError: The connection broke or sent something else.
+            StreamLostError: The connection broke or sent a malformed event.
         """
         try:
             async for line in self._answer.iterate_lines():
@@ -57,7 +57,7 @@
 
 
 class EngineClient:
-    """Talk to engines by their addresses."""
+    """Calls engines at given addresses."""
 
     def __init__(self, client: http.HttpClient) -> None:
         self._client = client
@@ -66,10 +66,11 @@
     async def generate(
         self, address: str, order: orders.GenerateOrder, read_timeout_s: float
     ) -> AsyncIterator[EngineStream]:
-        """Open a stream; leaving the context closes it.
+        """Start a generation; leaving the context closes its stream.
 
         Raises:
-            StreamLostError: The engine could not be reached or refused.
+            StreamLostError: The engine could not be reached or answered with
+                an error status.
         """
         try:
             async with self._client.stream(
@@ -90,13 +91,13 @@
             raise StreamLostError(f"{type(error).__name__}: {error}") from error
 
     async def cancel(self, address: str, request_id: str) -> None:
-        """Ask the engine to stop a request; no answer is waited for long."""
+        """Ask the engine to stop a request; ignores failures."""
         await self._post(address, "cancel", {"request_id": request_id})
 
     async def export_cache(
         self, address: str, text: str
     ) -> Result[list[int], http.CallFailure]:
-        """Return the cache of a text, to be imported elsewhere."""
+        """Return the KV cache blocks of a text, for import elsewhere."""
         answer = await self._post(address, "kv/export", {"text": text})
         return http.decode_json(answer, dict[str, list[int]]).map(
             lambda fields: fields["blocks"]
@@ -105,19 +106,19 @@
     async def import_cache(
         self, address: str, exported: list[int]
     ) -> Result[http.Answer, http.CallFailure]:
-        """Put an exported cache into an engine."""
+        """Import exported KV cache blocks into an engine."""
         return await self._post(address, "kv/import", {"blocks": exported})
 
     async def read_load(
         self, address: str
     ) -> Result[orders.Load, http.CallFailure]:
-        """Return the engine's load, which lags."""
+        """Return the load that the engine last reported, which lags."""
         return http.decode_json(await self._get(address, "load"), orders.Load)
 
     async def read_events(
         self, address: str, number: int, wait_s: float
     ) -> Result[list[orders.CacheEvent], http.CallFailure]:
-        """Return cache events after a number, waiting for one."""
+        """Return cache events after a number; wait up to `wait_s` for one."""
         query = f"events?from={number}&wait_ms={int(wait_s * 1000)}"
         answer = await self._get(address, query, wait_s)
         return http.decode_json(answer, list[orders.CacheEvent])
@@ -125,7 +126,7 @@
     async def list_blocks(
         self, address: str
     ) -> Result[orders.BlockList, http.CallFailure]:
-        """Return all that the engine's cache holds."""
+        """Return all blocks in the engine's prefix cache."""
         return http.decode_json(
             await self._get(address, "blocks"), orders.BlockList
         )
--- a/packages/core/src/martenquay_core/runners/orders.py
+++ b/packages/core/src/martenquay_core/runners/orders.py
@@ -1,4 +1,4 @@
-"""Define the messages between a daemon and a model engine."""
+"""Messages between a daemon and a model engine."""
 
 from __future__ import annotations
 
@@ -19,16 +19,15 @@
 
 
 class GenerateOrder(msgspec.Struct, frozen=True):
-    """Ask for tokens.
+    """Request to generate tokens.
 
     Attributes:
-        request_id: The request.
-        attempt: Grows with each runner that is tried for the request.
-        prompt: The prompt's text.
-        max_tokens: The last token's index plus one.
-        priority: 0 is the most urgent.
-        generated: Tokens that the caller has already; the engine goes on
-            from there.
+        request_id: Id of the request.
+        attempt: Number of the attempt; grows with each runner tried.
+        prompt: Text of the prompt.
+        max_tokens: Maximum length of the answer, `generated` included.
+        priority: Priority; 0 is the most urgent.
+        generated: Tokens of earlier attempts, which the engine continues.
     """
 
     request_id: str
@@ -39,22 +38,22 @@
     generated: list[str] = []
 
     def full_text(self) -> str:
-        """Return the prompt and what was generated."""
+        """Return the prompt followed by the generated tokens."""
         return self.prompt + " " + "".join(self.generated)
 
     def count_tokens(self) -> int:
-        """Return how many tokens have to be in the cache before the next."""
+        """Return how many tokens must be in the KV cache to go on."""
         return blocks.count_tokens(self.prompt) + len(self.generated)
 
 
 class StreamStarted(msgspec.Struct, frozen=True, tag="started"):
-    """The prompt has been read.
+    """Event: the engine has processed the prompt.
 
     Attributes:
-        request_id: The request.
-        attempt: The attempt.
-        cached_tokens: Tokens that the cache held.
-        prompt_tokens: All tokens that had to be there.
+        request_id: Id of the request.
+        attempt: Number of the attempt.
+        cached_tokens: Prompt tokens that were in the prefix cache.
+        prompt_tokens: All tokens to process before the first new one.
     """
 
     request_id: str
@@ -64,13 +63,13 @@
 
 
 class TokenEvent(msgspec.Struct, frozen=True, tag="token"):
-    """One token.
+    """Event: one generated token.
 
     Attributes:
-        request_id: The request.
-        attempt: The attempt.
-        index: The token's place in the answer, from 0.
-        text: The token's text.
+        request_id: Id of the request.
+        attempt: Number of the attempt.
+        index: Index of the token in the answer, from 0.
+        text: Text of the token.
     """
 
     request_id: str
@@ -80,12 +79,12 @@
 
 
 class StreamFinished(msgspec.Struct, frozen=True, tag="finished"):
-    """The answer is whole.
+    """Event: the answer is complete.
 
     Attributes:
-        request_id: The request.
-        attempt: The attempt.
-        count: How many tokens the answer has.
+        request_id: Id of the request.
+        attempt: Number of the attempt.
+        count: Number of tokens in the answer.
     """
 
     request_id: str
@@ -97,12 +96,12 @@
 
 
 class CacheEvent(msgspec.Struct, frozen=True):
-    """A change of an engine's prefix cache.
+    """Change of an engine's prefix cache.
 
     Attributes:
-        number: Counts from 1; a number left out is a gap.
-        added: Hashes of blocks now held.
-        removed: Hashes of blocks no longer held.
+        number: Sequence number from 1; a skipped one means a lost event.
+        added: Hashes of added blocks.
+        removed: Hashes of evicted blocks.
     """
 
     number: int
@@ -111,10 +110,10 @@
 
 
 class BlockList(msgspec.Struct, frozen=True):
-    """All that an engine's prefix cache holds.
+    """Complete content of an engine's prefix cache.
 
     Attributes:
-        number: The last cache event that is counted in.
+        number: Sequence number of the last cache event included.
         blocks: Hashes of the blocks.
     """
 
@@ -126,7 +125,7 @@
     """An engine's load, as of some time ago.
 
     Attributes:
-        running: Requests being worked on.
+        running: Requests in progress.
         queued: Requests waiting for a slot.
     """
 
--- a/packages/core/src/martenquay_core/serving/__init__.py
+++ b/packages/core/src/martenquay_core/serving/__init__.py
@@ -1,1 +1,1 @@
-"""Types and ports of the traffic that a daemon forwards to runners."""
+"""Types and platform interfaces for requests forwarded to runners."""
--- a/packages/core/src/martenquay_core/serving/calls.py
+++ b/packages/core/src/martenquay_core/serving/calls.py
@@ -1,4 +1,4 @@
-"""A caller's request and a runner's answer, free of wire names."""
+"""Callers' requests and runners' answers, independent of header names."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
     "RunnerOrder",
 ]
 
-# Names in lower case, as h11 gives them.
+# Header names are in lower case, as h11 returns them.
 Headers = list[tuple[bytes, bytes]]
 
 
 @dataclasses.dataclass(frozen=True)
 class PromptPart:
-    """One part of a prompt, in the prompt's order.
+    """One part of a prompt.
 
     Attributes:
-        id: Equal for equal parts.
-        tokens: Its length.
+        id: Content id; equal parts have equal ids.
+        tokens: Length in tokens.
     """
 
     id: str
@@ -36,18 +36,19 @@
     """One request as a caller sent it.
 
     Attributes:
-        id: The caller's id of this attempt; empty if it sent none.
-        method: The HTTP method.
+        id: The caller's request id; empty if it sent none.
+        method: HTTP method.
         target: Path and query, unchanged.
-        host: The host that the caller named, in lower case, without port.
-        headers: What travels on to the runner unchanged.
-        body: The whole body.
-        budget_s: How long the caller waits; None if it did not say.
-        key: The caller's key; None if it sent none.
-        prompt: The prompt's parts; empty for other calls.
-        tokens_in: Length of the prompt; None if not told.
-        tokens_out: Most tokens of the answer; None if not told.
-        resume_after: The last event that the caller already has.
+        host: Requested host, in lower case, without port.
+        headers: Headers that are forwarded to the runner unchanged.
+        body: The complete body.
+        budget_s: Seconds that the caller waits; None if unknown.
+        key: The caller's API key; None if it sent none.
+        prompt: Parts of the prompt, in order; empty for other requests.
+        tokens_in: Length of the prompt in tokens; None if unknown.
+        tokens_out: Maximum length of the answer in tokens; None if unknown.
+        resume_after: Number of the last stream event that the caller has;
+            None if it does not resume a stream.
     """
 
     id: str
@@ -65,22 +66,23 @@
 
     @property
     def path(self) -> str:
-        """The target without its query."""
+        """The target without its query string."""
         return self.target.partition("?")[0]
 
 
 @dataclasses.dataclass(frozen=True)
 class RunnerOrder:
-    """What a daemon adds to a call for one attempt at one runner.
+    """What a daemon adds to a request for one attempt at one runner.
 
     Attributes:
-        runner_id: Any other runner must refuse.
-        budget_s: How long the runner may work; None for no bound.
-        team: Whose key the caller has; None if there are no teams.
-        urgency: 0 to 9, 0 first; None for the runner's default.
-        resume_after: The last event that is already delivered.
-        kv_source: A copy of the run's KV cache to go on from, as the
-            runner's own wire names it.
+        runner_id: Id of the runner that is meant; any other must refuse.
+        budget_s: Seconds that the runner may take; None for no limit.
+        team: The caller's team; None if there are no teams.
+        urgency: Priority from 0 (first) to 9; None for the runner's default.
+        resume_after: Number of the last stream event already delivered; None
+            to start at the beginning.
+        kv_source: Reference to a copy of the request's KV cache to resume
+            from, in the runner's own notation.
     """
 
     runner_id: str
@@ -93,16 +95,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class AnswerHead:
-    """The head of a runner's answer.
+    """Status and headers of a runner's answer.
 
     Attributes:
-        status: The HTTP status.
-        headers: What goes back to the caller unchanged.
-        call_id: The request that it answers; None if not told.
-        is_sealed: Whether the runner vouches for it.
-        did_not_run: Whether the runner says that it did not run the request.
-        is_wrong_runner: Whether another runner now has the address.
-        signals: What the runner says of its own state.
+        status: HTTP status.
+        headers: Headers that are returned to the caller unchanged.
+        call_id: Id of the request that is answered; None if unknown.
+        is_sealed: The answer has the header that only runners add.
+        did_not_run: The runner states that it did not run the request.
+        is_wrong_runner: Another runner now has the address.
+        signals: State that the runner reports about itself.
     """
 
     status: int
--- a/packages/core/src/martenquay_core/serving/catalog.py
+++ b/packages/core/src/martenquay_core/serving/catalog.py
@@ -1,4 +1,4 @@
-"""The routes, services, teams and limits that operators put in force."""
+"""The operators' catalog of routes, services, teams and limits."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class CallKind(enum.Enum):
-    """What may be done again with a request of a route."""
+    """Whether the requests of a route may be retried or resumed."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non-idempotent"
@@ -29,11 +29,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Destination:
-    """One service that a route may send to.
+    """One service that a route sends requests to.
 
     Attributes:
-        service: The service's name.
-        weight: Its share of the route's requests, relative to the others.
+        service: Name of the service.
+        weight: Share of the route's requests, relative to the others'.
     """
 
     service: str
@@ -45,18 +45,19 @@
     """How the requests of one host and path prefix are served.
 
     Attributes:
-        name: The operators' name for it.
-        host: The host that callers name.
-        prefix: Begins and ends with a slash.
-        kind: What may be repeated.
-        timeout_s: The longest that a request is held.
-        target_s: Within this, an answer is on time.
-        destinations: Where requests go; never empty.
-        max_attempts: Runners that one request may be sent to.
-        urgency: 0 is the most urgent.
-        is_public: No key is needed.
-        is_resumable: A broken stream may go on at another runner.
-        max_pause_s: The longest good pause between two events; 0 if unknown.
+        name: Name of the route.
+        host: Host that requests must name.
+        prefix: Path prefix; begins and ends with a slash.
+        kind: Whether requests may be retried.
+        timeout_s: Maximum seconds from the request to the answer.
+        target_s: Latency target in seconds.
+        destinations: Services that get the requests; never empty.
+        max_attempts: Maximum runners that one request is sent to.
+        urgency: Priority; 0 is the most urgent.
+        is_public: Requests need no API key.
+        is_resumable: Another runner may continue a broken stream.
+        max_pause_s: Longest normal pause between two stream events, in
+            seconds; 0 if unknown.
     """
 
     name: str
@@ -86,13 +87,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class EngineTraits:
-    """What is known of the model engines of a service.
+    """Capacity and features of a service's model engines.
 
     Attributes:
-        slots: Requests that one engine runs at once.
-        kv_tokens: Tokens that its KV cache holds.
-        can_move: Whether a run's KV cache can be copied to another engine.
-        can_back_up: Whether an engine can keep such a copy up to date.
+        slots: Requests that one engine runs concurrently.
+        kv_tokens: Size of its KV cache in tokens.
+        can_move: A request's KV cache can be copied to another engine.
+        can_back_up: An engine can keep such a copy up to date.
     """
 
     slots: int
@@ -103,13 +104,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class ScalingLimits:
-    """How many runners of a service may be ordered in a zone, and the cost.
+    """Bounds and prices for autoscaling a service's runners.
 
     Attributes:
-        least: Of both kinds together, in each availability zone.
-        most: Of both kinds together, in each availability zone.
-        boot_s: Until a new runner serves.
-        reclaimable_price: As a share of an on-demand runner's price.
+        least: Minimum runners in each availability zone, on-demand and
+            reclaimable ones together.
+        most: Maximum runners in each availability zone, counted alike.
+        boot_s: Cold start: seconds until a new runner serves.
+        reclaimable_price: Price of a reclaimable runner as a share of an
+            on-demand runner's.
         zone_prices: Price of an on-demand runner by availability zone.
     """
 
@@ -122,14 +125,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class Service:
-    """A service and what its runners can do.
+    """A service and the properties of its runners.
 
     Attributes:
-        name: The service's name.
-        health_path: Answers 200 while a runner is healthy.
-        max_connections: That one runner takes from all daemons together.
-        engine: Set if the runners are model engines.
-        scaling: Set if runners can be ordered.
+        name: Name of the service.
+        health_path: Path that answers 200 while a runner is healthy.
+        max_connections: Maximum connections to one runner from all daemons
+            together.
+        engine: Model engine traits; None if the runners are no engines.
+        scaling: Autoscaling bounds; None if no runners can be ordered.
     """
 
     name: str
@@ -141,16 +145,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class Team:
-    """A team of callers and its allowance.
+    """A team of callers and its quota.
 
     Attributes:
-        name: The team's name.
-        keys: Its callers' keys.
-        urgency: Goes before the routes' urgency, if set.
-        rate: Units a second over all daemons; 0 means no limit.
-        burst: Units beyond the rate that may come at once.
-        counts_tokens: Units are tokens, else requests.
-        plain_tokens: Units of a request that tells no token counts.
+        name: Name of the team.
+        keys: API keys of its callers.
+        urgency: Priority that overrides the routes'; None for none.
+        rate: Quota in units a second over all daemons; 0 means no limit.
+        burst: Units that may be spent at once beyond the rate.
+        counts_tokens: Units are tokens; otherwise they are requests.
+        plain_tokens: Units charged for a request without token counts.
     """
 
     name: str
@@ -164,13 +168,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class CallerLimits:
-    """What callers may send and how long they may take.
+    """Size and time limits for callers' requests.
 
     Attributes:
-        header_bytes: The largest request head.
-        body_bytes: The largest request body.
-        header_s: In which a request has to be in once it has begun.
-        idle_s: For which a connection may rest between requests.
+        header_bytes: Maximum size of the request line and headers.
+        body_bytes: Maximum size of the request body.
+        header_s: Seconds for the complete request head, and for each piece of
+            the body.
+        idle_s: Seconds that a connection may be idle between requests.
     """
 
     header_bytes: int = 16_384
@@ -181,14 +186,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Catalog:
-    """One whole version of what operators put in force.
+    """One complete version of the operators' configuration.
 
     Attributes:
-        version: Rises with each change; 0 before the first is known.
+        version: Grows with each change; 0 before the first one is known.
         routes: All routes.
         services: Services by name.
-        teams: All teams; empty if callers need no keys.
-        limits: What callers may send.
+        teams: All teams; empty if callers need no API keys.
+        limits: Limits for callers' requests.
     """
 
     version: int
@@ -199,5 +204,5 @@
 
 
 def create_empty_catalog() -> Catalog:
-    """Return what a daemon has before it knows any version."""
+    """Return the catalog of a daemon that has read no version yet."""
     return Catalog(version=0)
--- a/packages/core/src/martenquay_core/serving/ports.py
+++ b/packages/core/src/martenquay_core/serving/ports.py
@@ -1,7 +1,7 @@
-"""What a daemon needs of a platform, as typed interfaces.
+"""Interfaces of the platform's log, cloud API and codecs.
 
-A platform's adapter and the tests' fakes implement these. Failures say
-whether the call took effect: not done, or unknown.
+A platform's adapter and the test fakes implement them. A failure says whether
+the call took effect: not done, or unknown.
 """
 
 from __future__ import annotations
@@ -36,9 +36,9 @@
     """One record of a keyed topic.
 
     Attributes:
-        offset: Its place in the topic.
-        key: What it is about.
-        value: The content; None if the key is dropped.
+        offset: Offset in the topic.
+        key: Key of the record.
+        value: Content; None if the record deletes the key.
     """
 
     offset: int
@@ -48,13 +48,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Page:
-    """Records from an offset on.
+    """Consecutive records of a topic.
 
     Attributes:
-        records: The payloads, in order; empty if the wait ran out.
-        start: The offset of the first of them.
-        end: The offset that the next record will get.
-        is_lost: The log has dropped the records asked for.
+        records: Payloads in offset order; empty if the wait timed out.
+        start: Offset of the first record.
+        end: Offset that the next appended record will get.
+        is_lost: The requested records are past the log's retention.
     """
 
     records: tuple[bytes, ...]
@@ -68,10 +68,10 @@
     """The newest record of each key of a keyed topic.
 
     Attributes:
-        records: One a key.
-        end: Where to read on.
-        unreadable: Records that were left out, for not even their keys could
-            be read.
+        records: One record for each key.
+        end: Offset to continue reading from.
+        unreadable: Number of records left out because their keys could not
+            be decoded.
     """
 
     records: tuple[KeyedRecord, ...]
@@ -81,12 +81,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Appended:
-    """What became of an append.
+    """Outcome of an append.
 
     Attributes:
-        offset: The first record's offset; None if the topic's end was not
-            the expected one and nothing was appended.
-        end: The topic's end after the call.
+        offset: Offset of the first record; None if the topic's end was not
+            the expected one, so that nothing was appended.
+        end: End offset of the topic after the call.
     """
 
     offset: int | None
@@ -94,7 +94,7 @@
 
 
 class LogPort(Protocol):
-    """The platform's log."""
+    """Client of the platform's log."""
 
     def move_to(self, address: str) -> None:
         """Make later calls at another address."""
@@ -102,7 +102,7 @@
     async def read(
         self, topic: str, start: int, *, wait_s: float = 0.0
     ) -> Result[Page, outcome.PlatformFailure]:
-        """Return records from `start` on, waiting if there is none yet."""
+        """Return records from `start` on; wait up to `wait_s` for the first."""
 
     async def read_newest(
         self, topic: str
@@ -116,25 +116,25 @@
         *,
         expected_end: int | None = None,
     ) -> Result[Appended, outcome.PlatformFailure]:
-        """Append all or nothing; only at `expected_end` if it is given."""
+        """Append atomically; if given, only while the end is `expected_end`."""
 
     def split_keyed(self, payload: bytes, offset: int) -> KeyedRecord:
-        """Return the key and value of a keyed topic's payload.
+        """Decode a keyed topic's payload into key and value.
 
         Raises:
-            ValueError: The payload holds no key.
+            ValueError: The payload has no key.
         """
 
     def join_keyed(self, key: str, value: bytes) -> bytes:
-        """Return the payload of a keyed topic's record."""
+        """Encode the key and value of a keyed topic's record."""
 
 
 @dataclasses.dataclass(frozen=True)
 class UsageReport:
-    """The requests that began in one window.
+    """Number of requests that started in one usage window.
 
     Attributes:
-        window: The window's number.
+        window: Number of the window.
         counts: Requests by team.
     """
 
@@ -144,13 +144,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class RunnerOrderLine:
-    """The wanted number of runners of one kind in one zone.
+    """Desired number of a service's runners of one kind in one zone.
 
     Attributes:
-        service: Of which service.
-        zone: In which availability zone.
-        is_reclaimable: Of the cheap kind that may be taken back.
-        wanted: How many.
+        service: Name of the service.
+        zone: Availability zone.
+        is_reclaimable: Reclaimable runners; otherwise on-demand ones.
+        wanted: Desired number of runners.
     """
 
     service: str
@@ -160,7 +160,11 @@
 
 
 class CloudPort(Protocol):
-    """The platform's cloud API; each call names its holder and fence."""
+    """Client of the platform's cloud API.
+
+    Each call carries the lease holder and its fencing token, so that the
+    platform can refuse a former holder.
+    """
 
     def move_to(self, address: str) -> None:
         """Make later calls at another address."""
@@ -168,21 +172,21 @@
     async def report_usage(
         self, report: UsageReport, holder: str, fence: int
     ) -> Result[int, outcome.PlatformFailure]:
-        """Report a window; return the HTTP status that answered."""
+        """Report a window's usage; return the HTTP status of the answer."""
 
     async def order_runners(
         self, order: RunnerOrderLine, holder: str, fence: int
     ) -> Result[int, outcome.PlatformFailure]:
-        """Order runners; return the HTTP status that answered."""
+        """Order runners; return the HTTP status of the answer."""
 
 
 class CallCodec(Protocol):
-    """Translate requests and answers between wire names and ours."""
+    """Translate requests and answers to and from the platform's headers."""
 
     def decode_call(
         self, method: str, target: str, headers: calls.Headers
     ) -> calls.Call:
-        """Return a caller's request without its body."""
+        """Decode a caller's request, without its body."""
 
     def encode_order(
         self, call: calls.Call, order: calls.RunnerOrder
@@ -192,41 +196,41 @@
     def decode_answer(
         self, status: int, headers: calls.Headers
     ) -> calls.AnswerHead:
-        """Return the head of a runner's answer."""
+        """Decode the status and headers of a runner's answer."""
 
     def encode_own_answer(
         self, call_id: str, retry_after_s: float | None
     ) -> calls.Headers:
-        """Return the headers of an answer that no runner gave."""
+        """Return the headers of an answer that the daemon itself creates."""
 
 
 class PlatformCodec(Protocol):
-    """Translate the platform's records."""
+    """Decode and encode the records in the platform's log."""
 
     def decode_catalog(self, value: bytes) -> catalog.Catalog:
-        """Return a configuration.
+        """Decode a catalog.
 
         Raises:
-            ValueError: The record is malformed; says which field.
+            ValueError: The record is malformed; the message names the field.
         """
 
     def decode_runner(self, key: str, value: bytes) -> runners.Runner:
-        """Return a runner's entry.
+        """Decode a runner's entry.
 
         Raises:
-            ValueError: The record is malformed; says which field.
+            ValueError: The record is malformed; the message names the field.
         """
 
     def decode_rollout(
         self, key: str, value: bytes
     ) -> rollouts.RolloutOrder | None:
-        """Return an operator's order; None if the record is about another.
+        """Decode an operator's order; None if the record is of another kind.
 
         Raises:
-            ValueError: The record is malformed; says which field.
+            ValueError: The record is malformed; the message names the field.
         """
 
     def encode_rollout_status(
         self, status: rollouts.RolloutStatus
     ) -> tuple[str, bytes]:
-        """Return the key and value that tell operators of an order."""
+        """Return the key and value of a rollout's status record."""
--- a/packages/core/src/martenquay_core/serving/rollouts.py
+++ b/packages/core/src/martenquay_core/serving/rollouts.py
@@ -1,4 +1,4 @@
-"""What operators and daemons say of a service's move to a new version."""
+"""Rollout orders from operators and the status reported back to them."""
 
 from __future__ import annotations
 
@@ -10,12 +10,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class RolloutOrder:
-    """An operator wants a service's requests moved to a version.
+    """An operator's order to move a service's requests to a version.
 
     Attributes:
-        service: The service.
-        version: Of its runners' software.
-        duration_s: Within this it is to be decided.
+        service: Name of the service.
+        version: Software version of the runners that get the requests.
+        duration_s: Seconds until the rollout must be completed or rolled
+            back.
     """
 
     service: str
@@ -24,7 +25,7 @@
 
 
 class RolloutState(enum.Enum):
-    """How far an order has come, as operators are told."""
+    """Progress of a rollout, as reported to operators."""
 
     IN_PROGRESS = "in_progress"
     COMPLETED = "completed"
@@ -33,12 +34,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class RolloutStatus:
-    """What operators are told of an order.
+    """Status of a rollout order, as reported to operators.
 
     Attributes:
-        service: The service.
-        version: That the order names.
-        state: How far it has come.
+        service: Name of the service.
+        version: Version in the order.
+        state: Progress of the rollout.
     """
 
     service: str
--- a/packages/core/src/martenquay_core/serving/runners.py
+++ b/packages/core/src/martenquay_core/serving/runners.py
@@ -1,4 +1,4 @@
-"""What a runner says of itself."""
+"""A runner's entry in the platform's runner registry."""
 
 from __future__ import annotations
 
@@ -9,20 +9,21 @@
 
 @dataclasses.dataclass(frozen=True)
 class Runner:
-    """One lifetime of a runner process.
+    """One process of a runner.
 
     Attributes:
-        id: Names the runner; its next process may have it again.
-        service: What it serves.
-        address: Host and port; may pass to another runner later.
-        zone: Its availability zone.
-        slots: Requests it works on at once.
-        is_leaving: It ends soon and gets no new work.
-        is_reclaimable: The platform may take it back at short notice.
-        leaves_in_s: The time left when it said so, if it did.
-        software: The version of its software; empty if it does not say.
-        born_ms: When this process started, in ms since 1970 by the runner's
-            clock; None if it does not say. It tells lifetimes of one id apart.
+        id: Runner id; a restarted process may have the same one.
+        service: Name of the service that it runs.
+        address: Host and port; another runner may have them later.
+        zone: Availability zone.
+        slots: Requests that it processes concurrently.
+        is_leaving: It is draining and must get no new requests.
+        is_reclaimable: The platform may reclaim it at short notice.
+        leaves_in_s: Seconds until it stops, as of the entry; None if unknown.
+        software: Version of its software; empty if unknown.
+        born_ms: Start time of the process in ms since the Unix epoch by the
+            runner's clock; None if unknown. Distinguishes processes that
+            have the same id.
     """
 
     id: str
--- a/packages/core/src/martenquay_core/serving/signals.py
+++ b/packages/core/src/martenquay_core/serving/signals.py
@@ -1,4 +1,4 @@
-"""What a runner says of its own state in an answer, free of wire names."""
+"""State that a runner reports in an answer, independent of header names."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class RunnerSignals:
-    """The state of a runner, as one of its answers tells it.
+    """State that a runner reported with one answer.
 
     Attributes:
-        limit_per_s: Requests a second that it takes from all daemons together;
-            None if it names no limit.
-        is_limit_unreadable: It names one that is no number: then the answer
-            tells neither of a limit nor of the end of one.
-        is_leaving: It ends soon and wants no new work.
-        rest_s: It has turned the request away and wants none of this daemon
-            for so long; None if it names no time.
-        is_rest_unreadable: It names a time that is no number of seconds.
+        limit_per_s: The runner's rate limit in requests a second, over all
+            daemons together; None if the answer has no limit.
+        is_limit_unreadable: The limit is not a number, so the answer neither
+            sets a limit nor lifts one.
+        is_leaving: The runner is draining and accepts no new requests.
+        rest_s: Backoff in seconds that the runner asks of this daemon when
+            it rejects a request; None if the answer has none.
+        is_rest_unreadable: The backoff is not a number of seconds.
     """
 
     limit_per_s: float | None = None
--- a/packages/core/src/martenquay_core/serving/topics.py
+++ b/packages/core/src/martenquay_core/serving/topics.py
@@ -1,4 +1,4 @@
-"""The topics of the platform's log by what they hold."""
+"""Names of the topics in the platform's log."""
 
 from __future__ import annotations
 
@@ -9,18 +9,19 @@
 
 @dataclasses.dataclass(frozen=True)
 class Topics:
-    """Names of topics.
+    """Topic names by content; keyed topics keep the newest record of a key.
 
     Attributes:
         catalog: Keyed; the operators' configuration.
-        catalog_key: The key of the configuration in it.
-        runners: Keyed by runner id; the runners' entries.
-        members: Keyed by daemon; where daemons can be reached.
-        lease: Who holds the singleton duties.
-        usage: The usage report of each window, once.
-        strikes: Keyed; runners that ended under a request, by its content.
-        rollouts: Keyed by service; how far its move to a version has come.
-        status: Keyed; what operators are told.
+        catalog_key: Key of the configuration record in `catalog`.
+        runners: Keyed by runner id; runner entries.
+        members: Keyed by daemon id; addresses of the daemons.
+        lease: Lease of the duties that one daemon performs for all.
+        usage: One usage report for each window.
+        strikes: Keyed by request content; crash records, that is, runners
+            that ended while they served that content.
+        rollouts: Keyed by service; rollout steps.
+        status: Keyed; rollout status for operators.
     """
 
     catalog: str
--- a/packages/core/src/martenquay_core/settings/gateway.py
+++ b/packages/core/src/martenquay_core/settings/gateway.py
@@ -1,4 +1,4 @@
-"""Define the settings of a daemon that serves on a platform."""
+"""Settings of a daemon that runs on a platform."""
 
 from __future__ import annotations
 
@@ -13,7 +13,8 @@
     "GatewaySettings",
 ]
 
-# What no socket can be given would come up only where the address is used.
+# A port or octet out of range would otherwise fail only when the daemon binds
+# or connects.
 _OCTET = r"(25[0-5]|2[0-4]\d|1?\d?\d)"
 _PORT = r"(6553[0-5]|655[0-2]\d|65[0-4]\d\d|6[0-4]\d{3}|[1-5]?\d{1,4})"
 _ADDRESS = rf"^({_OCTET}\.){{3}}{_OCTET}:{_PORT}$"
@@ -26,24 +27,26 @@
 Port = Annotated[int, msgspec.Meta(ge=0, le=65_535)]
 
 
-# Structs in place of pydantic models: importing pydantic takes a fifth of a
-# daemon's start, and all daemons may have to start at once.
+# msgspec structs, since importing pydantic would slow down the daemon's start.
 class _Strict(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Settings of which each has to be known."""
+    """Base of settings; unknown keys are refused."""
 
 
 class GatewayListen(_Strict, kw_only=True, frozen=True):
-    """Where the daemon listens.
+    """Addresses that the daemon listens on.
 
     Attributes:
-        callers: For callers' HTTP.
-        readiness: For the balancer's question, and for metrics.
-        readiness_path: Answers 200 while callers are welcome.
-        metrics_path: Answers with metrics.
-        ip: The instance's own address, for links between daemons.
-        peer_port: For links between daemons; alike on all instances.
-        peer_announce: Where other daemons reach that port, if something
-            stands between.
+        callers: Address for callers' HTTP requests.
+        readiness: Address for the load balancer's readiness probe and for
+            metrics.
+        readiness_path: Path that answers 200 while the daemon accepts
+            requests.
+        metrics_path: Path of the metrics.
+        ip: IP address of the instance, for connections between daemons.
+        peer_port: Port for connections between daemons; the same on all
+            instances.
+        peer_announce: Address where other daemons reach that port, if it
+            differs, for example behind a proxy.
     """
 
     callers: Address
@@ -56,11 +59,11 @@
 
 
 class GatewayPlatform(_Strict, kw_only=True, frozen=True):
-    """Where the platform's services are.
+    """Addresses of the platform's services.
 
     Attributes:
-        log: The log.
-        cloud: The cloud API; absent where there are no duties.
+        log: Address of the log.
+        cloud: Address of the cloud API; needed only with `duties`.
         duties: Whether daemons report usage and order runners.
     """
 
@@ -72,22 +75,21 @@
 class BoundSettings(_Strict, kw_only=True, frozen=True):
     """Bounds that the platform's operators set.
 
-    The defaults are the users' sites' figures, without their slack.
-
     Attributes:
-        grace_s: Between the stop signal and the kill.
-        lease_ms: For which the holder of a duty may act.
-        window_s: Length of a usage window.
-        usage_late_s: A window's report is due so long after its end.
-        retry_ratio: Repeats as a share of requests, over all daemons.
-        retry_window_s: The time over which both are counted.
-        retry_slack: Repeats beyond the ratio, over all daemons.
-        drain_ms: A runner that has said that it leaves may get work for so
-            long.
-        allowance_window_s: The time over which a team's units are counted.
-        allowance_overrun: Units beyond the allowance that are tolerated in
-            it, as a share of the allowance.
-        allowance_slack: Units tolerated beyond that.
+        grace_s: Seconds between the stop signal and the kill.
+        lease_ms: Duration in ms of the lease of the duties.
+        window_s: Length of a usage window in seconds.
+        usage_late_s: Seconds after a window's end until its report is due.
+        retry_ratio: Maximum retries as a share of requests, over all
+            daemons.
+        retry_window_s: Seconds over which both are counted.
+        retry_slack: Retries allowed beyond the ratio, over all daemons.
+        drain_ms: Time in ms that a runner may still get requests after it
+            reported that it is draining.
+        allowance_window_s: Seconds over which a team's units are counted.
+        allowance_overrun: Units tolerated beyond the quota in that window,
+            as a share of the quota.
+        allowance_slack: Further units tolerated beyond that.
     """
 
     grace_s: Seconds = 8.0
@@ -104,17 +106,17 @@
 
 
 class GatewaySettings(_Strict, kw_only=True, frozen=True):
-    """All settings of a daemon that serves on a platform.
+    """All settings of a daemon that runs on a platform.
 
     Attributes:
-        instance: The instance's name.
-        zone: Its availability zone.
-        listen: Where it listens.
-        platform: Where the platform is.
-        bounds: What its operators bound.
-        seeds: Addresses of other daemons' instances, possibly stale.
-        link_mbps: Of the instance's link; in a large fleet the daemons with
-            the best ones report to the others. 0 if not known.
+        instance: Name of the instance.
+        zone: Availability zone.
+        listen: Addresses to listen on.
+        platform: Addresses of the platform's services.
+        bounds: Bounds that the platform's operators set.
+        seeds: Addresses of other daemons, possibly outdated.
+        link_mbps: Network bandwidth of the instance in Mbit/s; 0 if unknown.
+            In a large fleet the daemons with the most become hubs.
     """
 
     instance: Text
--- a/packages/core/src/martenquay_core/settings/models.py
+++ b/packages/core/src/martenquay_core/settings/models.py
@@ -1,4 +1,4 @@
-"""Define what a daemon's settings may hold, checked when they are read."""
+"""Settings of a daemon, validated when they are read."""
 
 from __future__ import annotations
 
@@ -33,12 +33,12 @@
 
 
 class ListenSettings(_Strict):
-    """Where the daemon listens; port 0 lets the system choose.
+    """Addresses that the daemon listens on; port 0 picks a free port.
 
     Attributes:
-        callers: For callers' HTTP.
-        operators: For operators' HTTP.
-        peers: For links from other daemons.
+        callers: Address for callers' HTTP requests.
+        operators: Address for operators' HTTP requests.
+        peers: Address for connections from other daemons.
     """
 
     callers: Address
@@ -47,12 +47,12 @@
 
 
 class PlatformSettings(_Strict):
-    """Where the platform's services are.
+    """URLs of the platform's services.
 
     Attributes:
-        log: The log service.
-        instances: The instance list and the reclaim notices.
-        log_retention_s: Seconds for which the log keeps a record.
+        log: URL of the log service.
+        instances: URL of the instance list and the reclaim notices.
+        log_retention_s: Seconds that the log retains a record.
     """
 
     log: Url
@@ -64,9 +64,9 @@
     """One partner.
 
     Attributes:
-        name: Its name.
+        name: Name of the partner.
         zones: Its availability zones.
-        public_key: What its changes are checked with.
+        public_key: Ed25519 key in hexadecimal that verifies its changes.
     """
 
     name: Name
@@ -78,8 +78,8 @@
     """One operator of the daemon's partner.
 
     Attributes:
-        name: Its name.
-        credential: Digest of its credential.
+        name: Name of the operator.
+        credential: Digest of the operator's credential.
     """
 
     name: Name
@@ -87,18 +87,20 @@
 
 
 class LimitSettings(_Strict):
-    """Bounds on what one caller or one daemon may take.
+    """Limits for callers' requests and for one daemon's work.
 
     Attributes:
-        body_bytes: The largest request body.
-        header_bytes: The largest request head.
-        body_timeout_s: Seconds in which a body has to arrive.
-        retry_share: Retries as a share of all calls, at most.
-        claim_shards: Streams over which claims are spread.
-        work_shards: Streams over which deferrable work is spread.
-        shard_followers: Daemons that follow each of these streams.
-        full_outcomes: Outcomes of calls kept in memory, for each stream.
-        deferrable_workers: Deferrable requests one daemon works on at once.
+        body_bytes: Maximum size of a request body.
+        header_bytes: Maximum size of a request's headers.
+        body_timeout_s: Seconds until a body must be complete.
+        retry_share: Maximum retries as a share of all attempts.
+        claim_shards: Number of streams that claims are sharded over.
+        work_shards: Number of streams that deferrable requests are sharded
+            over.
+        shard_followers: Number of daemons that follow each of these streams.
+        full_outcomes: Answers kept in memory for each claim stream.
+        deferrable_workers: Deferrable requests that a daemon processes
+            concurrently.
     """
 
     body_bytes: Count = 1_000_000
@@ -113,20 +115,21 @@
 
 
 class TimingSettings(_Strict):
-    """How often things happen and how long they may take.
+    """Intervals and timeouts, in seconds.
 
     Attributes:
-        heartbeat_s: Between two heartbeats on a link.
-        suspect_after_s: Silence after which a daemon is suspected.
-        dead_after_s: Further silence after which it counts as dead.
-        list_poll_s: Between two readings of the instance list.
-        load_poll_s: Between two readings of an engine's load.
-        commit_s: At least this long between two appends to one stream.
-        log_timeout_s: How long one call to the log may take.
-        spread_s: How long `--wait` waits for every availability zone.
-        snapshot_s: Between two snapshots of the configuration.
-        drain_notice_s: Between unreadiness and the last new connection.
-        drain_limit_s: How long requests in progress may take after that.
+        heartbeat_s: Interval between heartbeats to another daemon.
+        suspect_after_s: Time without a heartbeat until a daemon is suspected.
+        dead_after_s: Further time until it counts as dead.
+        list_poll_s: Poll interval of the instance list.
+        load_poll_s: Poll interval of an engine's load.
+        commit_s: Minimum interval between appends to one stream.
+        log_timeout_s: Timeout of a call to the log.
+        spread_s: Timeout of `--wait` for all availability zones.
+        snapshot_s: Interval between snapshots of the configuration.
+        drain_notice_s: Time in which a draining daemon, reported as not
+            ready, still accepts connections.
+        drain_limit_s: Time for requests in progress after that.
     """
 
     heartbeat_s: Seconds = 1.0
@@ -146,17 +149,18 @@
     """All settings of one daemon.
 
     Attributes:
-        partner: Whose entry instance this is.
-        zone: Its availability zone.
-        instance: Its name in the instance list.
-        listen: Where it listens.
-        platform: Where the platform is.
+        partner: Partner that runs this daemon.
+        zone: Availability zone.
+        instance: Name in the instance list.
+        listen: Addresses to listen on.
+        platform: URLs of the platform's services.
         partners: All partners.
-        signing_key: The private key of this daemon's partner.
-        operators: Who may give commands here.
-        seeds: Peer addresses to try before the instance list is known.
-        limits: Bounds.
-        timing: Times.
+        signing_key: Private key of `partner`, in hexadecimal.
+        operators: Operators that may send commands to this daemon.
+        seeds: Addresses of other daemons to try before the instance list is
+            known.
+        limits: Limits for requests and work.
+        timing: Intervals and timeouts.
     """
 
     partner: Name
@@ -173,7 +177,7 @@
 
     @pydantic.model_validator(mode="after")
     def check_place(self) -> DaemonSettings:
-        """Refuse a partner or zone that `partners` does not list."""
+        """Refuse a partner or zone that `partners` does not contain."""
         for partner in self.partners:
             if partner.name == self.partner:
                 if self.zone in partner.zones:
--- a/packages/core/src/martenquay_core/settings/reader.py
+++ b/packages/core/src/martenquay_core/settings/reader.py
@@ -1,4 +1,4 @@
-"""Read a settings file and say exactly what is wrong with it."""
+"""Read and validate a settings file; report errors with file and line."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class SettingsProblem:
-    """One thing that is wrong.
+    """One error in a settings file.
 
     Attributes:
-        code: The numbered result.
-        file: The file's name.
-        line: The line, from 1; 0 where there is none.
-        key: The setting, as a path with dots; empty for the whole file.
+        code: Result code.
+        file: Name of the file.
+        line: Line number from 1; 0 if the error has none.
+        key: Dotted path of the setting; empty for the whole file.
         message: What is wrong and what is allowed.
     """
 
@@ -45,7 +45,7 @@
 def read_settings(
     path: str, model: type[Model]
 ) -> Result[Model, list[SettingsProblem]]:
-    """Read and check a file; all problems are returned together."""
+    """Read and validate a file; return the settings or all problems."""
     try:
         text = pathlib.Path(path).read_text("utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -68,7 +68,7 @@
 
 
 def describe_problem(problem: SettingsProblem) -> str:
-    """Return one line for a person."""
+    """Format a problem as one line."""
     location = (
         f"{problem.file}:{problem.line}" if problem.line else problem.file
     )
@@ -79,7 +79,7 @@
 def _check_model(
     path: str, text: str, content: Any, model: type[pydantic.BaseModel]
 ) -> Result[pydantic.BaseModel, list[SettingsProblem]]:
-    # Not every daemon has settings of this kind, and it takes 0.1 s.
+    # Importing pydantic is slow, and daemons with msgspec settings need none.
     import pydantic  # noqa: PLC0415
 
     try:
@@ -108,10 +108,10 @@
 
 
 def _find_line(text: str, key_path: tuple[int | str, ...]) -> int:
-    """Return the line of a key by following its path through the text.
+    """Return the line number of a key by searching for its path in the text.
 
-    The JSON library keeps no positions. Keys are looked for in their order,
-    so a key that a comment repeats can lead to a line nearby.
+    The JSON library keeps no positions. A key that also occurs in a comment
+    may give the comment's line.
     """
     position = 0
     for key in key_path:
--- a/packages/core/src/martenquay_core/settings/structs.py
+++ b/packages/core/src/martenquay_core/settings/structs.py
@@ -1,4 +1,4 @@
-"""Check content against a struct and say all that is wrong with it."""
+"""Validate decoded JSON against a msgspec struct and report all errors."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class StructProblem:
-    """One thing that is wrong.
+    """One validation error.
 
     Attributes:
-        key_path: The keys that lead there.
+        key_path: Path of the invalid value.
         message: What is wrong and what is allowed.
     """
 
@@ -32,10 +32,10 @@
 def check_struct(
     content: Any, expected_type: type[StructType]
 ) -> Result[StructType, list[StructProblem]]:
-    """Return the struct, or all problems together.
+    """Return the struct, or all problems.
 
-    msgspec stops at the first problem, so each field is looked at by itself
-    once there is one.
+    msgspec stops at the first error, so after one each field is validated
+    separately.
     """
     try:
         return Ok(msgspec.convert(content, expected_type))
--- a/packages/core/src/martenquay_core/util/__init__.py
+++ b/packages/core/src/martenquay_core/util/__init__.py
@@ -1,1 +1,1 @@
-"""Hold small helpers, one topic a module."""
+"""Helpers for HTTP, TCP, signals, clocks and logging."""
--- a/packages/core/src/martenquay_core/util/blocks.py
+++ b/packages/core/src/martenquay_core/util/blocks.py
@@ -1,7 +1,7 @@
-"""Cut prompts into blocks whose chained hashes name cached prefixes.
+"""Hash prompts in blocks, so that equal prefixes have equal hashes.
 
-Words stand for tokens: the model's own tokenizer is the engine's affair, and
-the two only have to cut alike.
+Words stand for the model's tokens; daemon and engine only have to split a
+prompt alike.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 
 
 def count_tokens(text: str) -> int:
-    """Return how many tokens a text has."""
+    """Return the number of tokens in a text."""
     return len(text.split())
 
 
 def chain_blocks(text: str) -> list[int]:
-    """Return one hash a whole block; each covers all blocks before it."""
+    """Return a hash for each full block that also covers all blocks before."""
     words = text.split()
     hashes: list[int] = []
     previous = b""
--- a/packages/core/src/martenquay_core/util/boot_clock.py
+++ b/packages/core/src/martenquay_core/util/boot_clock.py
@@ -1,4 +1,4 @@
-"""Tell trio the time in a way that counts an instance's suspension."""
+"""Clock for trio that includes the time an instance was suspended."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 class BootClock(trio.abc.Clock):
-    """Implement `trio.abc.Clock`.
+    """A `trio.abc.Clock` that reads CLOCK_BOOTTIME.
 
-    Waits are made by the operating system on its steady clock, so a timer may
-    come late by as long as the suspension lasted. Whoever uses a right asks
-    the time first, and never relies on a timer to have ended it.
+    The operating system's waits run on CLOCK_MONOTONIC, so a timer may fire
+    late by as long as the suspension lasted. Code that uses a lease must
+    therefore compare the time and not rely on a timer to have ended it.
     """
 
     def __init__(
@@ -28,17 +28,17 @@
         self._read_time = read_time
 
     def start_clock(self) -> None:
-        """Do nothing: the clock runs."""
+        """Do nothing; CLOCK_BOOTTIME always runs."""
 
     def current_time(self) -> float:
-        """Return the time in seconds."""
+        """Return the current time in seconds."""
         return self._read_time()
 
     def deadline_to_sleep_time(self, deadline: float) -> float:
-        """Return how long to wait for a deadline."""
+        """Return the seconds until a deadline."""
         return deadline - self._read_time()
 
 
 def create_clock() -> BootClock:
-    """Return a clock for `trio.run`."""
+    """Create a clock for `trio.run`."""
     return BootClock()
--- a/packages/core/src/martenquay_core/util/boot_time.py
+++ b/packages/core/src/martenquay_core/util/boot_time.py
@@ -1,6 +1,7 @@
-"""Read the clock that counts an instance's suspension.
+"""Read CLOCK_BOOTTIME, which includes the time an instance was suspended.
 
-Nothing but the standard library is imported here, as for `held_signals`.
+`held_signals` imports this module at process start, so it must import nothing
+outside the standard library.
 """
 
 from __future__ import annotations
@@ -11,10 +12,10 @@
 
 
 def read_boot_time() -> float:
-    """Return the seconds since the instance was booted, asleep or not.
+    """Return the seconds since boot, including suspension.
 
-    The steady clock stands while an instance is suspended: on waking, a lease,
-    a loan or an entry would be as young as before, while others have long
-    taken over. The time of day goes on too, but it jumps.
+    CLOCK_MONOTONIC stops while an instance is suspended, so a lease that
+    others have taken over would still look valid on resume. CLOCK_REALTIME
+    goes on but may jump.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/packages/core/src/martenquay_core/util/credentials.py
+++ b/packages/core/src/martenquay_core/util/credentials.py
@@ -1,4 +1,4 @@
-"""Make and compare digests of credentials, so that none is kept in clear."""
+"""Hash credentials for storage and compare them with stored digests."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 def digest_credential(credential: str) -> str:
-    """Return the digest under which a credential is kept."""
+    """Return the digest that is stored for a credential."""
     return "sha256:" + hashlib.sha256(credential.encode()).hexdigest()
 
 
 def match_credential(credential: str, digest: str) -> bool:
-    """Tell in constant time whether the credential has this digest."""
+    """Return whether a credential has this digest, in constant time."""
     return hmac.compare_digest(digest_credential(credential), digest)
--- a/packages/core/src/martenquay_core/util/held_signals.py
+++ b/packages/core/src/martenquay_core/util/held_signals.py
@@ -1,7 +1,7 @@
-"""Hold signals from a process's first line until it can act on them.
+"""Queue signals from process start until a handler can act on them.
 
-Nothing but the standard library is needed here: what takes long to import
-would leave the process to the system's own action for as long.
+This module must import nothing outside the standard library: a signal that
+arrives during a slow import would end the process.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 
 
 class HeldSignal:
-    """A signal that came before anything could act on it.
+    """A signal that was received before it could be handled.
 
     Attributes:
-        number: Which one.
-        age_s: How long ago it came.
+        number: Signal number.
+        age_s: Seconds since it was received.
     """
 
     def __init__(self, number: int, age_s: float) -> None:
@@ -33,18 +33,19 @@
 
 
 class HeldSignals:
-    """Signals that wait, in the order that Python ran their handlers.
+    """Queue of signals in the order in which Python ran their handlers.
 
-    It runs pending ones by number and merges equal ones.
+    Python runs the handlers of pending signals by number and merges equal
+    ones.
     """
 
     def __init__(self) -> None:
-        # In pairs, for a handler has to be short.
+        # Two parallel lists, as a signal handler must be short.
         self._numbers: list[int] = []
         self._received_at: list[float] = []
 
     def take(self) -> list[HeldSignal]:
-        """Return those that wait and forget them."""
+        """Remove and return all queued signals."""
         numbers, self._numbers = self._numbers, []
         received_at, self._received_at = self._received_at, []
         now = boot_time.read_boot_time()
@@ -54,17 +55,17 @@
         ]
 
     def hold(self, number: int, frame: FrameType | None) -> None:
-        """Keep one; a handler as the signal module wants it."""
+        """Queue a signal; a handler for `signal.signal`."""
         del frame
         self._received_at.append(boot_time.read_boot_time())
         self._numbers.append(number)
 
 
 def hold_signals() -> HeldSignals:
-    """Hold the handled signals from now on.
+    """Queue the signals in `HANDLED` from now on.
 
-    Also what handles them later falls back to this when it ends, never to the
-    system's action, which is to end the process and its requests with it.
+    A later handler restores this one when it ends, so that a signal never
+    triggers the default action, which would end the process and its requests.
     """
     held = HeldSignals()
     for number in HANDLED:
--- a/packages/core/src/martenquay_core/util/http.py
+++ b/packages/core/src/martenquay_core/util/http.py
@@ -1,4 +1,4 @@
-"""Call HTTP servers through httpcore and type what can go wrong."""
+"""HTTP client on httpcore that returns failures as values."""
 
 from __future__ import annotations
 
@@ -26,18 +26,17 @@
     "open_client",
 ]
 
-# Without it, small writes wait up to 40 ms for the peer's delayed ACK.
+# Without it, small writes wait for the peer's delayed ACK (up to 40 ms).
 _SOCKET_OPTIONS = [(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)]
-# Closing then resets the connection. What a cut holds up on it is dropped;
-# otherwise the kernel would deliver it when the cut heals, long after the
-# caller has given the call up.
+# Makes close() reset the connection and drop unsent data. Otherwise the kernel
+# would deliver a request after a network partition, long after the call has
+# timed out.
 _RESET_ON_CLOSE = (
     socket.SOL_SOCKET,
     socket.SO_LINGER,
     struct.pack("ii", 1, 0),
 )
-# For connections on which nothing is under way or a call waits long, both
-# silent by nature: gone after 3 s. Calls have limits of their own.
+# Finds dead connections that are idle or in a long poll within 3 s.
 _KEEPALIVE = keepalive.KeepAlive(idle_s=1, asks=2)
 _DEFAULT_TIMEOUT_S = 10.0
 _MAX_CONNECTIONS = 1000
@@ -49,12 +48,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Answer:
-    """A whole HTTP answer.
+    """A complete HTTP response.
 
     Attributes:
-        status: The HTTP status.
+        status: HTTP status.
         headers: Header names, in lower case, and values.
-        body: The whole body.
+        body: The complete body.
     """
 
     status: int
@@ -64,13 +63,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class CallFailure:
-    """Why no answer came.
+    """Why a call has no usable response.
 
     Attributes:
-        sent: False only if no byte of the request left this process, so
-            that the other side certainly did not run it.
-        message: What the library said.
-        is_silent: Nothing came, not even a reset.
+        sent: False only if no byte of the request was sent, so that the
+            server cannot have run it.
+        message: Description of the failure.
+        is_silent: Nothing was received, not even a connection reset.
     """
 
     sent: bool
@@ -79,10 +78,10 @@
 
 
 class StreamedAnswer:
-    """An answer whose body is read in pieces as they come.
+    """A response whose body is read as it arrives.
 
     Attributes:
-        status: The HTTP status.
+        status: HTTP status.
         headers: Header names, in lower case, and values.
     """
 
@@ -92,11 +91,11 @@
         self._response = response
 
     async def iterate_lines(self) -> AsyncIterator[bytes]:
-        """Yield each line of the body without its end.
+        """Yield each non-empty line of the body without its line feed.
 
         Raises:
             httpcore.NetworkError: The connection broke.
-            httpcore.ProtocolError: The body ended early.
+            httpcore.ProtocolError: The body is incomplete.
         """
         incomplete = b""
         async for piece in self._response.aiter_stream():
@@ -109,9 +108,9 @@
 
 
 class HttpClient:
-    """Call HTTP servers; each call has one time limit for all of it.
+    """Calls HTTP servers with one timeout for each whole call.
 
-    After a call without an answer, later ones get new connections.
+    After a call that timed out, later calls use new connections.
     """
 
     def __init__(self, pool_manager: pools.PoolManager) -> None:
@@ -127,15 +126,16 @@
         timeout_s: float = _DEFAULT_TIMEOUT_S,
         may_be_cut: bool = False,
     ) -> Result[Answer, CallFailure]:
-        """Send one request and read the whole answer; never sends twice.
+        """Send one request and read the whole response; never retries.
 
         Args:
-            method: The HTTP method.
-            url: Where to.
-            headers: The request's headers.
-            body: The request's body.
-            timeout_s: The time for all of it.
-            may_be_cut: `cut_silent` may end it; for what may be repeated.
+            method: HTTP method.
+            url: URL to call.
+            headers: Request headers.
+            body: Request body.
+            timeout_s: Timeout of the whole call.
+            may_be_cut: `cut_silent` may cancel the call; only for requests
+                that may be repeated.
         """
         async with self._pools.use() as generation:
             try:
@@ -162,9 +162,9 @@
         return Error(CallFailure(sent=True, message=message, is_silent=True))
 
     def cut_silent(self) -> None:
-        """End calls that may be cut and run on connections in doubt.
+        """Cancel the cancellable calls on replaced connections.
 
-        For when a new connection has shown that the other side is well.
+        To be called once a new connection has shown that the server works.
         """
         self._pools.cut_older()
 
@@ -179,12 +179,12 @@
         connect_timeout_s: float = 1.0,
         read_timeout_s: float = _DEFAULT_TIMEOUT_S,
     ) -> AsyncIterator[StreamedAnswer]:
-        """Open a streamed call; leaving the context closes it.
+        """Send a request and stream its response; the context closes it.
 
         Raises:
             httpcore.ConnectError: Nothing was sent.
             httpcore.NetworkError: The connection broke.
-            httpcore.TimeoutException: Nothing came for `read_timeout_s`.
+            httpcore.TimeoutException: No data arrived for `read_timeout_s`.
         """
         limits = {"connect": connect_timeout_s, "read": read_timeout_s}
         async with (
@@ -203,10 +203,10 @@
 def decode_json(
     answer: Result[Answer, CallFailure], content_type: type[Content]
 ) -> Result[Content, CallFailure]:
-    """Return the typed content of a good answer.
+    """Decode the JSON body of a response with status 200.
 
-    One that cannot be decoded is a failure like a lost answer: the call was
-    sent, and the other side may have acted on it.
+    A body that cannot be decoded is a failure like a lost response: the
+    server may have acted on the request.
     """
     match answer:
         case Result(tag="ok", ok=Answer(status=200, body=body)):
@@ -225,11 +225,11 @@
     """Open a client.
 
     Args:
-        reuse: Keep connections for later calls. One that the server closed
-            meanwhile looks like a lost answer, so calls that may not be
-            repeated need fresh ones.
-        resets: Close connections by resetting them, so that a call that was
-            given up is never delivered later.
+        reuse: Keep connections alive for later calls. A connection that the
+            server has closed meanwhile looks like a lost response, so calls
+            that must not be repeated need new connections.
+        resets: Reset connections on close, so that a request that timed out
+            is never delivered later.
     """
     options = [*_SOCKET_OPTIONS, *keepalive.list_options(_KEEPALIVE)]
     if resets:
@@ -256,7 +256,7 @@
     try:
         return Ok(msgspec.json.decode(body, type=content_type))
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        # What another program answers must not end this one.
+        # Any content of a response must become a failure, not an exception.
         message = f"malformed answer: {_describe(error)}"
         return Error(CallFailure(sent=True, message=message))
 
--- a/packages/core/src/martenquay_core/util/keepalive.py
+++ b/packages/core/src/martenquay_core/util/keepalive.py
@@ -1,4 +1,4 @@
-"""Have the kernel end TCP connections whose other side has gone silent."""
+"""TCP keep-alive options that close connections to unreachable peers."""
 
 from __future__ import annotations
 
@@ -16,15 +16,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class KeepAlive:
-    """How long a connection may be silent.
+    """When TCP keep-alive closes a silent connection.
 
-    The kernel counts in whole seconds and looks only when it asks, so a
-    silent connection ends after `idle_s + asks`.
+    The kernel counts in whole seconds and checks only when it sends a probe,
+    so a silent connection closes after `idle_s + asks` seconds.
 
     Attributes:
-        idle_s: Nothing has come for so long: the kernel asks.
-        asks: Times that it asks, once a second; lost packets must not look
-            like the end.
+        idle_s: Seconds without data until the first probe.
+        asks: Number of probes, one a second; a single one could be lost.
     """
 
     idle_s: int
@@ -32,16 +31,16 @@
 
     @property
     def unacknowledged_s(self) -> float:
-        """How long what was sent may go without an acknowledgement.
+        """Seconds that sent data may stay unacknowledged.
 
-        The kernel ends its asking by this too, instead of by the count, so
-        it lies within the second that follows the last ask.
+        TCP_USER_TIMEOUT also overrides the probe count, so it must lie in
+        the second after the last probe.
         """
         return self.idle_s + self.asks - 0.5
 
 
 def list_options(limits: KeepAlive) -> list[tuple[int, int, int]]:
-    """Return the options of a socket."""
+    """Return the socket options as (level, option, value)."""
     wait_ms = int(limits.unacknowledged_s * _MS_PER_S)
     return [
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
@@ -53,6 +52,6 @@
 
 
 def enable_keepalive(sock: trio.socket.SocketType, limits: KeepAlive) -> None:
-    """Set the options on a socket."""
+    """Set the keep-alive options on a socket."""
     for level, option, value in list_options(limits):
         sock.setsockopt(level, option, value)
--- a/packages/core/src/martenquay_core/util/line_writer.py
+++ b/packages/core/src/martenquay_core/util/line_writer.py
@@ -1,11 +1,11 @@
-"""Write log lines in a thread, bounded in rate and in number.
+"""Write log lines from a thread, with a bounded queue and rate limits.
 
-A reader that stops reading holds up only the thread. Lines that find the
-queue full, or their kind's rate used up, are left out and counted; the count
-is written with the next line that gets through.
+A reader that stops reading blocks only the thread. Lines that exceed the queue
+or their kind's rate limit are dropped; the next line of the kind has the count
+of dropped lines.
 
-Kinds without a limit are bounded in number only: how a process ended must not
-be left out because the second before was a busy one.
+Unlimited kinds have no rate limit, so that a busy second does not drop the
+lines on how a process ended.
 """
 
 from __future__ import annotations
@@ -24,17 +24,15 @@
 
 __all__ = ["LineWriter", "create_writer"]
 
-# A daemon of the size to come answers ten requests a second, two lines each;
-# this is several times that, and 100 KB/s at most a kind.
+# For each kind of line.
 _LINES_PER_S = 250
-# About one MB of lines waits for a slow reader.
 _QUEUE_LINES = 4000
 _KIND_FIELD = "message_type"
 _END = b""
 
 
 class LineWriter:
-    """Queue lines for the thread that writes them."""
+    """Queues lines and writes them to a descriptor in a thread."""
 
     def __init__(
         self,
@@ -42,14 +40,14 @@
         read_clock: Callable[[], float] = time.monotonic,
         unlimited_kinds: Collection[str] = (),
     ) -> None:
-        """Write nothing yet.
+        """Create a writer without starting its thread.
 
         Args:
-            descriptor: Where lines go.
-            read_clock: Returns seconds.
-            unlimited_kinds: Kinds that are not bounded in rate. Nothing that
-                others can
-                repeat at will, as signals or requests, may write them.
+            descriptor: File descriptor that lines are written to.
+            read_clock: Returns the time in seconds.
+            unlimited_kinds: Kinds without a rate limit. They must not be
+                written for events that others can repeat at will, such as
+                requests.
         """
         self._descriptor = descriptor
         self._read_clock = read_clock
@@ -63,7 +61,7 @@
         self._dropped: dict[str, int] = {}
 
     def write(self, message: dict[str, Any]) -> None:
-        """Queue one line; never waits."""
+        """Queue one line, or drop it; never blocks."""
         kind = str(message.get(_KIND_FIELD, ""))
         if not self._is_within_rate(kind):
             self._dropped[kind] = self._dropped.get(kind, 0) + 1
@@ -78,11 +76,11 @@
             self._dropped[kind] = left_out + 1
 
     def start(self) -> None:
-        """Start the thread."""
+        """Start the writer thread."""
         self._thread.start()
 
     def close(self, timeout_s: float) -> None:
-        """Give the lines that wait so long to be written."""
+        """Stop the thread; wait up to `timeout_s` for queued lines."""
         with contextlib.suppress(queue.Full):
             self._queue.put_nowait(_END)
         self._thread.join(timeout_s)
@@ -95,7 +93,7 @@
             try:
                 _write_all(self._descriptor, line)
             except OSError:
-                # Nobody can be told: this is where lines go.
+                # The log itself is broken, so the error cannot be logged.
                 return
 
     def _is_within_rate(self, kind: str) -> bool:
@@ -113,7 +111,7 @@
 def create_writer(
     descriptor: int, unlimited_kinds: Collection[str] = ()
 ) -> LineWriter:
-    """Return a writer whose thread runs as long as the process."""
+    """Create a writer and start its thread."""
     writer = LineWriter(descriptor, unlimited_kinds=unlimited_kinds)
     writer.start()
     return writer
--- a/packages/core/src/martenquay_core/util/pools.py
+++ b/packages/core/src/martenquay_core/util/pools.py
@@ -1,8 +1,8 @@
-"""Keep a pool of connections; take a new one when its own fall silent.
+"""Replace an httpcore connection pool when one of its calls times out.
 
-A connection that goes silent without a reset looks idle and well to httpcore,
-and is used again. One call without an answer therefore casts doubt on all
-connections that were open with it: later calls get a new pool.
+httpcore cannot tell a connection that went silent without a reset from an idle
+one, and reuses it. After a timeout all connections of the pool are therefore
+suspect, and later calls get a new pool.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 
 
 class Generation:
-    """A pool and the calls under way on it.
+    """A connection pool and its calls in progress.
 
     Attributes:
-        pool: The pool.
-        users: Calls under way.
+        pool: The connection pool.
+        users: Number of calls in progress.
     """
 
     def __init__(self, pool: httpcore.AsyncConnectionPool) -> None:
@@ -37,7 +37,7 @@
     def limit(
         self, timeout_s: float, *, may_be_cut: bool
     ) -> Iterator[trio.CancelScope]:
-        """Limit a call's time; `cut` may end it earlier."""
+        """Limit the time of a call; `cut` may cancel it earlier."""
         with trio.move_on_after(timeout_s) as scope:
             if may_be_cut:
                 self._cancellable.add(scope)
@@ -47,13 +47,13 @@
                 self._cancellable.discard(scope)
 
     def cut(self) -> None:
-        """End the calls that may be cut."""
+        """Cancel the calls that were begun with `may_be_cut`."""
         for scope in list(self._cancellable):
             scope.cancel()
 
 
 class PoolManager:
-    """Hand out the newest pool; close older ones after their last call."""
+    """Provides the newest pool; closes replaced ones after their last call."""
 
     def __init__(
         self, create_pool: Callable[[], httpcore.AsyncConnectionPool]
@@ -64,7 +64,7 @@
 
     @contextlib.asynccontextmanager
     async def use(self) -> AsyncIterator[Generation]:
-        """Use the newest pool for one call."""
+        """Provide the newest pool for one call."""
         generation = self._newest
         generation.users += 1
         try:
@@ -76,13 +76,13 @@
                 await _close(generation)
 
     def replace(self, silent: Generation) -> None:
-        """Give later calls new connections, if no other call has yet."""
+        """Replace a pool that a call timed out on, unless already replaced."""
         if silent is self._newest:
             self._older.add(silent)
             self._newest = Generation(self._create_pool())
 
     def cut_older(self) -> None:
-        """End calls on replaced pools that may be cut."""
+        """Cancel the cancellable calls on replaced pools."""
         for generation in self._older:
             generation.cut()
 
@@ -93,7 +93,6 @@
 
 
 async def _close(generation: Generation) -> None:
-    # Also when the call was given up from outside: its connection would
-    # otherwise stay open.
+    # A cancelled call must close its pool too, or the connection stays open.
     with trio.CancelScope(shield=True):
         await generation.pool.aclose()
--- a/packages/core/src/martenquay_core/util/progress.py
+++ b/packages/core/src/martenquay_core/util/progress.py
@@ -1,4 +1,4 @@
-"""Let tasks wait until a counter that only grows reaches a value."""
+"""A monotonic counter whose values tasks can wait for."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class Progress:
-    """Hold an offset that only grows and wake those who wait for it.
+    """A counter that only grows and wakes tasks waiting for a value.
 
     Attributes:
-        value: The highest value so far.
+        value: Highest value so far.
     """
 
     def __init__(self, value: int = 0) -> None:
@@ -19,7 +19,7 @@
         self._changed = trio.Event()
 
     def advance(self, value: int) -> None:
-        """Raise the value and wake all waiters; a lower value is ignored."""
+        """Raise the value and wake waiting tasks; ignore a lower value."""
         if value <= self.value:
             return
         self.value = value
@@ -27,10 +27,10 @@
         self._changed = trio.Event()
 
     async def wait_for(self, value: int) -> None:
-        """Return once the value is at least `value`."""
+        """Wait until the counter is at least `value`."""
         while self.value < value:
             await self._changed.wait()
 
     async def wait_beyond(self, value: int) -> None:
-        """Return once the value is greater than `value`."""
+        """Wait until the counter is greater than `value`."""
         await self.wait_for(value + 1)
--- a/packages/core/src/martenquay_core/util/rendezvous.py
+++ b/packages/core/src/martenquay_core/util/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rank candidates by rendezvous hashing, so that all daemons choose alike."""
+"""Rendezvous hashing, so that all daemons choose the same candidates."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @functools.lru_cache(maxsize=65_536)
 def score_candidate(key: str, candidate: str) -> int:
-    """Return the weight of a candidate for a key; the highest is chosen."""
+    """Return a candidate's hash score for a key; the highest wins."""
     content = f"{key}\x00{candidate}".encode()
     digest = hashlib.blake2b(content, digest_size=8).digest()
     return int.from_bytes(digest, "big")
@@ -32,9 +32,9 @@
 def spread_over_zones(
     key: str, zones_by_candidate: dict[str, str], count: int
 ) -> list[str]:
-    """Choose `count` candidates, best first, from as many zones as there are.
+    """Choose `count` candidates, best first, from as many zones as possible.
 
-    One zone's loss then leaves the others.
+    The loss of one availability zone then leaves candidates in the others.
     """
     ranked = rank_candidates(key, zones_by_candidate)
     chosen: list[str] = []
--- a/packages/core/src/martenquay_core/util/server.py
+++ b/packages/core/src/martenquay_core/util/server.py
@@ -1,4 +1,4 @@
-"""Start hypercorn under trio with the same few settings everywhere."""
+"""Serve ASGI apps with hypercorn under trio."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 
     Attributes:
         address: Host and port; port 0 lets the system choose.
-        graceful_s: Seconds that requests in progress have after the stop.
-        max_header_bytes: The most bytes of a request's head.
+        graceful_s: Seconds for requests in progress after the stop.
+        max_header_bytes: Maximum size of a request's headers.
     """
 
     address: str
@@ -40,10 +40,10 @@
     """Serve an ASGI app until `stop` returns.
 
     Args:
-        app: The ASGI app; it has to answer lifespan events.
+        app: The ASGI app; it must answer lifespan events.
         options: How to listen and stop.
-        stop: Returns when no more connections are to be taken.
-        task_status: Is started with the address that was bound.
+        stop: Returns when the server must accept no more connections.
+        task_status: Started with the bound address.
     """
     config = hypercorn.config.Config()
     config.bind = [options.address]
--- a/packages/core/src/martenquay_core/util/serving.py
+++ b/packages/core/src/martenquay_core/util/serving.py
@@ -1,4 +1,4 @@
-"""Describe the ASGI pieces that the daemon and the stand-ins both use."""
+"""ASGI types and helpers for reading requests and sending responses."""
 
 from __future__ import annotations
 
@@ -20,31 +20,31 @@
     "send_answer",
 ]
 
-# The shapes are those of the ASGI specification, version 3.
+# From the ASGI specification, version 3.
 Scope = MutableMapping[str, Any]
 Receive = Callable[[], Awaitable[MutableMapping[str, Any]]]
 Send = Callable[[MutableMapping[str, Any]], Awaitable[None]]
 
 
 class CallerGoneError(Exception):
-    """The caller closed its connection."""
+    """The caller closed the connection before its body was complete."""
 
 
 @dataclasses.dataclass
 class BodyTooLargeError(Exception):
-    """The body has more bytes than allowed.
+    """The request body exceeds the limit.
 
     Attributes:
-        limit: The most bytes allowed.
+        limit: Maximum bytes allowed.
     """
 
     limit: int
 
 
 async def answer_lifespan(receive: Receive, send: Send) -> None:
-    """Answer the server's start and stop events.
+    """Answer ASGI lifespan events.
 
-    Hypercorn's start-up races with the first request otherwise.
+    Without the answer hypercorn may accept a request before it has started.
     """
     while True:
         message = await receive()
@@ -59,9 +59,9 @@
     """Read a whole request body.
 
     Raises:
-        BodyTooLargeError: More than `limit` bytes came.
-        trio.TooSlowError: The body was not whole after `timeout_s`.
-        CallerGoneError: The caller left.
+        BodyTooLargeError: The body has more than `limit` bytes.
+        trio.TooSlowError: The body was not complete after `timeout_s`.
+        CallerGoneError: The caller closed the connection.
     """
     pieces: list[bytes] = []
     size = 0
@@ -85,7 +85,7 @@
     body: bytes,
     headers: list[tuple[bytes, bytes]] | None = None,
 ) -> None:
-    """Send a whole answer."""
+    """Send a complete response."""
     length = (b"content-length", str(len(body)).encode())
     await send(
         {
@@ -98,7 +98,7 @@
 
 
 def find_header(scope: Scope, name: bytes) -> str | None:
-    """Return the first header of that name (lower case), or None."""
+    """Return the first header with a name in lower case, or None."""
     for key, value in scope["headers"]:
         if key == name:
             return value.decode("latin-1")
--- a/packages/core/src/martenquay_core/util/signals.py
+++ b/packages/core/src/martenquay_core/util/signals.py
@@ -1,4 +1,4 @@
-"""Handle a process's signals for as long as it runs."""
+"""Handle stop and reload signals while a process runs."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Stage(enum.StrEnum):
-    """What a process is doing."""
+    """Lifecycle stage of a process."""
 
     STARTING = "starting"
     SERVING = "serving"
@@ -29,12 +29,12 @@
 
 
 class SignalHandler:
-    """Turn signals into a stop, which is asked for once, and reloads.
+    """Turns signals into a stop event and calls to reload.
 
     Attributes:
-        stop: Set at the first SIGTERM or SIGINT.
-        stopped_at: When that came, in trio's time.
-        stage: Stands in each line.
+        stop: Set by the first SIGTERM or SIGINT.
+        stopped_at: When that signal was received, in trio's time.
+        stage: Lifecycle stage that each log line has.
     """
 
     def __init__(
@@ -43,13 +43,13 @@
         reload: Callable[[], None],
         force_stop: Callable[[], None] | None = None,
     ) -> None:
-        """Handle nothing yet.
+        """Create a handler; `run` starts it.
 
         Args:
-            held: Signals that came before.
-            reload: Called at each SIGHUP.
-            force_stop: Called at each SIGINT after the stop was asked for,
-                since a person at the terminal wants the end now.
+            held: Signals received before `run`.
+            reload: Called for each SIGHUP.
+            force_stop: Called for each SIGINT (Ctrl-C) after the stop was
+                requested.
         """
         self.stop = trio.Event()
         self.stopped_at = math.inf
@@ -61,7 +61,7 @@
     async def run(
         self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Handle signals until cancelled, which is to be at the very end."""
+        """Handle signals until cancelled at the end of the process."""
         with trio.open_signal_receiver(*held_signals.HANDLED) as received:
             for held in self._held.take():
                 self._handle(held.number, held.age_s)
@@ -70,15 +70,14 @@
                 self._handle(signal.Signals(number))
 
     def _handle(self, number: signal.Signals, age_s: float = 0.0) -> None:
-        # A stop or reload that nobody here asked for is told from one that
-        # was by this line alone.
+        # Only this line shows that a stop or reload came from a signal.
         _LOG.write(
             f"Took {number.name}.", stage=self.stage, age_s=round(age_s, 3)
         )
         if number is signal.SIGHUP:
             self._reload()
         elif not self.stop.is_set():
-            # The kill is due a grace time after the signal, not after this.
+            # The grace time before the kill starts when the signal is sent.
             self.stopped_at = trio.current_time() - age_s
             self.stop.set()
         elif number is signal.SIGINT and self._force_stop is not None:
@@ -86,10 +85,10 @@
 
 
 def ignore_signals() -> None:
-    """Have no signal act any more, once nothing is left to finish.
+    """Ignore all handled signals; to be called when nothing is left to do.
 
-    The interpreter takes handlers out before it ends; a signal after that
-    would turn a planned stop's exit status into that of a kill.
+    The interpreter removes handlers before it exits. A signal after that
+    would kill the process and change the exit status of a planned stop.
     """
     for number in held_signals.HANDLED:
         signal.signal(number, signal.SIG_IGN)
