--- a/packages/core/src/martenquay_core/util/signals.py
+++ b/packages/core/src/martenquay_core/util/signals.py
@@ -72,7 +72,7 @@
     def _handle(self, number: signal.Signals, age_s: float = 0.0) -> None:
         # Only this line shows that a stop or reload came from a signal.
         _LOG.write(
-            f"Took {number.name}.", stage=self.stage, age_s=round(age_s, 3)
+            f"Received {number.name}.", stage=self.stage, age_s=round(age_s, 3)
         )
         if number is signal.SIGHUP:
             self._reload()
--- a/tests/test_platform/test_signals.py
+++ b/tests/test_platform/test_signals.py
@@ -38,7 +38,7 @@
 # Between two signals of a storm.
 _STORM_S = 0.002
 _STOPPING = "Stopping"
-_TOOK_HUP = "Took SIGHUP."
+_RECEIVED_HUP = "Received SIGHUP."
 # How a line begins that tells of the settings as they were read.
 _READ = ("Read the settings", "Took the settings")
 _TERM = signal.SIGTERM
@@ -78,7 +78,7 @@
             # Without a change no poll of the file reads it again: the line
             # that follows can come of the signal alone.
             scene.send(_HUP)
-            await scene.wait_text(_TOOK_HUP)
+            await scene.wait_text(_RECEIVED_HUP)
             scene.change_settings()
             scene.send(_HUP)
             await scene.wait_text("Took the settings")
@@ -86,7 +86,7 @@
             followers = [
                 after
                 for text, after in itertools.pairwise(scene.texts)
-                if text == _TOOK_HUP
+                if text == _RECEIVED_HUP
             ]
             self.assertEqual(2, len(followers), scene.describe())
             for text in followers:
