--- a/tests/test_core/__init__.py
+++ b/tests/test_core/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of martenquay."""
+"""Tests of the core package."""
--- a/tests/test_core/test_boot_clock.py
+++ b/tests/test_core/test_boot_clock.py
@@ -1,4 +1,4 @@
-"""Time that an instance sleeps through counts."""
+"""Deadlines pass while an instance is suspended."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class BootClockTest(testtools.TestCase):
-    def test_a_suspension_ends_what_it_outlasts(self) -> None:
+    def test_a_deadline_passes_during_a_suspension(self) -> None:
         clocks = suspension.InstanceClocks()
         clock = boot_clock.BootClock(lambda: clocks.boot)
         deadline = clock.current_time() + 3.0
@@ -23,18 +23,22 @@
         self.assertGreater(clock.current_time(), deadline)
         self.assertLess(clock.deadline_to_sleep_time(deadline), 0.0)
 
-    def test_trio_runs_by_the_clock_that_counts_it(self) -> None:
+    def test_trio_time_is_the_time_since_boot(self) -> None:
         async def scenario() -> tuple[float, float]:
-            began = trio.current_time()
+            started_at = trio.current_time()
             await trio.sleep(0.05)
             now = time.clock_gettime(time.CLOCK_BOOTTIME)
-            return trio.current_time() - began, abs(now - trio.current_time())
+            return trio.current_time() - started_at, abs(
+                now - trio.current_time()
+            )
 
-        took_s, off_s = trio.run(scenario, clock=boot_clock.create_clock())
-        self.assertGreaterEqual(took_s, 0.05)
-        self.assertLess(off_s, 0.05)
+        elapsed_s, difference_s = trio.run(
+            scenario, clock=boot_clock.create_clock()
+        )
+        self.assertGreaterEqual(elapsed_s, 0.05)
+        self.assertLess(difference_s, 0.05)
 
-    def test_the_daemon_runs_by_it(self) -> None:
+    def test_the_daemon_runs_with_the_boot_clock(self) -> None:
         with (
             mock.patch.dict("os.environ", {"MARTENQUAY_BOOT": "settings"}),
             mock.patch.object(main.reader, "read_settings") as read,
--- a/tests/test_core/test_cloud.py
+++ b/tests/test_core/test_cloud.py
@@ -1,4 +1,4 @@
-"""Orders to the cloud start one instance each, whatever gets lost."""
+"""A cloud order starts one instance, even if its answer is lost."""
 
 from __future__ import annotations
 
@@ -49,30 +49,32 @@
 
         self.run_scene(start)
 
-    def test_an_order_sent_again_after_a_lost_answer_starts_no_second(self):
+    def test_an_order_repeated_after_a_lost_answer_starts_no_second(self):
         async def scenario(scene, app, client) -> None:
             del scene
             app.set_faults({"lose_answers": 1})
             lost = await client.start_instance(_order())
             self.assertEqual(outcome.Effect.UNKNOWN, lost.error.effect)
-            again = await client.start_instance(_order())
+            repeated = await client.start_instance(_order())
             self.assertEqual(1, len(app.started))
-            self.assertEqual(app.started["order-1"], again.ok.name)
+            self.assertEqual(app.started["order-1"], repeated.ok.name)
 
         self._run(scenario)
 
-    def test_an_odd_answer_leaves_open_whether_an_instance_starts(self):
+    def test_a_malformed_answer_has_an_unknown_effect(self):
         async def scenario(scene, app, client) -> None:
             del scene, app, client
-            odd = http.Answer(200, [], b'{"name": 1}')
-            caller = mock.Mock(call=mock.AsyncMock(return_value=Ok(odd)))
-            asking = cloud.create_client(caller, "http://cloud")
-            failed = await asking.start_instance(_order())
+            malformed = http.Answer(200, [], b'{"name": 1}')
+            http_client = mock.Mock(
+                call=mock.AsyncMock(return_value=Ok(malformed))
+            )
+            cloud_client = cloud.create_client(http_client, "http://cloud")
+            failed = await cloud_client.start_instance(_order())
             self.assertEqual(outcome.Effect.UNKNOWN, failed.error.effect)
 
         self._run(scenario)
 
-    def test_a_refused_start_has_done_nothing(self):
+    def test_a_refused_order_starts_no_instance(self):
         async def scenario(scene, app, client) -> None:
             del scene
             app.set_faults({"refused_classes": ["reclaimable"]})
--- a/tests/test_core/test_fold.py
+++ b/tests/test_core/test_fold.py
@@ -1,4 +1,4 @@
-"""The fold reaches one verdict on each record, whoever folds it."""
+"""All daemons reach the same verdict on each configuration record."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
         self.state = self.partners.start_state()
         self.offset = 0
 
-    def _fold(self, change: records.Change, signer=None):
+    def _apply(self, change: records.Change, signer=None):
         self.offset += 1
         raw = records.encode_change(change, signer or self.partners.serrana)
         return fold.apply_record(
@@ -28,40 +28,40 @@
         )
 
     def test_a_new_object_is_accepted_and_gets_its_offset_as_version(self):
-        judged = self._fold(builders.build_change())
-        self.assertEqual(_Verdict.ACCEPTED, judged.verdict)
+        judgement = self._apply(builders.build_change())
+        self.assertEqual(_Verdict.ACCEPTED, judgement.verdict)
         key = builders.build_change().key
         self.assertEqual(1, self.state.find(key).version)
 
     def test_a_change_to_an_older_version_is_a_conflict(self):
-        self._fold(builders.build_change())
+        self._apply(builders.build_change())
         again = builders.build_change(change_id="change-2")
-        self.assertEqual(_Verdict.CONFLICT, self._fold(again).verdict)
+        self.assertEqual(_Verdict.CONFLICT, self._apply(again).verdict)
 
     def test_a_repeated_change_id_gets_the_first_verdict_again(self):
-        first = self._fold(builders.build_change())
-        self._fold(
+        first = self._apply(builders.build_change())
+        self._apply(
             builders.build_change(
                 change_id="change-2", base_version=1, fields=None
             )
         )
-        again = self._fold(builders.build_change())
+        again = self._apply(builders.build_change())
         self.assertEqual(first, again)
         self.assertIsNone(self.state.find(builders.build_change().key))
 
     def test_the_other_partners_object_is_forbidden(self):
         change = builders.build_change(key_partner="lindqvist")
-        self.assertEqual(_Verdict.FORBIDDEN, self._fold(change).verdict)
+        self.assertEqual(_Verdict.FORBIDDEN, self._apply(change).verdict)
 
-    def test_a_record_with_a_false_signature_counts_for_nothing(self):
+    def test_a_record_with_an_invalid_signature_is_ignored(self):
         change = builders.build_change()
-        self.assertIsNone(self._fold(change, self.partners.lindqvist))
+        self.assertIsNone(self._apply(change, self.partners.lindqvist))
         self.assertIsNone(self.state.find(change.key))
         self.assertIsNone(
             fold.apply_record(self.state, 9, b"noise", self.partners.verifier)
         )
 
-    def test_a_signature_by_another_than_the_named_partner_is_false(self):
+    def test_a_signature_by_another_partner_is_invalid(self):
         body = msgspec.msgpack.encode(builders.build_change())
         signature = self.partners.lindqvist.key.sign(body)
         forged = records.SignedPayload("serrana", signature, body)
@@ -70,14 +70,14 @@
         self.assertIsNone(fold.apply_record(self.state, 1, raw, verifier))
         self.assertIsNone(self.state.find(builders.build_change().key))
 
-    def test_an_object_with_a_wrong_field_is_invalid(self):
+    def test_an_object_with_an_invalid_field_is_rejected(self):
         change = builders.build_change(fields={"kind": "oven"})
-        judged = self._fold(change)
-        self.assertEqual(_Verdict.INVALID, judged.verdict)
-        self.assertIn("kind", judged.reason)
+        judgement = self._apply(change)
+        self.assertEqual(_Verdict.INVALID, judgement.verdict)
+        self.assertIn("kind", judgement.reason)
 
     def test_an_older_record_never_changes_a_newer_state(self):
-        self._fold(builders.build_change())
+        self._apply(builders.build_change())
         raw = records.encode_change(
             builders.build_change(
                 change_id="late", base_version=1, fields=None
@@ -88,8 +88,8 @@
         self.assertIsNone(fold.apply_record(self.state, 1, raw, verifier))
         self.assertIsNotNone(self.state.find(builders.build_change().key))
 
-    def test_a_snapshot_brings_objects_verdicts_and_offset_along(self):
-        self._fold(builders.build_change())
+    def test_a_snapshot_restores_objects_verdicts_and_offset(self):
+        self._apply(builders.build_change())
         partner = self.state.partners["serrana"]
         buffer = snapshot.SnapshotBuffer(self.partners.verifier)
         for chunk in snapshot.encode_snapshot(partner, self.partners.serrana):
@@ -107,9 +107,9 @@
             buffer.add(chunk)
         self.assertEqual({}, buffer.best)
 
-    def test_a_large_snapshot_is_whole_only_with_its_last_chunk(self):
+    def test_a_large_snapshot_is_complete_only_with_all_chunks(self):
         for number in range(1500):
-            self._fold(
+            self._apply(
                 builders.build_change(
                     name=f"pool-{number}", change_id=f"change-{number}"
                 )
@@ -163,7 +163,7 @@
             for chunk in snapshot.encode_snapshot(state, signer):
                 buffer.add(chunk)
         resumed = fold.ConfigState(dict(buffer.best))
-        # Records that the snapshot covers come again and change nothing.
+        # Also replays the records in the snapshot, which must have no effect.
         for offset, raw in enumerate(raws, 1):
             fold.apply_record(resumed, offset, raw, partners.verifier)
         return resumed
--- a/tests/test_core/test_gateway_settings.py
+++ b/tests/test_core/test_gateway_settings.py
@@ -1,4 +1,4 @@
-"""A platform's settings file may leave out what is not in force there."""
+"""Optional gateway settings have defaults; invalid ones are reported."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
             path.write_text(text)
             return reader.read_settings(str(path), gateway.GatewaySettings)
 
-    def test_bounds_that_are_left_out_have_defaults(self) -> None:
+    def test_omitted_bounds_have_defaults(self) -> None:
         content = builders.build_gateway_settings()
         del content["bounds"]["retry_slack"]
         found = self._read(json.dumps(content)).ok
@@ -28,12 +28,12 @@
         found = self._read(json.dumps(content)).ok
         self.assertEqual(8.0, found.bounds.grace_s)
 
-    def test_a_comma_may_follow_the_last_bound(self) -> None:
+    def test_a_trailing_comma_is_allowed(self) -> None:
         content = builders.build_gateway_settings()
         text = json.dumps(content).replace("72000}", "72000,}")
         self.assertTrue(self._read(text).is_ok())
 
-    def test_a_wrong_value_is_told_with_its_key(self) -> None:
+    def test_an_invalid_value_is_reported_with_its_key(self) -> None:
         content = builders.build_gateway_settings()
         content["bounds"]["grace_s"] = -1
         problem = self._read(json.dumps(content)).error[0]
@@ -42,7 +42,7 @@
         self.assertIn("found -1", problem.message)
         self.assertGreater(problem.line, 0)
 
-    def test_all_that_is_wrong_is_told_together(self) -> None:
+    def test_all_problems_are_reported_together(self) -> None:
         content = builders.build_gateway_settings(zone="")
         content["listen"]["callers"] = "somewhere"
         content["bounds"]["grase_s"] = 3
@@ -53,14 +53,14 @@
             {problem.key for problem in problems},
         )
 
-    def test_a_setting_that_there_is_not_is_told(self) -> None:
+    def test_an_unknown_setting_is_reported(self) -> None:
         content = builders.build_gateway_settings()
         content["bounds"]["grase_s"] = 3
         (problem,) = self._read(json.dumps(content)).error
         self.assertEqual("bounds.grase_s", problem.key)
         self.assertIn("grace_s", problem.message)
 
-    def test_an_address_that_no_socket_can_have_is_told(self) -> None:
+    def test_an_invalid_address_is_refused(self) -> None:
         bad = ("127.0.0.1:99999", "127.0.0.1:65536", ":80", "1.2.3:80")
         good = ("127.0.0.1:65535", "255.1.20.0:8080", "10.200.1.7:0")
         for address in (*bad, *good):
--- a/tests/test_core/test_http.py
+++ b/tests/test_core/test_http.py
@@ -1,4 +1,4 @@
-"""A call that was given up leaves nothing behind on its way."""
+"""Malformed answers are failures; calls that time out can be reset."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class DecodeTest(testtools.TestCase):
-    def test_what_cannot_be_decoded_is_a_failure(self) -> None:
+    def test_a_malformed_body_is_a_failure(self) -> None:
         bodies = [
             b"",
             b"<html>",
@@ -34,23 +34,23 @@
             self.assertTrue(decoded.error.sent)
             self.assertIn("malformed answer", decoded.error.message)
 
-    def test_what_can_be_decoded_is_returned(self) -> None:
+    def test_a_valid_body_is_decoded(self) -> None:
         answer = http.Answer(200, [], b'{"name": "a"}')
         self.assertEqual("a", http.decode_json(Ok(answer), _Load).ok.name)
 
 
-class GivenUpCallTest(testtools.TestCase):
-    def _give_up_call(self, **options: bool) -> bool:
-        """Give a call up; tell whether its server saw a reset."""
-        seen: list[bool] = []
+class TimedOutCallTest(testtools.TestCase):
+    def _time_out_call(self, **options: bool) -> bool:
+        """Let a call time out; return whether its server saw a reset."""
+        resets_seen: list[bool] = []
 
         async def serve(stream: trio.SocketStream) -> None:
             try:
                 while await stream.receive_some(1000):
                     pass
-                seen.append(False)
+                resets_seen.append(False)
             except trio.BrokenResourceError:
-                seen.append(True)
+                resets_seen.append(True)
 
         async def run() -> None:
             listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
@@ -66,15 +66,15 @@
                             timeout_s=0.05,
                         )
                     self.assertTrue(answer.error.sent)
-                    while not seen:
+                    while not resets_seen:
                         await trio.sleep(0.01)
                     nursery.cancel_scope.cancel()
 
         trio.run(run)
-        return seen[0]
+        return resets_seen[0]
 
-    def test_a_client_that_resets_drops_what_is_still_on_the_way(self) -> None:
-        self.assertTrue(self._give_up_call(resets=True))
+    def test_a_client_that_resets_drops_unsent_data(self) -> None:
+        self.assertTrue(self._time_out_call(resets=True))
 
-    def test_other_clients_close_in_the_usual_way(self) -> None:
-        self.assertFalse(self._give_up_call())
+    def test_other_clients_close_without_a_reset(self) -> None:
+        self.assertFalse(self._time_out_call())
--- a/tests/test_core/test_instances.py
+++ b/tests/test_core/test_instances.py
@@ -1,4 +1,4 @@
-"""The instance list is sent again only when it has changed."""
+"""An unchanged instance list is not transferred again."""
 
 from __future__ import annotations
 
--- a/tests/test_core/test_language.py
+++ b/tests/test_core/test_language.py
@@ -1,4 +1,4 @@
-"""The operators' language is read, and errors point at the word."""
+"""Statements are parsed, and errors point at the invalid word."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
             ),
         )
 
-    def test_values_are_words_texts_numbers_or_booleans(self):
+    def test_values_are_words_strings_numbers_or_booleans(self):
         create = self._parse('create pool a kind="model" checks_orders=true')
         self.assertEqual(
             (
@@ -59,19 +59,19 @@
         show = self._parse("show runners 3d-printer")
         self.assertEqual("3d-printer", show.name.name)
 
-    def test_a_wrong_noun_is_pointed_at_with_what_is_allowed(self):
+    def test_an_error_points_at_an_unknown_noun_and_suggests_one(self):
         failure = self._fail("show runers")
         self.assertEqual(6, failure.column)
         self.assertIn("did you mean 'runners'", failure.message)
 
-    def test_a_wrong_field_is_pointed_at(self):
+    def test_an_error_points_at_an_unknown_field(self):
         text = "set team counter wieght=3"
         failure = self._fail(text)
         self.assertEqual(18, failure.column)
         marked = failure.point_at(text).splitlines()[1]
         self.assertEqual(17, marked.index("^"))
 
-    def test_an_early_end_is_pointed_at_behind_the_last_word(self):
+    def test_an_error_points_behind_an_incomplete_statement(self):
         self.assertEqual(5, self._fail("show").column)
         self.assertEqual(1, self._fail("").column)
 
--- a/tests/test_core/test_line_writer.py
+++ b/tests/test_core/test_line_writer.py
@@ -1,4 +1,4 @@
-"""Log lines never hold up the daemon, and what is left out is counted."""
+"""Logging never blocks the daemon, and dropped lines are counted."""
 
 from __future__ import annotations
 
@@ -11,9 +11,8 @@
 
 from martenquay_core.util import line_writer
 
-# What Linux allows any user.
+# The most that Linux allows an unprivileged user.
 _PIPE_BYTES = 1 << 20
-# Ends a test that hangs.
 _HANG_S = 30.0
 
 
@@ -41,7 +40,7 @@
         found = [line["number"] for line in self._finish()]
         self.assertEqual(list(range(20)), found)
 
-    def test_a_kind_over_its_rate_is_left_out_and_counted(self) -> None:
+    def test_lines_over_the_rate_limit_are_dropped_and_counted(self) -> None:
         self.writer.start()
         for _ in range(1000):
             self.writer.write({"message_type": "busy"})
@@ -54,7 +53,7 @@
         self.assertEqual(1, len(calm))
         self.assertEqual(1000 - (len(busy) - 1), busy[-1]["left_out"])
 
-    def test_a_kind_of_few_lines_is_not_bounded_in_rate(self) -> None:
+    def test_an_unlimited_kind_has_no_rate_limit(self) -> None:
         self.writer.start()
         for _ in range(1000):
             self.writer.write({"message_type": "few"})
@@ -66,30 +65,29 @@
         self.assertEqual("Stopped.", few[-1]["text"])
         self.assertLess(len(lines) - len(few), 1000)
 
-    def test_a_kind_of_few_lines_is_bounded_in_number(self) -> None:
+    def test_an_unlimited_kind_is_bounded_by_the_queue(self) -> None:
         for _ in range(10_000):
             self.writer.write({"message_type": "few"})
-        # All that waits fits in: nobody has to read meanwhile.
+        # The pipe holds all queued lines, so nothing must read meanwhile.
         fcntl.fcntl(self.writing, fcntl.F_SETPIPE_SZ, _PIPE_BYTES)
         self.writer.start()
-        # Once one line is out, the queue has room for its end.
+        # After the first line the queue has room for the end marker.
         select.select([self.reading], [], [], _HANG_S)
         self.assertEqual(4000, len(self._finish()))
 
-    def test_a_reader_that_stops_holds_up_nobody(self) -> None:
+    def test_a_stopped_reader_does_not_block_writes(self) -> None:
         self.writer.start()
         for second in range(200):
             self.second = float(second)
             for _ in range(100):
                 line = {"message_type": "a", "text": "x" * 200}
                 self.writer.write(line)
-        # 20,000 lines of 200 bytes fill the pipe and the queue; reaching
-        # this line is what is tested.
+        # The lines fill the pipe and the queue; `write` must not have blocked.
         lines = self._drain()
         self.assertTrue(all(line["message_type"] == "a" for line in lines))
 
     def _drain(self) -> list[dict[str, object]]:
-        """Read until the writer has caught up."""
+        """Read all lines that the queue holds."""
         data = b""
         while data.count(b"\n") < 4000:
             data += os.read(self.reading, 65_536)
--- a/tests/test_core/test_results.py
+++ b/tests/test_core/test_results.py
@@ -1,4 +1,4 @@
-"""The table of numbered results in the docs is that of the code."""
+"""The documented table of result codes matches the code."""
 
 from __future__ import annotations
 
--- a/tests/test_core/test_settings.py
+++ b/tests/test_core/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings are read with comments, and what is wrong is named exactly."""
+"""Settings may hold comments; errors name the line and key."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
         content = builders.build_settings(**changes)
         return self._read(json.dumps(content, indent=2))
 
-    def test_the_examples_are_good(self):
+    def test_the_examples_are_valid(self):
         for path in sorted(_EXAMPLES.glob("*.jsonc")):
             read = reader.read_settings(str(path), models.DaemonSettings)
             self.assertTrue(read.is_ok(), read)
@@ -36,17 +36,17 @@
         text = "// a comment\n" + text[:-1] + ", /* last */ }"
         self.assertTrue(self._read(text).is_ok())
 
-    def test_a_missing_file_is_named(self):
+    def test_a_missing_file_is_reported(self):
         read = reader.read_settings("/nonexistent", models.DaemonSettings)
         problem = read.error[0]
         self.assertEqual(results.ResultCode.SETTINGS_UNREADABLE, problem.code)
 
-    def test_broken_json_is_told_with_its_line(self):
+    def test_invalid_json_is_reported_with_its_line(self):
         problem = self._read('{\n  "partner": \n}').error[0]
         self.assertEqual(results.ResultCode.SETTINGS_SYNTAX, problem.code)
         self.assertEqual(3, problem.line)
 
-    def test_a_wrong_value_is_told_with_line_key_and_what_is_allowed(self):
+    def test_an_invalid_value_is_reported_with_line_key_and_range(self):
         problem = self._read_content(limits={"body_bytes": 0}).error[0]
         self.assertEqual("limits.body_bytes", problem.key)
         self.assertIn("greater than or equal to 1; found 0", problem.message)
@@ -59,7 +59,7 @@
         problem = self._read_content(colour="blue").error[0]
         self.assertEqual("colour", problem.key)
 
-    def test_all_problems_are_told_at_once(self):
+    def test_all_problems_are_reported_together(self):
         problems = self._read_content(zone="NO", signing_key="x").error
         self.assertEqual({"zone", "signing_key"}, {p.key for p in problems})
 
--- a/tests/test_core/test_signals.py
+++ b/tests/test_core/test_signals.py
@@ -1,4 +1,4 @@
-"""Each signal is acted on once, also one that came before."""
+"""Each signal is handled once, also if received before the handler ran."""
 
 from __future__ import annotations
 
@@ -12,7 +12,6 @@
 
 from martenquay_core.util import held_signals, signals
 
-# Ends a scenario that hangs.
 _HANG_S = 10.0
 
 
@@ -24,21 +23,21 @@
             self.addCleanup(signal.signal, number, before)
         self.held = held_signals.hold_signals()
         self.reloads = 0
-        self.insisted = 0
+        self.forced_stops = 0
         self.ended_at = 0.0
 
     def _reload(self) -> None:
         self.reloads += 1
 
-    def _insist(self) -> None:
-        self.insisted += 1
+    def _force_stop(self) -> None:
+        self.forced_stops += 1
 
     def _run(self, *numbers: signal.Signals) -> signals.SignalHandler:
         """Send signals to this process while a handler runs."""
 
         async def run() -> signals.SignalHandler:
             handler = signals.SignalHandler(
-                self.held, self._reload, self._insist
+                self.held, self._reload, self._force_stop
             )
             with trio.fail_after(_HANG_S):
                 async with trio.open_nursery() as nursery:
@@ -52,45 +51,45 @@
 
         return trio.run(run)
 
-    def test_held_signals_come_in_their_order_and_once(self) -> None:
+    def test_held_signals_are_returned_once_and_in_order(self) -> None:
         os.kill(os.getpid(), signal.SIGHUP)
         os.kill(os.getpid(), signal.SIGTERM)
         numbers = [held.number for held in self.held.take()]
         self.assertEqual([signal.SIGHUP, signal.SIGTERM], numbers)
         self.assertEqual([], self.held.take())
 
-    def test_a_stop_counts_from_when_its_signal_came(self) -> None:
+    def test_the_stop_time_is_when_the_signal_was_received(self) -> None:
         os.kill(os.getpid(), signal.SIGTERM)
         time.sleep(0.2)
         before = time.monotonic()
         handler = self._run()
-        took_s = time.monotonic() - before
+        elapsed_s = time.monotonic() - before
         age_s = self.ended_at - handler.stopped_at
         self.assertGreaterEqual(age_s, 0.2)
-        self.assertLess(age_s, 0.2 + took_s + 0.1)
+        self.assertLess(age_s, 0.2 + elapsed_s + 0.1)
 
-    def test_signals_from_before_are_obeyed(self) -> None:
+    def test_signals_received_before_the_handler_are_handled(self) -> None:
         os.kill(os.getpid(), signal.SIGHUP)
         os.kill(os.getpid(), signal.SIGTERM)
         handler = self._run()
         self.assertEqual(1, self.reloads)
         self.assertTrue(handler.stop.is_set())
 
-    def test_reloads_go_on_after_the_stop_was_asked_for(self) -> None:
+    def test_reloads_are_handled_after_a_stop_request(self) -> None:
         hangup, stop = signal.SIGHUP, signal.SIGTERM
         self._run(hangup, stop, hangup, stop, hangup)
         self.assertEqual(3, self.reloads)
-        self.assertEqual(0, self.insisted)
+        self.assertEqual(0, self.forced_stops)
 
-    def test_a_sigint_after_a_stop_was_asked_for_insists(self) -> None:
+    def test_a_sigint_after_a_stop_request_forces_the_stop(self) -> None:
         self._run(signal.SIGINT, signal.SIGTERM)
-        self.assertEqual(0, self.insisted)
+        self.assertEqual(0, self.forced_stops)
         self._run(signal.SIGTERM, signal.SIGINT)
-        self.assertEqual(1, self.insisted)
+        self.assertEqual(1, self.forced_stops)
         self._run(signal.SIGINT, signal.SIGINT)
-        self.assertEqual(2, self.insisted)
+        self.assertEqual(2, self.forced_stops)
 
-    def test_after_the_handler_signals_are_held_again(self) -> None:
+    def test_signals_are_held_again_after_the_handler_ends(self) -> None:
         self._run()
         os.kill(os.getpid(), signal.SIGHUP)
         (held,) = self.held.take()
--- a/tests/test_core/test_sockets.py
+++ b/tests/test_core/test_sockets.py
@@ -1,4 +1,4 @@
-"""Messages between daemons wait for a peer only where they should."""
+"""Messages are queued for an unreachable peer only where requested."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
         trio.run(run)
 
-    def test_without_a_peer_nothing_is_kept_for_later(self) -> None:
+    def test_messages_without_a_connection_are_refused(self) -> None:
         async def scenario(context) -> None:
             dealer = sockets.connect_dealer(
                 context, "127.0.0.1:1", waits_for_peer=False
@@ -35,10 +35,10 @@
 
         self._run(scenario)
 
-    def test_other_messages_wait_for_their_peer(self) -> None:
+    def test_queued_messages_are_sent_once_the_peer_listens(self) -> None:
         async def scenario(context) -> None:
-            # Bound and not listening: nobody else gets the port, and
-            # connections to it are refused.
+            # A bound socket that does not listen reserves the port and refuses
+            # connections.
             reserved = socket.socket()
             reserved.bind(("127.0.0.1", 0))
             address = f"127.0.0.1:{reserved.getsockname()[1]}"
