--- a/packages/core/src/martenquay_core/util/http.py
+++ b/packages/core/src/martenquay_core/util/http.py
@@ -166,7 +166,7 @@
 
         To be called once a new connection has shown that the server works.
         """
-        self._pools.cut_older()
+        self._pools.cancel_older_calls()
 
     @contextlib.asynccontextmanager
     async def stream(
--- a/packages/core/src/martenquay_core/util/pools.py
+++ b/packages/core/src/martenquay_core/util/pools.py
@@ -37,7 +37,7 @@
     def limit(
         self, timeout_s: float, *, may_be_cut: bool
     ) -> Iterator[trio.CancelScope]:
-        """Limit the time of a call; `cut` may cancel it earlier."""
+        """Limit the time of a call; `cancel_calls` may cancel it earlier."""
         with trio.move_on_after(timeout_s) as scope:
             if may_be_cut:
                 self._cancellable.add(scope)
@@ -46,7 +46,7 @@
             finally:
                 self._cancellable.discard(scope)
 
-    def cut(self) -> None:
+    def cancel_calls(self) -> None:
         """Cancel the calls that were begun with `may_be_cut`."""
         for scope in list(self._cancellable):
             scope.cancel()
@@ -81,10 +81,10 @@
             self._older.add(silent)
             self._newest = Generation(self._create_pool())
 
-    def cut_older(self) -> None:
+    def cancel_older_calls(self) -> None:
         """Cancel the cancellable calls on replaced pools."""
         for generation in self._older:
-            generation.cut()
+            generation.cancel_calls()
 
     async def close(self) -> None:
         """Close all pools."""
