--- a/packages/core/src/martenquay_core/serving/ports.py
+++ b/packages/core/src/martenquay_core/serving/ports.py
@@ -25,7 +25,7 @@
     "LogPort",
     "Page",
     "PlatformCodec",
-    "RunnerOrderLine",
+    "DesiredRunners",
     "Snapshot",
     "UsageReport",
 ]
@@ -143,7 +143,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class RunnerOrderLine:
+class DesiredRunners:
     """Desired number of a service's runners of one kind in one zone.
 
     Attributes:
@@ -175,7 +175,7 @@
         """Report a window's usage; return the HTTP status of the answer."""
 
     async def order_runners(
-        self, order: RunnerOrderLine, holder: str, fence: int
+        self, order: DesiredRunners, holder: str, fence: int
     ) -> Result[int, outcome.PlatformFailure]:
         """Order runners; return the HTTP status of the answer."""
 
--- a/packages/daemon/src/martenquay_daemon/duties/capacity_controller.py
+++ b/packages/daemon/src/martenquay_daemon/duties/capacity_controller.py
@@ -319,7 +319,7 @@
             return
         last_order.note_sent(wanted)
         answer = await self._parts.cloud.order_runners(
-            ports.RunnerOrderLine(
+            ports.DesiredRunners(
                 service, order.zone, order.is_reclaimable, wanted
             ),
             self._parts.holder,
--- a/packages/standins/src/martenquay_standins/ports/cloud.py
+++ b/packages/standins/src/martenquay_standins/ports/cloud.py
@@ -26,7 +26,7 @@
         fence: With which fence.
     """
 
-    content: ports.UsageReport | ports.RunnerOrderLine
+    content: ports.UsageReport | ports.DesiredRunners
     holder: str
     fence: int
 
@@ -55,7 +55,7 @@
         return await self._take(Received(report, holder, fence), _OK)
 
     async def order_runners(
-        self, order: ports.RunnerOrderLine, holder: str, fence: int
+        self, order: ports.DesiredRunners, holder: str, fence: int
     ) -> Result[int, outcome.PlatformFailure]:
         """Take an order, or refuse it while there are none."""
         refused = order.is_reclaimable and not self.has_reclaimable
@@ -70,12 +70,12 @@
             if isinstance(call.content, ports.UsageReport)
         ]
 
-    def list_orders(self) -> list[ports.RunnerOrderLine]:
+    def list_orders(self) -> list[ports.DesiredRunners]:
         """Return the orders, in order."""
         return [
             call.content
             for call in self.received
-            if isinstance(call.content, ports.RunnerOrderLine)
+            if isinstance(call.content, ports.DesiredRunners)
         ]
 
     async def _take(
--- a/tests/serving_builders.py
+++ b/tests/serving_builders.py
@@ -229,7 +229,7 @@
     return settings | changes
 
 
-def build_order(**changes: Any) -> ports.RunnerOrderLine:
+def build_order(**changes: Any) -> ports.DesiredRunners:
     """Return an order of one reclaimable runner."""
     fields: dict[str, Any] = {
         "service": "model",
@@ -237,7 +237,7 @@
         "is_reclaimable": True,
         "wanted": 1,
     }
-    return ports.RunnerOrderLine(**(fields | changes))
+    return ports.DesiredRunners(**(fields | changes))
 
 
 class FakeRecords:
