--- a/packages/core/src/martenquay_core/serving/ports.py
+++ b/packages/core/src/martenquay_core/serving/ports.py
@@ -188,7 +188,7 @@
     ) -> calls.Call:
         """Decode a caller's request, without its body."""
 
-    def encode_order(
+    def encode_attempt(
         self, call: calls.Call, order: calls.RunnerOrder
     ) -> calls.Headers:
         """Return the request headers for one attempt at a runner."""
--- a/packages/daemon/src/martenquay_daemon/forwarding/attempt.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/attempt.py
@@ -253,7 +253,7 @@
         return connections.RunnerRequest(
             call.method,
             call.target,
-            self._codec.encode_order(call, order),
+            self._codec.encode_attempt(call, order),
             call.body,
         )
 
--- a/tests/test_platform/test_codec.py
+++ b/tests/test_platform/test_codec.py
@@ -55,7 +55,7 @@
 
     def test_the_runner_sees_neither_the_key_nor_a_forged_team(self) -> None:
         order = calls.RunnerOrder("i-1", 1.5, team="florists", urgency=2)
-        sent = dict(self.codec.encode_order(self.call, order))
+        sent = dict(self.codec.encode_attempt(self.call, order))
         self.assertNotIn(b"authorization", sent)
         self.assertEqual(b"florists", sent[b"tenant"])
         self.assertEqual(b"i-1", sent[b"expect-instance"])
@@ -65,20 +65,22 @@
             # Sent twice: neither may slip through.
             asked = [*_HEADERS, (name, b"forged"), (name, b"forged")]
             call = self.codec.decode_call("GET", "/", asked)
-            sent = self.codec.encode_order(call, calls.RunnerOrder("i-1", 1.5))
+            sent = self.codec.encode_attempt(
+                call, calls.RunnerOrder("i-1", 1.5)
+            )
             self.assertNotIn((name, b"forged"), sent)
 
     def test_a_stream_goes_on_after_the_last_event_delivered(self) -> None:
         asked = self.call.resume_after
         for last in (asked, 15):
             order = calls.RunnerOrder("i-1", 1.5, resume_after=last)
-            sent = self.codec.encode_order(self.call, order)
+            sent = self.codec.encode_attempt(self.call, order)
             found = [value for name, value in sent if name == b"last-event-id"]
             self.assertEqual([b"%d" % last], found)
 
     def test_what_concerns_one_connection_stays_there(self) -> None:
         order = calls.RunnerOrder("i-1", 1.5)
-        sent = dict(self.codec.encode_order(self.call, order))
+        sent = dict(self.codec.encode_attempt(self.call, order))
         self.assertNotIn(b"x-private", sent)
         self.assertNotIn(b"connection", sent)
         self.assertEqual(b"yes", sent[b"x-kept"])
@@ -86,7 +88,7 @@
 
     def test_the_time_passed_on_is_never_rounded_up(self) -> None:
         order = calls.RunnerOrder("i-1", 0.4999)
-        sent = dict(self.codec.encode_order(self.call, order))
+        sent = dict(self.codec.encode_attempt(self.call, order))
         self.assertEqual(b"499", sent[b"deadline-ms"])
 
     def test_a_caller_without_a_key_has_none(self) -> None:
