--- a/packages/core/src/martenquay_core/serving/calls.py
+++ b/packages/core/src/martenquay_core/serving/calls.py
@@ -11,7 +11,7 @@
     "Call",
     "Headers",
     "PromptPart",
-    "RunnerOrder",
+    "AttemptOptions",
 ]
 
 # Header names are in lower case, as h11 returns them.
@@ -71,7 +71,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class RunnerOrder:
+class AttemptOptions:
     """What a daemon adds to a request for one attempt at one runner.
 
     Attributes:
--- a/packages/daemon/src/martenquay_daemon/forwarding/attempt.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/attempt.py
@@ -243,7 +243,7 @@
         self, current: exchange.Exchange, placement: placer.Placement
     ) -> connections.RunnerRequest:
         call = current.call
-        order = calls.RunnerOrder(
+        order = calls.AttemptOptions(
             runner_id=placement.runner.id,
             budget_s=max(0.0, current.deadline - trio.current_time()),
             team=current.team and current.team.name,
--- a/tests/test_platform/test_codec.py
+++ b/tests/test_platform/test_codec.py
@@ -54,7 +54,7 @@
         self.assertEqual(12, self.call.resume_after)
 
     def test_the_runner_sees_neither_the_key_nor_a_forged_team(self) -> None:
-        order = calls.RunnerOrder("i-1", 1.5, team="florists", urgency=2)
+        order = calls.AttemptOptions("i-1", 1.5, team="florists", urgency=2)
         sent = dict(self.codec.encode_attempt(self.call, order))
         self.assertNotIn(b"authorization", sent)
         self.assertEqual(b"florists", sent[b"tenant"])
@@ -66,20 +66,20 @@
             asked = [*_HEADERS, (name, b"forged"), (name, b"forged")]
             call = self.codec.decode_call("GET", "/", asked)
             sent = self.codec.encode_attempt(
-                call, calls.RunnerOrder("i-1", 1.5)
+                call, calls.AttemptOptions("i-1", 1.5)
             )
             self.assertNotIn((name, b"forged"), sent)
 
     def test_a_stream_goes_on_after_the_last_event_delivered(self) -> None:
         asked = self.call.resume_after
         for last in (asked, 15):
-            order = calls.RunnerOrder("i-1", 1.5, resume_after=last)
+            order = calls.AttemptOptions("i-1", 1.5, resume_after=last)
             sent = self.codec.encode_attempt(self.call, order)
             found = [value for name, value in sent if name == b"last-event-id"]
             self.assertEqual([b"%d" % last], found)
 
     def test_what_concerns_one_connection_stays_there(self) -> None:
-        order = calls.RunnerOrder("i-1", 1.5)
+        order = calls.AttemptOptions("i-1", 1.5)
         sent = dict(self.codec.encode_attempt(self.call, order))
         self.assertNotIn(b"x-private", sent)
         self.assertNotIn(b"connection", sent)
@@ -87,7 +87,7 @@
         self.assertEqual(b"9c41", sent[b"attempt-id"])
 
     def test_the_time_passed_on_is_never_rounded_up(self) -> None:
-        order = calls.RunnerOrder("i-1", 0.4999)
+        order = calls.AttemptOptions("i-1", 0.4999)
         sent = dict(self.codec.encode_attempt(self.call, order))
         self.assertEqual(b"499", sent[b"deadline-ms"])
 
