--- a/packages/core/src/martenquay_core/util/http.py
+++ b/packages/core/src/martenquay_core/util/http.py
@@ -124,7 +124,7 @@
         headers: Headers | None = None,
         body: bytes = b"",
         timeout_s: float = _DEFAULT_TIMEOUT_S,
-        may_be_cut: bool = False,
+        is_cancellable: bool = False,
     ) -> Result[Answer, CallFailure]:
         """Send one request and read the whole response; never retries.
 
@@ -134,12 +134,12 @@
             headers: Request headers.
             body: Request body.
             timeout_s: Timeout of the whole call.
-            may_be_cut: `cut_silent` may cancel the call; only for requests
+            is_cancellable: `cut_silent` may cancel the call; only for requests
                 that may be repeated.
         """
         async with self._pools.use() as generation:
             try:
-                with generation.limit(timeout_s, may_be_cut=may_be_cut):
+                with generation.limit(timeout_s, is_cancellable=is_cancellable):
                     response = await generation.pool.request(
                         method,
                         url,
--- a/packages/core/src/martenquay_core/util/pools.py
+++ b/packages/core/src/martenquay_core/util/pools.py
@@ -35,11 +35,11 @@
 
     @contextlib.contextmanager
     def limit(
-        self, timeout_s: float, *, may_be_cut: bool
+        self, timeout_s: float, *, is_cancellable: bool
     ) -> Iterator[trio.CancelScope]:
         """Limit the time of a call; `cancel_calls` may cancel it earlier."""
         with trio.move_on_after(timeout_s) as scope:
-            if may_be_cut:
+            if is_cancellable:
                 self._cancellable.add(scope)
             try:
                 yield scope
@@ -47,7 +47,7 @@
                 self._cancellable.discard(scope)
 
     def cancel_calls(self) -> None:
-        """Cancel the calls that were begun with `may_be_cut`."""
+        """Cancel the calls that were begun with `is_cancellable`."""
         for scope in list(self._cancellable):
             scope.cancel()
 
