--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -235,7 +235,7 @@
     Mutation(
         "silent long polls are cut",
         "platform/src/martenquay_platform/log.py",
-        "            self._client.cut_silent()\n",
+        "            self._client.cancel_stale_calls()\n",
         "            pass\n",
         _SILENT_STORE,
     ),
--- a/packages/core/src/martenquay_core/util/http.py
+++ b/packages/core/src/martenquay_core/util/http.py
@@ -134,8 +134,8 @@
             headers: Request headers.
             body: Request body.
             timeout_s: Timeout of the whole call.
-            is_cancellable: `cut_silent` may cancel the call; only for requests
-                that may be repeated.
+            is_cancellable: `cancel_stale_calls` may cancel the call; only for
+                requests that may be repeated.
         """
         async with self._pools.use() as generation:
             try:
@@ -161,7 +161,7 @@
         message = f"no answer in {timeout_s:.3f} s or before it was cut"
         return Error(CallFailure(sent=True, message=message, is_silent=True))
 
-    def cut_silent(self) -> None:
+    def cancel_stale_calls(self) -> None:
         """Cancel the cancellable calls on replaced connections.
 
         To be called once a new connection has shown that the server works.
