--- a/packages/core/src/martenquay_core/serving/ports.py
+++ b/packages/core/src/martenquay_core/serving/ports.py
@@ -189,7 +189,7 @@
         """Decode a caller's request, without its body."""
 
     def encode_attempt(
-        self, call: calls.Call, order: calls.AttemptOptions
+        self, call: calls.Call, options: calls.AttemptOptions
     ) -> calls.Headers:
         """Return the request headers for one attempt at a runner."""
 
--- a/packages/daemon/src/martenquay_daemon/forwarding/attempt.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/attempt.py
@@ -243,7 +243,7 @@
         self, current: exchange.Exchange, placement: placer.Placement
     ) -> connections.RunnerRequest:
         call = current.call
-        order = calls.AttemptOptions(
+        options = calls.AttemptOptions(
             runner_id=placement.runner.id,
             budget_s=max(0.0, current.deadline - trio.current_time()),
             team=current.team and current.team.name,
@@ -253,7 +253,7 @@
         return connections.RunnerRequest(
             call.method,
             call.target,
-            self._codec.encode_attempt(call, order),
+            self._codec.encode_attempt(call, options),
             call.body,
         )
 
--- a/tests/test_platform/test_codec.py
+++ b/tests/test_platform/test_codec.py
@@ -54,8 +54,8 @@
         self.assertEqual(12, self.call.resume_after)
 
     def test_the_runner_sees_neither_the_key_nor_a_forged_team(self) -> None:
-        order = calls.AttemptOptions("i-1", 1.5, team="florists", urgency=2)
-        sent = dict(self.codec.encode_attempt(self.call, order))
+        options = calls.AttemptOptions("i-1", 1.5, team="florists", urgency=2)
+        sent = dict(self.codec.encode_attempt(self.call, options))
         self.assertNotIn(b"authorization", sent)
         self.assertEqual(b"florists", sent[b"tenant"])
         self.assertEqual(b"i-1", sent[b"expect-instance"])
@@ -73,22 +73,22 @@
     def test_a_stream_goes_on_after_the_last_event_delivered(self) -> None:
         asked = self.call.resume_after
         for last in (asked, 15):
-            order = calls.AttemptOptions("i-1", 1.5, resume_after=last)
-            sent = self.codec.encode_attempt(self.call, order)
+            options = calls.AttemptOptions("i-1", 1.5, resume_after=last)
+            sent = self.codec.encode_attempt(self.call, options)
             found = [value for name, value in sent if name == b"last-event-id"]
             self.assertEqual([b"%d" % last], found)
 
     def test_what_concerns_one_connection_stays_there(self) -> None:
-        order = calls.AttemptOptions("i-1", 1.5)
-        sent = dict(self.codec.encode_attempt(self.call, order))
+        options = calls.AttemptOptions("i-1", 1.5)
+        sent = dict(self.codec.encode_attempt(self.call, options))
         self.assertNotIn(b"x-private", sent)
         self.assertNotIn(b"connection", sent)
         self.assertEqual(b"yes", sent[b"x-kept"])
         self.assertEqual(b"9c41", sent[b"attempt-id"])
 
     def test_the_time_passed_on_is_never_rounded_up(self) -> None:
-        order = calls.AttemptOptions("i-1", 0.4999)
-        sent = dict(self.codec.encode_attempt(self.call, order))
+        options = calls.AttemptOptions("i-1", 0.4999)
+        sent = dict(self.codec.encode_attempt(self.call, options))
         self.assertEqual(b"499", sent[b"deadline-ms"])
 
     def test_a_caller_without_a_key_has_none(self) -> None:
