--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -155,7 +155,7 @@
         """Listen and serve the links until cancelled."""
         router = sockets.bind_router(self._context, self._own_address.address)
         self.address = self._announced or router.address
-        self._zone.move_to(self.address)
+        self._zone.set_own_address(self.address)
         try:
             async with trio.open_nursery() as nursery:
                 self._nursery = nursery
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
@@ -120,7 +120,7 @@
         self._has_chosen = False
         self._sole_since = math.inf
 
-    def move_to(self, address: str) -> None:
+    def set_own_address(self, address: str) -> None:
         """Note where this daemon can be reached, once that is known."""
         self._place = dataclasses.replace(self._place, address=address)
         self._board.own_address = address
