--- a/packages/core/src/martenquay_core/serving/ports.py
+++ b/packages/core/src/martenquay_core/serving/ports.py
@@ -96,7 +96,7 @@
 class LogPort(Protocol):
     """Client of the platform's log."""
 
-    def move_to(self, address: str) -> None:
+    def set_address(self, address: str) -> None:
         """Make later calls at another address."""
 
     async def read(
@@ -166,7 +166,7 @@
     platform can refuse a former holder.
     """
 
-    def move_to(self, address: str) -> None:
+    def set_address(self, address: str) -> None:
         """Make later calls at another address."""
 
     async def report_usage(
--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -120,9 +120,9 @@
         self._units.bounds = _find_tolerance(bounds)
         self._units.rights.window_s = bounds.allowance_window_s
         if settings.platform.log:
-            self._ports.log.move_to(settings.platform.log)
+            self._ports.log.set_address(settings.platform.log)
         if self._ports.cloud is not None and settings.platform.cloud:
-            self._ports.cloud.move_to(settings.platform.cloud)
+            self._ports.cloud.set_address(settings.platform.cloud)
 
     def find_retry_bounds(self) -> retry_window.RetryBounds:
         """Return how much may be sent again now."""
--- a/packages/standins/src/martenquay_standins/ports/cloud.py
+++ b/packages/standins/src/martenquay_standins/ports/cloud.py
@@ -45,7 +45,7 @@
         self.is_lossy = False
         self.has_reclaimable = True
 
-    def move_to(self, address: str) -> None:
+    def set_address(self, address: str) -> None:
         """Do nothing: there is one address only."""
 
     async def report_usage(
--- a/packages/standins/src/martenquay_standins/ports/log.py
+++ b/packages/standins/src/martenquay_standins/ports/log.py
@@ -72,7 +72,7 @@
         self._late: list[_Append] = []
         self._news = trio.Event()
 
-    def move_to(self, address: str) -> None:
+    def set_address(self, address: str) -> None:
         """Do nothing: there is one address only."""
 
     async def read(
