--- a/packages/core/src/martenquay_core/util/http.py
+++ b/packages/core/src/martenquay_core/util/http.py
@@ -37,7 +37,7 @@
     struct.pack("ii", 1, 0),
 )
 # Finds dead connections that are idle or in a long poll within 3 s.
-_KEEPALIVE = keepalive.KeepAlive(idle_s=1, asks=2)
+_KEEPALIVE = keepalive.KeepAlive(idle_s=1, probes=2)
 _DEFAULT_TIMEOUT_S = 10.0
 _MAX_CONNECTIONS = 1000
 _IDLE_EXPIRY_S = 4.0
--- a/packages/core/src/martenquay_core/util/keepalive.py
+++ b/packages/core/src/martenquay_core/util/keepalive.py
@@ -19,15 +19,15 @@
     """When TCP keep-alive closes a silent connection.
 
     The kernel counts in whole seconds and checks only when it sends a probe,
-    so a silent connection closes after `idle_s + asks` seconds.
+    so a silent connection closes after `idle_s + probes` seconds.
 
     Attributes:
         idle_s: Seconds without data until the first probe.
-        asks: Number of probes, one a second; a single one could be lost.
+        probes: Number of probes, one a second; a single one could be lost.
     """
 
     idle_s: int
-    asks: int
+    probes: int
 
     @property
     def unacknowledged_s(self) -> float:
@@ -36,7 +36,7 @@
         TCP_USER_TIMEOUT also overrides the probe count, so it must lie in
         the second after the last probe.
         """
-        return self.idle_s + self.asks - 0.5
+        return self.idle_s + self.probes - 0.5
 
 
 def list_options(limits: KeepAlive) -> list[tuple[int, int, int]]:
@@ -46,7 +46,7 @@
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
         (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, limits.idle_s),
         (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, limits.asks),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, limits.probes),
         (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, wait_ms),
     ]
 
--- a/packages/daemon/src/martenquay_daemon/forwarding/listener.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/listener.py
@@ -29,7 +29,7 @@
 # A caller that waits for its answer says nothing. One that is gone without a
 # word must not keep runners at work, nor hold a descriptor until its answer is
 # due. It may be far away: found out after 6 s, three asks may be lost.
-_SILENCE = keepalive.KeepAlive(idle_s=3, asks=3)
+_SILENCE = keepalive.KeepAlive(idle_s=3, probes=3)
 _ACCEPT_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS})
 
 
--- a/packages/daemon/src/martenquay_daemon/forwarding/runner_connection.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/runner_connection.py
@@ -41,7 +41,7 @@
 # A runner that works says nothing for long, so only the kernel can tell; its
 # machine answers in a few ms. Found out after 3 s: two asks may be lost on a
 # bad way once in a thousand times, a request must not be given up for one.
-_SILENCE = keepalive.KeepAlive(idle_s=1, asks=2)
+_SILENCE = keepalive.KeepAlive(idle_s=1, probes=2)
 
 
 class NotConnectedError(Exception):
