--- a/packages/core/src/martenquay_core/serving/signals.py
+++ b/packages/core/src/martenquay_core/serving/signals.py
@@ -19,14 +19,14 @@
         is_leaving: The runner is draining and accepts no new requests.
         rest_s: Backoff in seconds that the runner asks of this daemon when
             it rejects a request; None if the answer has none.
-        is_rest_unreadable: The backoff is not a number of seconds.
+        is_backoff_unreadable: The backoff is not a number of seconds.
     """
 
     limit_per_s: float | None = None
     is_limit_unreadable: bool = False
     is_leaving: bool = False
     rest_s: float | None = None
-    is_rest_unreadable: bool = False
+    is_backoff_unreadable: bool = False
 
 
 NO_SIGNALS = RunnerSignals()
--- a/packages/daemon/src/martenquay_daemon/backpressure/runner_admission.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/runner_admission.py
@@ -75,7 +75,7 @@
         self._limits.note_answer(runner, reported, sent_at)
         if reported.is_leaving:
             self._drains.note_answer(runner)
-        if reported.is_rest_unreadable:
+        if reported.is_backoff_unreadable:
             _LOG.write(
                 f"Runner {runner.id} sent a backoff time that is not a number.",
                 runner=runner.id,
--- a/tests/test_platform/test_codec.py
+++ b/tests/test_platform/test_codec.py
@@ -199,7 +199,7 @@
             for status in (429, 503):
                 told = decode(status, [refused, *lines]).signals
                 self.assertEqual(rest_s, told.rest_s, texts)
-                self.assertEqual(rest_s is None, told.is_rest_unreadable)
+                self.assertEqual(rest_s is None, told.is_backoff_unreadable)
 
     def test_what_has_run_or_may_have_asks_for_no_rest(self) -> None:
         decode = codec.create_codec().decode_answer
