--- a/packages/core/src/martenquay_core/serving/signals.py
+++ b/packages/core/src/martenquay_core/serving/signals.py
@@ -17,7 +17,7 @@
         is_limit_unreadable: The limit is not a number, so the answer neither
             sets a limit nor lifts one.
         is_leaving: The runner is draining and accepts no new requests.
-        rest_s: Backoff in seconds that the runner asks of this daemon when
+        backoff_s: Backoff in seconds that the runner asks of this daemon when
             it rejects a request; None if the answer has none.
         is_backoff_unreadable: The backoff is not a number of seconds.
     """
@@ -25,7 +25,7 @@
     limit_per_s: float | None = None
     is_limit_unreadable: bool = False
     is_leaving: bool = False
-    rest_s: float | None = None
+    backoff_s: float | None = None
     is_backoff_unreadable: bool = False
 
 
--- a/packages/daemon/src/martenquay_daemon/backpressure/runner_admission.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/runner_admission.py
@@ -80,8 +80,8 @@
                 f"Runner {runner.id} sent a backoff time that is not a number.",
                 runner=runner.id,
             )
-        if reported.rest_s is not None:
-            self._backoffs.note_rejection(runner, reported.rest_s)
+        if reported.backoff_s is not None:
+            self._backoffs.note_rejection(runner, reported.backoff_s)
         elif not head.did_not_run:
             self._backoffs.note_answer(runner, sent_at)
 
--- a/packages/daemon/src/martenquay_daemon/forwarding/request_lines.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/request_lines.py
@@ -63,7 +63,7 @@
             has_runner_ended=current.has_runner_ended,
             runner_limit_per_s=current.told.limit_per_s,
             runner_leaves=current.told.is_leaving or None,
-            runner_rest_s=current.told.rest_s,
+            runner_rest_s=current.told.backoff_s,
         )
 
     def note_departure(self, current: exchange.Exchange) -> None:
--- a/tests/test_backpressure/test_runner_admission.py
+++ b/tests/test_backpressure/test_runner_admission.py
@@ -14,7 +14,7 @@
 _RUNNER = builders.build_runner(born_ms=7)
 _LIMIT_SIGNALS = signals.RunnerSignals(limit_per_s=2.0)
 _DRAIN_SIGNALS = signals.RunnerSignals(is_leaving=True)
-_BACKOFF_SIGNALS = signals.RunnerSignals(rest_s=3.0)
+_BACKOFF_SIGNALS = signals.RunnerSignals(backoff_s=3.0)
 
 
 def _note_answer(
@@ -96,7 +96,7 @@
     def test_an_infinite_backoff_gives_no_retry_time(self) -> None:
         async def scenario() -> None:
             admission = builders.build_runner_admission()
-            endless = signals.RunnerSignals(rest_s=math.inf)
+            endless = signals.RunnerSignals(backoff_s=math.inf)
             _note_answer(admission, endless, did_not_run=True)
             self.assertIsNone(admission.find_retry_s([_RUNNER]))
 
--- a/tests/test_platform/test_codec.py
+++ b/tests/test_platform/test_codec.py
@@ -184,7 +184,7 @@
     def test_a_refusal_may_ask_for_rest(self) -> None:
         decode = codec.create_codec().decode_answer
         refused = (b"not-executed", b"1")
-        for texts, rest_s in [
+        for texts, backoff_s in [
             ([b"3"], 3.0),
             ([b"0.25"], 0.25),
             ([b"0"], 0.0),
@@ -198,8 +198,8 @@
             lines = [(b"retry-after", text) for text in texts]
             for status in (429, 503):
                 told = decode(status, [refused, *lines]).signals
-                self.assertEqual(rest_s, told.rest_s, texts)
-                self.assertEqual(rest_s is None, told.is_backoff_unreadable)
+                self.assertEqual(backoff_s, told.backoff_s, texts)
+                self.assertEqual(backoff_s is None, told.is_backoff_unreadable)
 
     def test_what_has_run_or_may_have_asks_for_no_rest(self) -> None:
         decode = codec.create_codec().decode_answer
--- a/tests/test_platform/test_fields.py
+++ b/tests/test_platform/test_fields.py
@@ -112,4 +112,4 @@
         self.assertTrue(head.is_sealed and head.did_not_run)
         self.assertEqual(2.0, head.signals.limit_per_s)
         self.assertTrue(head.signals.is_leaving)
-        self.assertEqual(3.0, head.signals.rest_s)
+        self.assertEqual(3.0, head.signals.backoff_s)
