--- a/packages/core/src/martenquay_core/util/line_writer.py
+++ b/packages/core/src/martenquay_core/util/line_writer.py
@@ -47,7 +47,7 @@
             read_clock: Returns the time in seconds.
             unlimited_kinds: Kinds without a rate limit. They must not be
                 written for events that others can repeat at will, such as
-                requests.
+                signals or requests.
         """
         self._descriptor = descriptor
         self._read_clock = read_clock
