--- a/packages/core/src/martenquay_core/settings/reader.py
+++ b/packages/core/src/martenquay_core/settings/reader.py
@@ -1,4 +1,4 @@
-"""Read a settings file and say exactly what is wrong with it."""
+"""Read and validate a settings file; report errors with file and line."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class SettingsProblem:
-    """One thing that is wrong.
+    """One error in a settings file.
 
     Attributes:
-        code: The numbered result.
-        file: The file's name.
-        line: The line, from 1; 0 where there is none.
-        key: The setting, as a path with dots; empty for the whole file.
+        code: Result code.
+        file: Name of the file.
+        line: Line number from 1; 0 if the error has none.
+        key: Dotted path of the setting; empty for the whole file.
         message: What is wrong and what is allowed.
     """
 
@@ -45,7 +45,7 @@
 def read_settings(
     path: str, model: type[Model]
 ) -> Result[Model, list[SettingsProblem]]:
-    """Read and check a file; all problems are returned together."""
+    """Read and validate a file; return the settings or all problems."""
     try:
         text = pathlib.Path(path).read_text("utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -59,65 +59,68 @@
         return Error([SettingsProblem(code, path, error.lineno, "", message)])
     if issubclass(model, msgspec.Struct):
         return structs.check_struct(content, model).map_error(
-            lambda found: [
-                _describe(path, text, one.place, one.message) for one in found
+            lambda problems: [
+                _describe(path, text, problem.key_path, problem.message)
+                for problem in problems
             ]
         )
     return _check_model(path, text, content, model)
 
 
 def describe_problem(problem: SettingsProblem) -> str:
-    """Return one line for a person."""
-    place = f"{problem.file}:{problem.line}" if problem.line else problem.file
+    """Format a problem as one line."""
+    location = (
+        f"{problem.file}:{problem.line}" if problem.line else problem.file
+    )
     key = f" {problem.key}:" if problem.key else ""
-    return f"{place}:{key} {problem.message} ({problem.code.value})"
+    return f"{location}:{key} {problem.message} ({problem.code.value})"
 
 
 def _check_model(
     path: str, text: str, content: Any, model: type[pydantic.BaseModel]
 ) -> Result[pydantic.BaseModel, list[SettingsProblem]]:
-    # Not every daemon has settings of this kind, and it takes 0.1 s.
+    # Importing pydantic is slow, and daemons with msgspec settings need none.
     import pydantic  # noqa: PLC0415
 
     try:
         return Ok(model.model_validate(content))
     except pydantic.ValidationError as error:
-        return Error([_locate(path, text, part) for part in error.errors()])
+        return Error([_locate(path, text, detail) for detail in error.errors()])
 
 
-def _locate(path: str, text: str, part: Any) -> SettingsProblem:
-    message = part["msg"]
-    if part["type"] != "missing" and not isinstance(part["input"], dict):
-        message += f"; found {part['input']!r}"
-    return _describe(path, text, part["loc"], message)
+def _locate(path: str, text: str, detail: Any) -> SettingsProblem:
+    message = detail["msg"]
+    if detail["type"] != "missing" and not isinstance(detail["input"], dict):
+        message += f"; found {detail['input']!r}"
+    return _describe(path, text, detail["loc"], message)
 
 
 def _describe(
-    path: str, text: str, place: tuple[int | str, ...], message: str
+    path: str, text: str, key_path: tuple[int | str, ...], message: str
 ) -> SettingsProblem:
     return SettingsProblem(
         results.ResultCode.SETTINGS_INVALID,
         path,
-        _find_line(text, place),
-        ".".join(str(word) for word in place),
+        _find_line(text, key_path),
+        ".".join(str(key) for key in key_path),
         message,
     )
 
 
-def _find_line(text: str, place: tuple[int | str, ...]) -> int:
-    """Return the line of a key by following its path through the text.
+def _find_line(text: str, key_path: tuple[int | str, ...]) -> int:
+    """Return the line number of a key by searching for its path in the text.
 
-    The JSON library keeps no positions. Keys are looked for in their order,
-    so a key that a comment repeats can lead to a line nearby.
+    The JSON library keeps no positions. A key that also occurs in a comment
+    may give the comment's line.
     """
     position = 0
-    for word in place:
-        if isinstance(word, int):
-            for _ in range(word + 1):
+    for key in key_path:
+        if isinstance(key, int):
+            for _ in range(key + 1):
                 found = text.find("{", position + 1)
                 position = found if found >= 0 else position
             continue
-        found = re.search(rf'"{re.escape(word)}"\s*:', text[position:])
+        found = re.search(rf'"{re.escape(key)}"\s*:', text[position:])
         if found:
             position += found.start()
-    return text.count("\n", 0, position) + 1 if place else 0
+    return text.count("\n", 0, position) + 1 if key_path else 0
--- a/packages/core/src/martenquay_core/util/http.py
+++ b/packages/core/src/martenquay_core/util/http.py
@@ -1,4 +1,4 @@
-"""Call HTTP servers through httpcore and type what can go wrong."""
+"""HTTP client on httpcore that returns failures as values."""
 
 from __future__ import annotations
 
@@ -26,22 +26,21 @@
     "open_client",
 ]
 
-# Without it, small writes wait up to 40 ms for the peer's delayed ACK.
+# Without it, small writes wait for the peer's delayed ACK (up to 40 ms).
 _SOCKET_OPTIONS = [(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)]
-# Closing then resets the connection. What a cut holds up on it is dropped;
-# otherwise the kernel would deliver it when the cut heals, long after the
-# caller has given the call up.
+# Makes close() reset the connection and drop unsent data. Otherwise the kernel
+# would deliver a request after a network partition, long after the call has
+# timed out.
 _RESET_ON_CLOSE = (
     socket.SOL_SOCKET,
     socket.SO_LINGER,
     struct.pack("ii", 1, 0),
 )
-# For connections on which nothing is under way or a call waits long, both
-# silent by nature: gone after 3 s. Calls have limits of their own.
-_SILENCE = keepalive.KeepAlive(idle_s=1, asks=2)
+# Finds dead connections that are idle or in a long poll within 3 s.
+_KEEPALIVE = keepalive.KeepAlive(idle_s=1, probes=2)
 _DEFAULT_TIMEOUT_S = 10.0
 _MAX_CONNECTIONS = 1000
-_KEEPALIVE_S = 4.0
+_IDLE_EXPIRY_S = 4.0
 
 Content = TypeVar("Content")
 Headers = list[tuple[bytes, bytes]]
@@ -49,12 +48,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Answer:
-    """A whole HTTP answer.
+    """A complete HTTP response.
 
     Attributes:
-        status: The HTTP status.
+        status: HTTP status.
         headers: Header names, in lower case, and values.
-        body: The whole body.
+        body: The complete body.
     """
 
     status: int
@@ -64,13 +63,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class CallFailure:
-    """Why no answer came.
+    """Why a call has no usable response.
 
     Attributes:
-        sent: False only if no byte of the request left this process, so
-            that the other side certainly did not run it.
-        message: What the library said.
-        is_silent: Nothing came, not even a reset.
+        sent: False only if no byte of the request was sent, so that the
+            server cannot have run it.
+        message: Description of the failure.
+        is_silent: Nothing was received, not even a connection reset.
     """
 
     sent: bool
@@ -79,10 +78,10 @@
 
 
 class StreamedAnswer:
-    """An answer whose body is read in pieces as they come.
+    """A response whose body is read as it arrives.
 
     Attributes:
-        status: The HTTP status.
+        status: HTTP status.
         headers: Header names, in lower case, and values.
     """
 
@@ -92,30 +91,30 @@
         self._response = response
 
     async def iterate_lines(self) -> AsyncIterator[bytes]:
-        """Yield each line of the body without its end.
+        """Yield each non-empty line of the body without its line feed.
 
         Raises:
             httpcore.NetworkError: The connection broke.
-            httpcore.ProtocolError: The body ended early.
+            httpcore.ProtocolError: The body is incomplete.
         """
-        rest = b""
+        incomplete = b""
         async for piece in self._response.aiter_stream():
-            *lines, rest = (rest + piece).split(b"\n")
+            *lines, incomplete = (incomplete + piece).split(b"\n")
             for line in lines:
                 if line:
                     yield line
-        if rest:
-            yield rest
+        if incomplete:
+            yield incomplete
 
 
 class HttpClient:
-    """Call HTTP servers; each call has one time limit for all of it.
+    """Calls HTTP servers with one timeout for each whole call.
 
-    After a call without an answer, later ones get new connections.
+    After a call that timed out, later calls use new connections.
     """
 
-    def __init__(self, keeper: pools.PoolManager) -> None:
-        self._keeper = keeper
+    def __init__(self, pool_manager: pools.PoolManager) -> None:
+        self._pools = pool_manager
 
     async def call(
         self,
@@ -125,27 +124,28 @@
         headers: Headers | None = None,
         body: bytes = b"",
         timeout_s: float = _DEFAULT_TIMEOUT_S,
-        may_be_cut: bool = False,
+        is_cancellable: bool = False,
     ) -> Result[Answer, CallFailure]:
-        """Send one request and read the whole answer; never sends twice.
+        """Send one request and read the whole response; never retries.
 
         Args:
-            method: The HTTP method.
-            url: Where to.
-            headers: The request's headers.
-            body: The request's body.
-            timeout_s: The time for all of it.
-            may_be_cut: `cut_silent` may end it; for what may be repeated.
+            method: HTTP method.
+            url: URL to call.
+            headers: Request headers.
+            body: Request body.
+            timeout_s: Timeout of the whole call.
+            is_cancellable: `cancel_stale_calls` may cancel the call; only for
+                requests that may be repeated.
         """
-        async with self._keeper.use() as generation:
+        async with self._pools.use() as generation:
             try:
-                with generation.limit(timeout_s, may_be_cut=may_be_cut):
+                with generation.limit(timeout_s, is_cancellable=is_cancellable):
                     response = await generation.pool.request(
                         method,
                         url,
                         headers=headers or [],
                         content=body,
-                        extensions=_limit_connect(timeout_s),
+                        extensions=_create_timeouts(timeout_s),
                     )
                     names = _lower_names(response.headers)
                     return Ok(Answer(response.status, names, response.content))
@@ -157,16 +157,16 @@
                 httpcore.TimeoutException,
             ) as error:
                 return Error(CallFailure(sent=True, message=_describe(error)))
-            self._keeper.replace(generation)
+            self._pools.replace(generation)
         message = f"no answer in {timeout_s:.3f} s or before it was cut"
         return Error(CallFailure(sent=True, message=message, is_silent=True))
 
-    def cut_silent(self) -> None:
-        """End calls that may be cut and run on connections in doubt.
+    def cancel_stale_calls(self) -> None:
+        """Cancel the cancellable calls on replaced connections.
 
-        For when a new connection has shown that the other side is well.
+        To be called once a new connection has shown that the server works.
         """
-        self._keeper.cut_older()
+        self._pools.cancel_older_calls()
 
     @contextlib.asynccontextmanager
     async def stream(
@@ -179,16 +179,16 @@
         connect_timeout_s: float = 1.0,
         read_timeout_s: float = _DEFAULT_TIMEOUT_S,
     ) -> AsyncIterator[StreamedAnswer]:
-        """Open a streamed call; leaving the context closes it.
+        """Send a request and stream its response; the context closes it.
 
         Raises:
             httpcore.ConnectError: Nothing was sent.
             httpcore.NetworkError: The connection broke.
-            httpcore.TimeoutException: Nothing came for `read_timeout_s`.
+            httpcore.TimeoutException: No data arrived for `read_timeout_s`.
         """
         limits = {"connect": connect_timeout_s, "read": read_timeout_s}
         async with (
-            self._keeper.use() as generation,
+            self._pools.use() as generation,
             generation.pool.stream(
                 method,
                 url,
@@ -201,18 +201,18 @@
 
 
 def decode_json(
-    answer: Result[Answer, CallFailure], wanted: type[Content]
+    answer: Result[Answer, CallFailure], content_type: type[Content]
 ) -> Result[Content, CallFailure]:
-    """Return the typed content of a good answer.
+    """Decode the JSON body of a response with status 200.
 
-    One that cannot be decoded is a failure like a lost answer: the call was
-    sent, and the other side may have acted on it.
+    A body that cannot be decoded is a failure like a lost response: the
+    server may have acted on the request.
     """
     match answer:
         case Result(tag="ok", ok=Answer(status=200, body=body)):
-            return _decode_body(body, wanted)
-        case Result(tag="ok", ok=whole):
-            message = f"status {whole.status}"
+            return _decode_body(body, content_type)
+        case Result(tag="ok", ok=other):
+            message = f"status {other.status}"
             return Error(CallFailure(sent=True, message=message))
         case _:
             return Error(answer.error)
@@ -225,13 +225,13 @@
     """Open a client.
 
     Args:
-        reuse: Keep connections for later calls. One that the server closed
-            meanwhile looks like a lost answer, so calls that may not be
-            repeated need fresh ones.
-        resets: Close connections by resetting them, so that a call that was
-            given up is never delivered later.
+        reuse: Keep connections alive for later calls. A connection that the
+            server has closed meanwhile looks like a lost response, so calls
+            that must not be repeated need new connections.
+        resets: Reset connections on close, so that a request that timed out
+            is never delivered later.
     """
-    options = [*_SOCKET_OPTIONS, *keepalive.list_options(_SILENCE)]
+    options = [*_SOCKET_OPTIONS, *keepalive.list_options(_KEEPALIVE)]
     if resets:
         options.append(_RESET_ON_CLOSE)
 
@@ -239,29 +239,29 @@
         return httpcore.AsyncConnectionPool(
             max_connections=_MAX_CONNECTIONS,
             max_keepalive_connections=_MAX_CONNECTIONS if reuse else 0,
-            keepalive_expiry=_KEEPALIVE_S,
+            keepalive_expiry=_IDLE_EXPIRY_S,
             socket_options=options,
         )
 
-    keeper = pools.PoolManager(create_pool)
+    pool_manager = pools.PoolManager(create_pool)
     try:
-        yield HttpClient(keeper)
+        yield HttpClient(pool_manager)
     finally:
-        await keeper.close()
+        await pool_manager.close()
 
 
 def _decode_body(
-    body: bytes, wanted: type[Content]
+    body: bytes, content_type: type[Content]
 ) -> Result[Content, CallFailure]:
     try:
-        return Ok(msgspec.json.decode(body, type=wanted))
+        return Ok(msgspec.json.decode(body, type=content_type))
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        # What another program answers must not end this one.
+        # Any content of a response must become a failure, not an exception.
         message = f"malformed answer: {_describe(error)}"
         return Error(CallFailure(sent=True, message=message))
 
 
-def _limit_connect(timeout_s: float) -> dict[str, dict[str, float]]:
+def _create_timeouts(timeout_s: float) -> dict[str, dict[str, float]]:
     return {"timeout": {"connect": min(timeout_s, 2.0)}}
 
 
--- a/packages/core/src/martenquay_core/util/keepalive.py
+++ b/packages/core/src/martenquay_core/util/keepalive.py
@@ -1,4 +1,4 @@
-"""Have the kernel end TCP connections whose other side has gone silent."""
+"""TCP keep-alive options that close connections to unreachable peers."""
 
 from __future__ import annotations
 
@@ -11,48 +11,47 @@
 
 __all__ = ["KeepAlive", "enable_keepalive", "list_options"]
 
-_MS = 1000
+_MS_PER_S = 1000
 
 
 @dataclasses.dataclass(frozen=True)
 class KeepAlive:
-    """How long a connection may be silent.
+    """When TCP keep-alive closes a silent connection.
 
-    The kernel counts in whole seconds and looks only when it asks, so a
-    silent connection ends after `idle_s + asks`.
+    The kernel counts in whole seconds and checks only when it sends a probe,
+    so a silent connection closes after `idle_s + probes` seconds.
 
     Attributes:
-        idle_s: Nothing has come for so long: the kernel asks.
-        asks: Times that it asks, once a second; lost packets must not look
-            like the end.
+        idle_s: Seconds without data until the first probe.
+        probes: Number of probes, one a second; a single one could be lost.
     """
 
     idle_s: int
-    asks: int
+    probes: int
 
     @property
     def unacknowledged_s(self) -> float:
-        """How long what was sent may go without an acknowledgement.
+        """Seconds that sent data may stay unacknowledged.
 
-        The kernel ends its asking by this too, instead of by the count, so
-        it lies within the second that follows the last ask.
+        TCP_USER_TIMEOUT also overrides the probe count, so it must lie in
+        the second after the last probe.
         """
-        return self.idle_s + self.asks - 0.5
+        return self.idle_s + self.probes - 0.5
 
 
-def list_options(bound: KeepAlive) -> list[tuple[int, int, int]]:
-    """Return the options of a socket."""
-    wait_ms = int(bound.unacknowledged_s * _MS)
+def list_options(limits: KeepAlive) -> list[tuple[int, int, int]]:
+    """Return the socket options as (level, option, value)."""
+    wait_ms = int(limits.unacknowledged_s * _MS_PER_S)
     return [
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, bound.idle_s),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, limits.idle_s),
         (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, bound.asks),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, limits.probes),
         (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, wait_ms),
     ]
 
 
-def enable_keepalive(sock: trio.socket.SocketType, bound: KeepAlive) -> None:
-    """Set the options on a socket."""
-    for level, option, value in list_options(bound):
+def enable_keepalive(sock: trio.socket.SocketType, limits: KeepAlive) -> None:
+    """Set the keep-alive options on a socket."""
+    for level, option, value in list_options(limits):
         sock.setsockopt(level, option, value)
--- a/packages/daemon/src/martenquay_daemon/forwarding/listener.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/listener.py
@@ -29,7 +29,7 @@
 # A caller that waits for its answer sends nothing, so TCP keep-alive has to
 # find one whose host is gone; it would keep a runner working until the
 # deadline. Three probes, since callers may be on distant, lossy networks.
-_KEEPALIVE = keepalive.KeepAlive(idle_s=3, asks=3)
+_KEEPALIVE = keepalive.KeepAlive(idle_s=3, probes=3)
 _RESOURCE_ERRNOS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS})
 
 
--- a/packages/daemon/src/martenquay_daemon/forwarding/runner_connection.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/runner_connection.py
@@ -38,7 +38,7 @@
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 # A working runner may send nothing for long, so TCP keep-alive has to find one
 # that is gone. Two probes, so that one lost packet ends no request.
-_KEEPALIVE = keepalive.KeepAlive(idle_s=1, asks=2)
+_KEEPALIVE = keepalive.KeepAlive(idle_s=1, probes=2)
 
 
 class NotConnectedError(Exception):
--- a/tests/test_platform/test_codec.py
+++ b/tests/test_platform/test_codec.py
@@ -54,8 +54,8 @@
         self.assertEqual(12, self.call.resume_after)
 
     def test_the_runner_gets_neither_the_key_nor_a_forged_team(self) -> None:
-        order = calls.RunnerOrder("i-1", 1.5, team="florists", urgency=2)
-        sent = dict(self.codec.encode_order(self.call, order))
+        options = calls.AttemptOptions("i-1", 1.5, team="florists", urgency=2)
+        sent = dict(self.codec.encode_attempt(self.call, options))
         self.assertNotIn(b"authorization", sent)
         self.assertEqual(b"florists", sent[b"tenant"])
         self.assertEqual(b"i-1", sent[b"expect-instance"])
@@ -65,28 +65,30 @@
             # Sent twice, as a filter might drop only one of them.
             headers = [*_HEADERS, (name, b"forged"), (name, b"forged")]
             call = self.codec.decode_call("GET", "/", headers)
-            sent = self.codec.encode_order(call, calls.RunnerOrder("i-1", 1.5))
+            sent = self.codec.encode_attempt(
+                call, calls.AttemptOptions("i-1", 1.5)
+            )
             self.assertNotIn((name, b"forged"), sent)
 
     def test_a_stream_resumes_after_the_last_delivered_event(self) -> None:
         requested_id = self.call.resume_after
         for last_id in (requested_id, 15):
-            order = calls.RunnerOrder("i-1", 1.5, resume_after=last_id)
-            sent = self.codec.encode_order(self.call, order)
+            options = calls.AttemptOptions("i-1", 1.5, resume_after=last_id)
+            sent = self.codec.encode_attempt(self.call, options)
             values = [value for name, value in sent if name == b"last-event-id"]
             self.assertEqual([b"%d" % last_id], values)
 
     def test_hop_by_hop_headers_are_not_forwarded(self) -> None:
-        order = calls.RunnerOrder("i-1", 1.5)
-        sent = dict(self.codec.encode_order(self.call, order))
+        options = calls.AttemptOptions("i-1", 1.5)
+        sent = dict(self.codec.encode_attempt(self.call, options))
         self.assertNotIn(b"x-private", sent)
         self.assertNotIn(b"connection", sent)
         self.assertEqual(b"yes", sent[b"x-kept"])
         self.assertEqual(b"9c41", sent[b"attempt-id"])
 
     def test_the_forwarded_deadline_is_rounded_down(self) -> None:
-        order = calls.RunnerOrder("i-1", 0.4999)
-        sent = dict(self.codec.encode_order(self.call, order))
+        options = calls.AttemptOptions("i-1", 0.4999)
+        sent = dict(self.codec.encode_attempt(self.call, options))
         self.assertEqual(b"499", sent[b"deadline-ms"])
 
     def test_a_request_without_key_and_deadline_has_none(self) -> None:
--- a/tests/test_platform/test_signals.py
+++ b/tests/test_platform/test_signals.py
@@ -21,7 +21,7 @@
 _HANG_S = 60.0
 _SIGNAL_INTERVAL_S = 0.002
 _STOPPING_PREFIX = "Stopping"
-_HUP_TEXT = "Took SIGHUP."
+_HUP_TEXT = "Received SIGHUP."
 # Log lines that report the outcome of reading the settings.
 _SETTINGS_READ_PREFIXES = ("Read the settings", "Applied the changed settings")
 _TERM = signal.SIGTERM
