--- a/packages/core/src/martenquay_core/serving/signals.py
+++ b/packages/core/src/martenquay_core/serving/signals.py
@@ -17,8 +17,8 @@
         is_limit_unreadable: The limit is not a number, so the answer neither
             sets a limit nor lifts one.
         is_leaving: The runner is draining and accepts no new requests.
-        retry_after_s: Backoff in seconds that the runner asks of this daemon when
-            it rejects a request; None if the answer has none.
+        retry_after_s: Backoff in seconds that the runner asks of this daemon
+            when it rejects a request; None if the answer has none.
         is_retry_after_unreadable: The time is not a number of seconds.
     """
 
