--- a/packages/client/src/martenquay_client/connection.py
+++ b/packages/client/src/martenquay_client/connection.py
@@ -17,7 +17,7 @@
 __all__ = ["Connection", "Reply", "StatementOptions"]
 
 _TIMEOUT_S = 30.0
-_OK = 200
+_STATUS_OK = 200
 
 
 @dataclasses.dataclass(frozen=True)
@@ -69,22 +69,22 @@
             message = parsed.error.point_at(text)
             return Error(results.Failure(code, message))
         is_query = isinstance(parsed.ok, statements.Show | statements.Why)
-        order: dict[str, Any] = {"text": text}
+        payload: dict[str, Any] = {"text": text}
         if not is_query:
-            order["change_id"] = options.change_id
-            order["wait"] = options.wait
+            payload["change_id"] = options.change_id
+            payload["wait"] = options.wait
         path = "query" if is_query else "command"
         answer = await self._client.call(
             "POST",
             f"http://{self._address}/v1/{path}",
             headers=self._headers,
-            body=msgspec.json.encode(order),
+            body=msgspec.json.encode(payload),
             timeout_s=_TIMEOUT_S,
         )
-        return _read_answer(answer, is_query, options)
+        return _decode_answer(answer, is_query, options)
 
 
-def _read_answer(
+def _decode_answer(
     answer: Result[http.Answer, http.CallFailure],
     is_query: bool,
     options: StatementOptions,
@@ -92,8 +92,8 @@
     if answer.is_error():
         if answer.error.sent and not is_query:
             code = results.ResultCode.CHANGE_UNKNOWN
-            again = f" with --change_id={options.change_id}"
-            message = f"the answer was lost; send the command again{again}"
+            flag_hint = f" with --change_id={options.change_id}"
+            message = f"the answer was lost; send the command again{flag_hint}"
         else:
             code = results.ResultCode.DAEMON_UNREACHABLE
             message = answer.error.message
@@ -104,7 +104,7 @@
         code = results.ResultCode.DAEMON_UNREACHABLE
         message = f"status {answer.ok.status}, not an answer of a daemon"
         return Error(results.Failure(code, message))
-    if answer.ok.status != _OK:
+    if answer.ok.status != _STATUS_OK:
         code = results.ResultCode(content["code"])
         return Error(results.Failure(code, content["message"]))
     return Ok(Reply(content, is_query))
--- a/packages/client/src/martenquay_client/main.py
+++ b/packages/client/src/martenquay_client/main.py
@@ -31,10 +31,10 @@
 _CHANGE_ID = flags.DEFINE_string(
     "change_id", "", "Name of the change; give the same one to send it again."
 )
-_EVERY = flags.DEFINE_float(
+_INTERVAL_S = flags.DEFINE_float(
     "every", 2.0, "Seconds between two readings of `watch`.", lower_bound=0.1
 )
-_COUNT = flags.DEFINE_integer(
+_REPLY_COUNT = flags.DEFINE_integer(
     "count", 0, "Readings of `watch`; 0 for no end.", lower_bound=0
 )
 
@@ -80,8 +80,8 @@
             private, public = records.generate_key()
             print(f"signing_key {private}\npublic_key  {public}")
             return 0
-        case words:
-            return trio.run(_talk, words)
+        case arguments:
+            return trio.run(_run_statements, arguments)
 
 
 def _trace(request: str, paths: list[str]) -> int:
@@ -109,61 +109,70 @@
     return results.describe_result(code).exit_code
 
 
-async def _talk(words: list[str]) -> int:
+async def _run_statements(arguments: list[str]) -> int:
     # A change without a name could not be sent again when its answer is lost.
     change_id = _CHANGE_ID.value or f"change-{secrets.token_hex(8)}"
     options = connection.StatementOptions(change_id, _WAIT.value)
     credential = os.environ.get(_CREDENTIAL_VARIABLE, "").strip()
     if not credential:
-        return _fail(
+        return _print_failure(
             results.Failure(
                 results.ResultCode.BAD_CREDENTIAL,
                 f"{_CREDENTIAL_VARIABLE} is not set",
             )
         )
     async with http.open_client() as client:
-        link = connection.Connection(client, _DAEMON.value, credential)
-        match words:
+        daemon = connection.Connection(client, _DAEMON.value, credential)
+        match arguments:
             case ["shell"]:
                 # Each command in the shell is a change of its own.
-                free = connection.StatementOptions("", _WAIT.value)
-                return await shell.run_shell(link, free, as_json=_JSON.value)
+                shell_options = connection.StatementOptions("", _WAIT.value)
+                return await shell.run_shell(
+                    daemon, shell_options, as_json=_JSON.value
+                )
             case ["status"]:
-                daemons = await _say(link, "show daemons", options)
-                return await _say(link, "show config", options) or daemons
+                daemons_code = await _send_and_print(
+                    daemon, "show daemons", options
+                )
+                return (
+                    await _send_and_print(daemon, "show config", options)
+                    or daemons_code
+                )
             case ["watch", *rest]:
-                return await _watch(link, " ".join(rest), options)
+                return await _watch(daemon, " ".join(rest), options)
             case _:
-                return await _say(link, " ".join(words), options)
+                return await _send_and_print(
+                    daemon, " ".join(arguments), options
+                )
 
 
 async def _watch(
-    link: connection.Connection,
+    daemon: connection.Connection,
     text: str,
     options: connection.StatementOptions,
 ) -> int:
-    readings = 0
+    reply_count = 0
     while True:
-        code = await _say(link, text, options)
-        readings += 1
-        if readings == _COUNT.value:
+        code = await _send_and_print(daemon, text, options)
+        reply_count += 1
+        if reply_count == _REPLY_COUNT.value:
             return code
-        await trio.sleep(_EVERY.value)
+        await trio.sleep(_INTERVAL_S.value)
 
 
-async def _say(
-    link: connection.Connection,
+async def _send_and_print(
+    daemon: connection.Connection,
     text: str,
     options: connection.StatementOptions,
 ) -> int:
-    reply = await link.send(text, options)
+    reply = await daemon.send(text, options)
     if reply.is_ok():
         print(render.render_reply(reply.ok, as_json=_JSON.value))
         return 0
-    return _fail(reply.error)
+    return _print_failure(reply.error)
 
 
-def _fail(failure: results.Failure) -> int:
+def _print_failure(failure: results.Failure) -> int:
     text = render.render_failure(failure, as_json=_JSON.value)
     print(text, file=sys.stderr)
     return results.describe_result(failure.code).exit_code
--- a/packages/client/src/martenquay_client/render.py
+++ b/packages/client/src/martenquay_client/render.py
@@ -18,7 +18,7 @@
     if as_json:
         return json.dumps(reply.content, indent=2)
     if not reply.is_query:
-        return _render_change(reply.content)
+        return _render_accepted_change(reply.content)
     lines = _render_table(reply.content["rows"])
     lines += [f"no answer from {name}" for name in reply.content["silent"]]
     return "\n".join(lines)
@@ -38,7 +38,7 @@
     return f"{failure.message}\n{failure.code.value}: {meaning}"
 
 
-def _render_change(content: dict[str, Any]) -> str:
+def _render_accepted_change(content: dict[str, Any]) -> str:
     text = f"accepted: {content['key']} is at version {content['version']}"
     if content["reported"]:
         text += f", in force in {', '.join(content['reported'])}"
@@ -49,17 +49,19 @@
     if not rows:
         return ["(none)"]
     columns = list(dict.fromkeys(key for row in rows for key in row))
-    cells = [columns] + [
+    table = [columns] + [
         [_render_cell(row.get(column)) for column in columns] for row in rows
     ]
     widths = [
-        max(len(line[place]) for line in cells) for place in range(len(columns))
+        max(len(row_cells[index]) for row_cells in table)
+        for index in range(len(columns))
     ]
     return [
         "  ".join(
-            cell.ljust(width) for cell, width in zip(line, widths, strict=True)
+            cell.ljust(width)
+            for cell, width in zip(row_cells, widths, strict=True)
         ).rstrip()
-        for line in cells
+        for row_cells in table
     ]
 
 
--- a/packages/client/src/martenquay_client/shell.py
+++ b/packages/client/src/martenquay_client/shell.py
@@ -17,7 +17,7 @@
 
 __all__ = ["run_shell"]
 
-_WORDS = [
+_COMPLETIONS = [
     "show",
     "why",
     "create",
@@ -30,18 +30,18 @@
     *parser.NOUNS,
     *[kind.value for kind in objects.Kind],
 ]
-_LEAVE = {"exit", "quit"}
+_EXIT_COMMANDS = {"exit", "quit"}
 
 
 async def run_shell(
-    link: connection.Connection,
+    daemon: connection.Connection,
     options: connection.StatementOptions,
     *,
     as_json: bool,
 ) -> int:
     """Answer statements until the operator leaves; return an exit code."""
     session: prompt_toolkit.PromptSession[str] = prompt_toolkit.PromptSession(
-        completer=completion.WordCompleter(_WORDS)
+        completer=completion.WordCompleter(_COMPLETIONS)
     )
     while True:
         try:
@@ -49,11 +49,11 @@
             text = await trio.to_thread.run_sync(session.prompt, "martenquay> ")
         except (EOFError, KeyboardInterrupt):
             return 0
-        if text.strip() in _LEAVE:
+        if text.strip() in _EXIT_COMMANDS:
             return 0
         if not text.strip():
             continue
-        reply = await link.send(text, options)
+        reply = await daemon.send(text, options)
         if reply.is_ok():
             print(render.render_reply(reply.ok, as_json=as_json))
         else:
--- a/packages/client/src/martenquay_client/trace.py
+++ b/packages/client/src/martenquay_client/trace.py
@@ -13,7 +13,7 @@
 __all__ = ["TraceLine", "find_lines", "render_line"]
 
 # Fields that each line has, or that the rendered line begins with.
-_COMMON = frozenset(
+_STANDARD_FIELDS = frozenset(
     {
         "message_type",
         "request",
@@ -59,7 +59,7 @@
     found = [
         line
         for path in paths
-        for line in _iterate_lines(pathlib.Path(path), request)
+        for line in _iterate_request_lines(pathlib.Path(path), request)
     ]
     return sorted(found, key=lambda line: line.at)
 
@@ -71,32 +71,34 @@
         for name, value in line.fields.items()
         if value is not None
     )
-    after_ms = (line.at - start) * 1000
+    delta_ms = (line.at - start) * 1000
     return (
-        f"{after_ms:9.1f} ms  {line.source}  {line.part}: {line.text}  {fields}"
+        f"{delta_ms:9.1f} ms  {line.source}  {line.part}: {line.text}  {fields}"
     )
 
 
-def _iterate_lines(path: pathlib.Path, request: str) -> Iterator[TraceLine]:
+def _iterate_request_lines(
+    path: pathlib.Path, request: str
+) -> Iterator[TraceLine]:
     with path.open(encoding="utf-8", errors="replace") as lines:
-        for raw in lines:
-            start = raw.find("{")
-            if start < 0 or request not in raw:
+        for raw_line in lines:
+            start = raw_line.find("{")
+            if start < 0 or request not in raw_line:
                 continue
             try:
-                content = json.loads(raw[start:])
+                content = json.loads(raw_line[start:])
             except json.JSONDecodeError:
                 # Other programs' output may stand in the same file.
                 continue
             if content.get("request") == request:
-                yield _create_line(content)
+                yield _parse_line(content)
 
 
-def _create_line(content: dict[str, Any]) -> TraceLine:
+def _parse_line(content: dict[str, Any]) -> TraceLine:
     return TraceLine(
         at=float(content.get("timestamp", 0.0)),
         source=str(content.get("source", "")),
         part=str(content.get("message_type", "")),
         text=str(content.get("text", "")),
-        fields={k: v for k, v in content.items() if k not in _COMMON},
+        fields={k: v for k, v in content.items() if k not in _STANDARD_FIELDS},
     )
--- a/packages/standins/src/martenquay_standins/chaos/faults.py
+++ b/packages/standins/src/martenquay_standins/chaos/faults.py
@@ -15,9 +15,9 @@
 
 __all__ = ["FaultMaker"]
 
-_SHORT_S = 0.8
-_NOTICE_S = 0.3
-_BETWEEN_S = 0.3
+_FAULT_S = 0.8
+_RECLAIM_NOTICE_S = 0.3
+_MAX_PAUSE_S = 0.3
 
 
 class FaultMaker:
@@ -30,15 +30,15 @@
 
     def __init__(
         self,
-        place: world.World,
+        test_world: world.World,
         daemons: dict[str, list[running.DaemonProcess]],
         seed: int,
     ) -> None:
         self.daemons = daemons
         self.done: list[str] = []
-        self._place = place
+        self._world = test_world
         self._random = random.Random(seed)
-        self._started = 0
+        self._start_count = 0
 
     async def make_faults(self, count: int) -> None:
         """Make faults one after the other."""
@@ -59,87 +59,89 @@
         for fault in chosen:
             self.done.append(fault.__name__.strip("_"))
             await fault()
-            await trio.sleep(_BETWEEN_S * self._random.random())
+            await trio.sleep(_MAX_PAUSE_S * self._random.random())
 
-    def _choose(self) -> tuple[partners.PartnerPlan, running.DaemonProcess]:
-        plan = self._random.choice(self._place.plans)
+    def _choose_daemon(
+        self,
+    ) -> tuple[partners.PartnerPlan, running.DaemonProcess]:
+        plan = self._random.choice(self._world.plans)
         return plan, self._random.choice(self.daemons[plan.name])
 
     async def _kill_daemon(self) -> None:
-        plan, daemon = self._choose()
+        plan, daemon = self._choose_daemon()
         daemon.send_signal(signal.SIGKILL)
         await daemon.process.wait()
         self.daemons[plan.name].remove(daemon)
-        self._started += 1
+        self._start_count += 1
         zone = self._random.choice(plan.zones)
-        newer = await self._place.start_process(
-            plan, zone, f"entry-new-{self._started}"
+        replacement = await self._world.start_process(
+            plan, zone, f"entry-new-{self._start_count}"
         )
-        self.daemons[plan.name].append(newer)
+        self.daemons[plan.name].append(replacement)
 
     async def _freeze_daemon(self) -> None:
-        _, daemon = self._choose()
+        _, daemon = self._choose_daemon()
         daemon.send_signal(signal.SIGSTOP)
-        await trio.sleep(_SHORT_S * (1 + self._random.random()))
+        await trio.sleep(_FAULT_S * (1 + self._random.random()))
         daemon.send_signal(signal.SIGCONT)
 
     async def _cut_zones(self) -> None:
-        plan = self._random.choice(self._place.plans)
+        plan = self._random.choice(self._world.plans)
         first, second = self._random.sample(plan.zones, 2)
         await self._cut(first, second)
 
     async def _cut_platform(self) -> None:
-        plan = self._random.choice(self._place.plans)
+        plan = self._random.choice(self._world.plans)
         await self._cut(self._random.choice(plan.zones), network.PLATFORM)
 
     async def _cut(self, first: str, second: str) -> None:
-        assert self._place.network is not None
-        self._place.network.cut(first, second)
-        await trio.sleep(_SHORT_S * (1 + self._random.random()))
-        self._place.network.heal()
+        assert self._world.network is not None
+        self._world.network.cut(first, second)
+        await trio.sleep(_FAULT_S * (1 + self._random.random()))
+        self._world.network.heal()
 
     async def _stop_log(self) -> None:
-        self._place.log.set_faults({"down": True})
-        await trio.sleep(_SHORT_S)
-        self._place.log.set_faults({"down": False})
+        self._world.log.set_faults({"down": True})
+        await trio.sleep(_FAULT_S)
+        self._world.log.set_faults({"down": False})
 
     async def _lose_log_answers(self) -> None:
         count = self._random.randint(1, 8)
-        self._place.log.set_faults({"lose_answers": count})
-        await trio.sleep(_SHORT_S)
-        self._place.log.set_faults({"lose_answers": 0})
+        self._world.log.set_faults({"lose_answers": count})
+        await trio.sleep(_FAULT_S)
+        self._world.log.set_faults({"lose_answers": 0})
 
     async def _delay_log_effects(self) -> None:
         late_s = self._random.choice([0.2, 1.5, 3.0])
-        self._place.log.set_faults({"late_effect_s": late_s})
-        await trio.sleep(_SHORT_S)
-        self._place.log.set_faults({"late_effect_s": 0.0})
+        self._world.log.set_faults({"late_effect_s": late_s})
+        await trio.sleep(_FAULT_S)
+        self._world.log.set_faults({"late_effect_s": 0.0})
 
     async def _break_services(self) -> None:
         apps = [
             running.app
-            for name, running in self._place.runners.items()
+            for name, running in self._world.runners.items()
             if name.startswith("service")
         ]
         for app in apps:
             app.set_faults({"break_answers": True})
-        await trio.sleep(_SHORT_S)
+        await trio.sleep(_FAULT_S)
         for app in apps:
             app.set_faults({"break_answers": False})
 
     async def _reclaim_runner(self) -> None:
         models = [
-            name for name in self._place.runners if name.startswith("model")
+            name for name in self._world.runners if name.startswith("model")
         ]
         name = self._random.choice(models)
-        plan = next(p for p in self._place.plans if f"-{p.name}-" in name)
+        plan = next(p for p in self._world.plans if f"-{p.name}-" in name)
         zone = self._random.choice(plan.zones)
-        self._started += 1
+        self._start_count += 1
         # Starts are refused in a wave; here the next one succeeds.
-        await self._place.add_engine(
-            plan, zone, f"model-{plan.name}-new-{self._started}"
+        await self._world.add_engine(
+            plan, zone, f"model-{plan.name}-new-{self._start_count}"
         )
-        self._place.instances.give_notice(name, zone)
-        await trio.sleep(_NOTICE_S)
-        self._place.runners.pop(name).kill()
-        self._place.instances.remove(name)
+        self._world.instances.give_notice(name, zone)
+        await trio.sleep(_RECLAIM_NOTICE_S)
+        self._world.runners.pop(name).kill()
+        self._world.instances.remove(name)
--- a/packages/standins/src/martenquay_standins/chaos/history.py
+++ b/packages/standins/src/martenquay_standins/chaos/history.py
@@ -16,9 +16,9 @@
 ]
 
 # Codes from 2000 to 3999 say that nothing ran.
-_FIRST_NOT_RUN = 2000
-_LAST_NOT_RUN = 3999
-_OK = 1000
+_FIRST_NOT_RUN_CODE = 2000
+_LAST_NOT_RUN_CODE = 3999
+_OK_CODE = 1000
 
 
 @dataclasses.dataclass(frozen=True)
@@ -135,8 +135,8 @@
         *_check_bookings(history),
         *_check_chats(history),
         *_check_tickets(history),
-        *_check_reverts(history),
-        *_check_final(history),
+        *_check_rollbacks(history),
+        *_check_final_state(history),
     ]
 
 
@@ -147,8 +147,8 @@
     breaches = []
     for key, told in replies.items():
         runs = history.runs[key]
-        answers = {reply.body for reply in told if reply.code == _OK}
-        all_not_run = all(_says_not_run(reply.code) for reply in told)
+        answers = {reply.body for reply in told if reply.code == _OK_CODE}
+        all_not_run = all(_is_not_run(reply.code) for reply in told)
         if runs > 1:
             breaches.append(f"{key} ran {runs} times")
         if answers and runs == 0:
@@ -188,21 +188,21 @@
     return breaches
 
 
-def _check_reverts(history: History) -> list[str]:
+def _check_rollbacks(history: History) -> list[str]:
     highest: dict[tuple[str, str], int] = collections.defaultdict(int)
     breaches = []
     for seen in history.observations:
-        place = (seen.member, seen.partner)
-        if seen.version < highest[place]:
+        source = (seen.member, seen.partner)
+        if seen.version < highest[source]:
             breaches.append(
-                f"{seen.member} went back from version {highest[place]} "
+                f"{seen.member} went back from version {highest[source]} "
                 f"to {seen.version}"
             )
-        highest[place] = max(highest[place], seen.version)
+        highest[source] = max(highest[source], seen.version)
     return breaches
 
 
-def _check_final(history: History) -> list[str]:
+def _check_final_state(history: History) -> list[str]:
     accepted: dict[tuple[str, int], float] = {
         (change.partner, change.version): change.weight
         for change in history.changes
@@ -230,5 +230,5 @@
     return breaches
 
 
-def _says_not_run(code: int) -> bool:
-    return _FIRST_NOT_RUN <= code <= _LAST_NOT_RUN
+def _is_not_run(code: int) -> bool:
+    return _FIRST_NOT_RUN_CODE <= code <= _LAST_NOT_RUN_CODE
--- a/packages/standins/src/martenquay_standins/chaos/programs.py
+++ b/packages/standins/src/martenquay_standins/chaos/programs.py
@@ -19,13 +19,13 @@
 
 __all__ = ["Program", "start_program"]
 
-_PIECE_BYTES = 65_536
+_RECEIVE_BYTES = 65_536
 # What is kept of a program's errors.
-_KEPT_BYTES = 4000
-_KEPT_LINES = 40
+_STDERR_TAIL_BYTES = 4000
+_STDOUT_TAIL_LINES = 40
 # Before an interpreter has worked so long, nothing it runs can catch a signal.
 # It is its own time, which a busy machine doesn't stretch.
-_UNCATCHABLE_S = 0.1
+_STARTUP_CPU_S = 0.1
 
 
 class Program:
@@ -50,12 +50,12 @@
         self.is_expected_to_end = False
         self.signals: list[str] = []
         self.lines: collections.deque[str] = collections.deque(
-            maxlen=_KEPT_LINES
+            maxlen=_STDOUT_TAIL_LINES
         )
         self.started_at = time.monotonic()
         # Lines bear the time of day.
-        self._clock_at = time.time()
-        self._uncatchable: set[int] = set()
+        self._started_at_epoch_s = time.time()
+        self._startup_signals: set[int] = set()
 
     def send(self, number: signal.Signals) -> None:
         """Send a signal to this process alone, if it is still there."""
@@ -66,12 +66,12 @@
         """Send a signal; note whether the program can know of it by now."""
         if self.process.poll() is not None:
             return
-        worked_s = self._find_worked_s()
-        if worked_s < _UNCATCHABLE_S:
-            self._uncatchable.add(number)
-        elif worked_s > 2 * _UNCATCHABLE_S:
+        cpu_time_s = self._read_cpu_time_s()
+        if cpu_time_s < _STARTUP_CPU_S:
+            self._startup_signals.add(number)
+        elif cpu_time_s > 2 * _STARTUP_CPU_S:
             # It has outlived what came early.
-            self._uncatchable.clear()
+            self._startup_signals.clear()
         age_s = time.monotonic() - self.started_at
         self.signals.append(f"{number.name}+{age_s:.3f}")
         self.send(number)
@@ -79,11 +79,11 @@
     def is_excused(self) -> bool:
         """Tell whether it ended by a signal that nobody could catch."""
         status = self.process.poll()
-        return status is not None and -status in self._uncatchable
+        return status is not None and -status in self._startup_signals
 
     def keep_line(self, line: dict[str, Any]) -> None:
         """Keep a line that it printed, for those who ask why it ended."""
-        age_s = line.get("timestamp", 0.0) - self._clock_at
+        age_s = line.get("timestamp", 0.0) - self._started_at_epoch_s
         self.lines.append(f"{age_s:.3f} {line.get('text', line)}")
 
     def kill(self) -> None:
@@ -91,36 +91,38 @@
         self.is_expected_to_end = True
         self.send(signal.SIGKILL)
 
-    async def read_lines(self, take: Callable[[dict[str, Any]], None]) -> None:
+    async def read_lines(
+        self, handle_line: Callable[[dict[str, Any]], None]
+    ) -> None:
         """Hand on each JSON line that it prints, until it ends."""
         assert self.process.stdout is not None, "it is started with a pipe"
-        rest = b""
-        while piece := await self.process.stdout.receive_some(_PIECE_BYTES):
-            *lines, rest = (rest + piece).split(b"\n")
+        partial_line = b""
+        while data := await self.process.stdout.receive_some(_RECEIVE_BYTES):
+            *lines, partial_line = (partial_line + data).split(b"\n")
             for line in lines:
-                take(json.loads(line))
+                handle_line(json.loads(line))
 
-    def _find_worked_s(self) -> float:
+    def _read_cpu_time_s(self) -> float:
         """Return how long it has worked, by the system's account."""
-        account = pathlib.Path(f"/proc/{self.process.pid}/stat").read_text()
+        stat_line = pathlib.Path(f"/proc/{self.process.pid}/stat").read_text()
         # The name, in brackets, may hold anything.
-        fields = account.rpartition(")")[2].split()
+        fields = stat_line.rpartition(")")[2].split()
         ticks = int(fields[11]) + int(fields[12])
         return ticks / os.sysconf("SC_CLK_TCK")
 
     async def read_errors(self) -> None:
         """Keep what it writes to its error output."""
         assert self.process.stderr is not None, "it is started with a pipe"
-        while piece := await self.process.stderr.receive_some(_PIECE_BYTES):
-            self.errors = (self.errors + piece)[-_KEPT_BYTES:]
+        while data := await self.process.stderr.receive_some(_RECEIVE_BYTES):
+            self.errors = (self.errors + data)[-_STDERR_TAIL_BYTES:]
 
 
 async def start_program(
-    name: str, words: list[str], env: Mapping[str, str]
+    name: str, arguments: list[str], env: Mapping[str, str]
 ) -> Program:
     """Start a Python program; its output is read by `read_lines`."""
     process = await trio.lowlevel.open_process(
-        [sys.executable, *words],
+        [sys.executable, *arguments],
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
         env=dict(env),
--- a/packages/standins/src/martenquay_standins/chaos/proxy.py
+++ b/packages/standins/src/martenquay_standins/chaos/proxy.py
@@ -14,7 +14,7 @@
 
 __all__ = ["FaultyProxy", "ProxyFaults"]
 
-_PIECE_BYTES = 65_536
+_RECEIVE_BYTES = 65_536
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
@@ -34,7 +34,7 @@
 
 
 @dataclasses.dataclass(eq=False)
-class _Passage:
+class _Connection:
     """One connection through the proxy.
 
     Attributes:
@@ -65,8 +65,8 @@
         self.target = target
         self._faults = ProxyFaults()
         self._changed = trio.Event()
-        self._open: set[_Passage] = set()
-        self._listening = trio.CancelScope()
+        self._connections: set[_Connection] = set()
+        self._listen_scope = trio.CancelScope()
 
     async def run(
         self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
@@ -77,79 +77,85 @@
         self.address = f"{host}:{port}"
         task_status.started()
         async with trio.open_nursery() as nursery:
-            with self._listening:
+            with self._listen_scope:
                 await trio.serve_listeners(
                     self._forward, listeners, handler_nursery=nursery
                 )
 
     def stop_listening(self) -> None:
         """Refuse new connections from now on; open ones go on."""
-        self._listening.cancel()
+        self._listen_scope.cancel()
 
     def set_faults(self, faults: ProxyFaults) -> None:
         """Change what goes wrong."""
         self._faults = faults
-        self._wake()
+        self._notify_changed()
 
     def reset_connections(self) -> None:
         """Reset all open connections, on both sides."""
-        for passage in list(self._open):
-            passage.scope.cancel()
+        for connection in list(self._connections):
+            connection.scope.cancel()
 
     def silence_connections(self) -> None:
         """Silence the connections that are open now; new ones pass."""
-        for passage in self._open:
-            passage.is_silent = True
-        self._wake()
+        for connection in self._connections:
+            connection.is_silent = True
+        self._notify_changed()
 
     def count_connections(self) -> int:
         """Return how many connections are open, silent ones too."""
-        return len(self._open)
+        return len(self._connections)
 
-    async def _forward(self, near: trio.SocketStream) -> None:
+    async def _forward(self, downstream: trio.SocketStream) -> None:
         host, _, port = self.target.rpartition(":")
         try:
-            far = await trio.open_tcp_stream(host, int(port))
+            upstream = await trio.open_tcp_stream(host, int(port))
         except OSError:
-            _close_hard(near)
+            _reset_streams(downstream)
             return
-        passage = _Passage()
-        with passage.scope:
-            self._open.add(passage)
+        connection = _Connection()
+        with connection.scope:
+            self._connections.add(connection)
             try:
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(self._copy, passage, near, far, True)
-                    nursery.start_soon(self._copy, passage, far, near, False)
+                    nursery.start_soon(
+                        self._copy, connection, downstream, upstream, True
+                    )
+                    nursery.start_soon(
+                        self._copy, connection, upstream, downstream, False
+                    )
             finally:
-                self._open.discard(passage)
-                _close_hard(near, far)
+                self._connections.discard(connection)
+                _reset_streams(downstream, upstream)
 
     async def _copy(
         self,
-        passage: _Passage,
+        connection: _Connection,
         source: trio.SocketStream,
         target: trio.SocketStream,
         is_to_target: bool,
     ) -> None:
         try:
-            while piece := await source.receive_some(_PIECE_BYTES):
-                await self._hold(passage, is_to_target)
-                await target.send_all(piece)
-            await self._hold(passage, is_to_target)
+            while data := await source.receive_some(_RECEIVE_BYTES):
+                await self._wait_deliverable(connection, is_to_target)
+                await target.send_all(data)
+            await self._wait_deliverable(connection, is_to_target)
             await target.send_eof()
         except (trio.BrokenResourceError, trio.ClosedResourceError):
-            if passage.is_silent:
+            if connection.is_silent:
                 # The other side of a silent connection learns of nothing.
                 await trio.sleep_forever()
-            _close_hard(source, target)
+            _reset_streams(source, target)
 
-    async def _hold(self, passage: _Passage, is_to_target: bool) -> None:
+    async def _wait_deliverable(
+        self, connection: _Connection, is_to_target: bool
+    ) -> None:
         if self._faults.delay_s:
             await trio.sleep(self._faults.delay_s)
-        while passage.is_silent or self._is_silent(is_to_target):
+        while connection.is_silent or self._is_silent(is_to_target):
             await self._changed.wait()
 
-    def _wake(self) -> None:
+    def _notify_changed(self) -> None:
         self._changed.set()
         self._changed = trio.Event()
 
@@ -159,14 +165,14 @@
         return self._faults.is_silent_from
 
 
-def _close_hard(*streams: trio.SocketStream) -> None:
+def _reset_streams(*streams: trio.SocketStream) -> None:
     """Close with a reset, so that nothing held back is delivered."""
-    for stream in _iterate_open(streams):
+    for stream in _iterate_open_streams(streams):
         stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
         stream.socket.close()
 
 
-def _iterate_open(
+def _iterate_open_streams(
     streams: tuple[trio.SocketStream, ...],
 ) -> Iterator[trio.SocketStream]:
     return (stream for stream in streams if stream.socket.fileno() >= 0)
--- a/packages/standins/src/martenquay_standins/chaos/readings.py
+++ b/packages/standins/src/martenquay_standins/chaos/readings.py
@@ -91,16 +91,19 @@
         log: Where changes are written.
         daemons: By partner.
     """
-    seen: list[history.Observation] = []
+    observations: list[history.Observation] = []
     while True:
         await log.wait_settled()
         end = log.list_records(_STREAM)[-1].offset
-        found: list[history.Observation] = []
+        last_observations: list[history.Observation] = []
         for partner, members in daemons.items():
             for daemon in members:
                 await reader.wait_applied(partner, daemon, end)
-                found += await reader.read(partner, daemon)
-        seen += found
+                last_observations += await reader.read(partner, daemon)
+        observations += last_observations
         if log.list_records(_STREAM)[-1].offset == end:
             break
-    return seen + [dataclasses.replace(one, is_final=True) for one in found]
+    return observations + [
+        dataclasses.replace(observation, is_final=True)
+        for observation in last_observations
+    ]
--- a/packages/standins/src/martenquay_standins/chaos/run.py
+++ b/packages/standins/src/martenquay_standins/chaos/run.py
@@ -18,11 +18,11 @@
 
 __all__ = ["ChaosPlan", "ChaosReport", "run_chaos"]
 
-_TRIES = 4
-_TOKENS = 25
-_SHAPE = engine.EngineShape(token_s=0.004)
-_PENDING = 1002
-_ACCEPTED = 1001
+_MAX_BOOKING_TRIES = 4
+_CHAT_TOKENS = 25
+_ENGINE_SHAPE = engine.EngineShape(token_s=0.004)
+_PENDING_CODE = 1002
+_ACCEPTED_CODE = 1001
 _POLL_S = 0.05
 
 
@@ -64,29 +64,29 @@
         trio.open_nursery() as nursery,
         http.open_client(reuse=False) as client,
     ):
-        place = world.World(nursery, with_network=True)
-        run = _Run(plan, place, client)
+        test_world = world.World(nursery, with_network=True)
+        run = _ChaosRun(plan, test_world, client)
         try:
             report = await run.perform()
         finally:
-            place.end_processes()
+            test_world.end_processes()
         nursery.cancel_scope.cancel()
     return report
 
 
-class _Run:
+class _ChaosRun:
     """One run: the world, the callers and what they were told."""
 
     def __init__(
-        self, plan: ChaosPlan, place: world.World, client: http.HttpClient
+        self, plan: ChaosPlan, test_world: world.World, client: http.HttpClient
     ) -> None:
         self._plan = plan
-        self._place = place
+        self._world = test_world
         self._client = client
         self._history = history.History()
         self._random = random.Random(plan.seed + 1)
         self._daemons: dict[str, list[running.DaemonProcess]] = {}
-        self._reader = readings.ConfigReader(self._ask_by_name)
+        self._reader = readings.ConfigReader(self._query_daemon)
         self._services: list[service.ServiceStandIn] = []
         self._expected: dict[str, str] = {}
         self._owners: dict[str, str] = {}
@@ -95,38 +95,38 @@
     async def perform(self) -> ChaosReport:
         """Start everything, run the workload under faults, and judge."""
         await self._start()
-        maker = faults.FaultMaker(self._place, self._daemons, self._plan.seed)
+        maker = faults.FaultMaker(self._world, self._daemons, self._plan.seed)
         async with trio.open_nursery() as nursery:
-            for partner in self._place.plans:
+            for partner in self._world.plans:
                 for _ in range(self._plan.callers):
-                    nursery.start_soon(self._book_again_and_again, partner)
-                    nursery.start_soon(self._chat_again_and_again, partner)
-                nursery.start_soon(self._defer_again_and_again, partner)
-                nursery.start_soon(self._change_again_and_again, partner)
-                nursery.start_soon(self._observe_again_and_again, partner)
+                    nursery.start_soon(self._run_booking_caller, partner)
+                    nursery.start_soon(self._run_chat_caller, partner)
+                nursery.start_soon(self._run_deferrable_caller, partner)
+                nursery.start_soon(self._run_operator, partner)
+                nursery.start_soon(self._run_observer, partner)
             await maker.make_faults(self._plan.faults)
             nursery.cancel_scope.cancel()
-        await self._settle()
+        await self._collect_final_state()
         for app in self._services:
             self._history.runs.update(app.runs)
         breaches = history.find_breaches(self._history)
         return ChaosReport(self._history, breaches, maker.done)
 
     async def _start(self) -> None:
-        await self._place.start_platform()
-        self._place.put_standard_config()
-        for partner in self._place.plans:
+        await self._world.start_platform()
+        self._world.put_standard_config()
+        for partner in self._world.plans:
             for zone in partner.zones:
-                await self._place.add_engine(
-                    partner, zone, f"model-{partner.name}-{zone}", _SHAPE
+                await self._world.add_engine(
+                    partner, zone, f"model-{partner.name}-{zone}", _ENGINE_SHAPE
                 )
                 self._services.append(
-                    await self._place.add_service(
+                    await self._world.add_service(
                         partner, zone, f"service-{partner.name}-{zone}"
                     )
                 )
             self._daemons[partner.name] = [
-                await self._place.start_process(partner, zone, f"entry-{zone}")
+                await self._world.start_process(partner, zone, f"entry-{zone}")
                 for zone in partner.zones
             ]
         for daemons in self._daemons.values():
@@ -141,16 +141,16 @@
                 return
             await trio.sleep(_POLL_S)
 
-    def _choose(self, partner: partners.PartnerPlan) -> running.DaemonProcess:
+    def _choose_daemon(
+        self, partner: partners.PartnerPlan
+    ) -> running.DaemonProcess:
         return self._random.choice(self._daemons[partner.name])
 
     def _next_name(self, kind: str) -> str:
         self._count += 1
         return f"{kind}-{self._count}"
 
-    async def _book_again_and_again(
-        self, partner: partners.PartnerPlan
-    ) -> None:
+    async def _run_booking_caller(self, partner: partners.PartnerPlan) -> None:
         while True:
             key = self._next_name("slot")
             # A caller that cannot be sure tries the same key elsewhere, and
@@ -159,7 +159,7 @@
                 async with trio.open_nursery() as nursery:
                     for _ in range(2):
                         nursery.start_soon(self._book, partner, key)
-            for _ in range(self._random.randint(1, _TRIES)):
+            for _ in range(self._random.randint(1, _MAX_BOOKING_TRIES)):
                 if await self._book(partner, key) == 1000:
                     break
             await trio.sleep(0.02)
@@ -171,16 +171,14 @@
                 partner, "/services/booking/slots", b"slot", key
             )
             if answer is not None:
-                code, body = _read_code(answer), answer.body
+                code, body = _read_result_code(answer), answer.body
         finally:
             # A caller that is cut short was told nothing; it still counts.
             reply = history.BookingReply(key, code, body)
             self._history.bookings.append(reply)
         return code
 
-    async def _chat_again_and_again(
-        self, partner: partners.PartnerPlan
-    ) -> None:
+    async def _run_chat_caller(self, partner: partners.PartnerPlan) -> None:
         while True:
             prompt = f"{self._next_name('order')} with a long history " * 10
             answer = await self._post(
@@ -189,10 +187,10 @@
                 _build_chat("chat", prompt, stream=True),
                 "",
             )
-            self._history.chats.append(_judge_chat(prompt, answer))
+            self._history.chats.append(_build_chat_reply(prompt, answer))
             await trio.sleep(0.02)
 
-    async def _defer_again_and_again(
+    async def _run_deferrable_caller(
         self, partner: partners.PartnerPlan
     ) -> None:
         while True:
@@ -204,19 +202,20 @@
                 _build_chat("review", prompt, stream=False),
                 key,
             )
-            if answer is not None and _read_code(answer) == _ACCEPTED:
+            if (
+                answer is not None
+                and _read_result_code(answer) == _ACCEPTED_CODE
+            ):
                 ticket = json.loads(answer.body)["ticket"]
                 self._history.accepted.add(ticket)
-                self._expected[ticket] = _expect(prompt)
+                self._expected[ticket] = _generate_expected_text(prompt)
                 self._owners[ticket] = partner.name
             await trio.sleep(0.1)
 
-    async def _change_again_and_again(
-        self, partner: partners.PartnerPlan
-    ) -> None:
+    async def _run_operator(self, partner: partners.PartnerPlan) -> None:
         while True:
             weight = float(self._random.randint(1, 500))
-            answer = await self._ask(
+            answer = await self._send_statement(
                 partner, "command", f"set team counter weight={weight}"
             )
             version = 0
@@ -227,35 +226,33 @@
             )
             await trio.sleep(0.1)
 
-    async def _observe_again_and_again(
-        self, partner: partners.PartnerPlan
-    ) -> None:
+    async def _run_observer(self, partner: partners.PartnerPlan) -> None:
         while True:
             self._history.observations += await self._reader.read(
-                partner.name, self._choose(partner)
+                partner.name, self._choose_daemon(partner)
             )
             await trio.sleep(0.05)
 
-    async def _settle(self) -> None:
+    async def _collect_final_state(self) -> None:
         """Heal, wait for what is owed, and read everything once more."""
         found = await readings.read_finals(
-            self._reader, self._place.log, self._daemons
+            self._reader, self._world.log, self._daemons
         )
         self._history.observations += found
         with trio.move_on_after(self._plan.settle_s):
             async with trio.open_nursery() as nursery:
                 for ticket in self._history.accepted:
-                    nursery.start_soon(self._fetch, ticket)
+                    nursery.start_soon(self._fetch_from_all_daemons, ticket)
         answered = {reply.ticket for reply in self._history.tickets}
         for ticket in self._history.accepted - answered:
             self._history.tickets.append(
                 history.TicketReply(ticket, self._expected[ticket], None, b"")
             )
 
-    async def _fetch(self, ticket: str) -> None:
+    async def _fetch_from_all_daemons(self, ticket: str) -> None:
         """Fetch an answer from every daemon of the partner."""
         partner = next(
-            p for p in self._place.plans if p.name == self._owners[ticket]
+            p for p in self._world.plans if p.name == self._owners[ticket]
         )
         for daemon in self._daemons[partner.name]:
             while True:
@@ -278,7 +275,7 @@
     async def _post(
         self, partner: partners.PartnerPlan, path: str, body: bytes, key: str
     ) -> http.Answer | None:
-        daemon = self._choose(partner)
+        daemon = self._choose_daemon(partner)
         return await self._call(partner, daemon, "POST", path, body, key)
 
     async def _call(
@@ -303,20 +300,20 @@
         )
         return answer.default_value(None)
 
-    async def _ask_by_name(
+    async def _query_daemon(
         self, partner: str, text: str, daemon: running.DaemonProcess
     ) -> http.Answer | None:
-        plan = next(p for p in self._place.plans if p.name == partner)
-        return await self._ask(plan, "query", text, daemon)
+        plan = next(p for p in self._world.plans if p.name == partner)
+        return await self._send_statement(plan, "query", text, daemon)
 
-    async def _ask(
+    async def _send_statement(
         self,
         partner: partners.PartnerPlan,
         kind: str,
         text: str,
         daemon: running.DaemonProcess | None = None,
     ) -> http.Answer | None:
-        daemon = daemon or self._choose(partner)
+        daemon = daemon or self._choose_daemon(partner)
         credential = f"Bearer {partner.operator_credential}".encode()
         answer = await self._client.call(
             "POST",
@@ -327,7 +324,7 @@
         return answer.default_value(None)
 
 
-def _read_code(answer: http.Answer) -> int:
+def _read_result_code(answer: http.Answer) -> int:
     return int(dict(answer.headers).get(b"x-martenquay-result", b"0"))
 
 
@@ -335,15 +332,17 @@
     content: dict[str, Any] = {
         "model": route,
         "messages": [{"role": "user", "content": prompt}],
-        "max_tokens": _TOKENS,
+        "max_tokens": _CHAT_TOKENS,
         "stream": stream,
     }
     return json.dumps(content).encode()
 
 
-def _expect(prompt: str) -> str:
+def _generate_expected_text(prompt: str) -> str:
     text = f"user: {prompt}"
-    return "".join(engine.make_token(text, index) for index in range(_TOKENS))
+    return "".join(
+        engine.make_token(text, index) for index in range(_CHAT_TOKENS)
+    )
 
 
 def _read_text(body: bytes) -> str:
@@ -354,8 +353,10 @@
     return content["choices"][0]["message"]["content"]
 
 
-def _judge_chat(prompt: str, answer: http.Answer | None) -> history.ChatReply:
-    expected = _expect(prompt)
+def _build_chat_reply(
+    prompt: str, answer: http.Answer | None
+) -> history.ChatReply:
+    expected = _generate_expected_text(prompt)
     if answer is None or answer.status != 200:
         return history.ChatReply(expected, "", False, has_error=True)
     text = ""
--- a/packages/standins/src/martenquay_standins/cloud.py
+++ b/packages/standins/src/martenquay_standins/cloud.py
@@ -50,7 +50,7 @@
         super().__init__()
         self.faults: CloudFaults = CloudFaults()
         self.started: dict[str, str] = {}
-        self._list = listed
+        self._instance_list = listed
         self._launch = launch
         self._prices = prices
 
@@ -65,7 +65,7 @@
                 await self._start(request)
             case "DELETE", path:
                 name = path.removeprefix("/instances/")
-                self._list.remove(name)
+                self._instance_list.remove(name)
                 await web.reply_json(request.send, True)
             case _:
                 await web.reply_json(request.send, {"error": "unknown"}, 404)
@@ -73,7 +73,7 @@
     async def _start(self, request: web.Request) -> None:
         order = msgspec.json.decode(request.body, type=cloud.InstanceOrder)
         if order.order_id not in self.started:
-            if self._refuses(order):
+            if self._is_refused(order):
                 await web.reply_json(request.send, {"error": "refused"}, 409)
                 return
             await self._launch_instance(order)
@@ -82,7 +82,7 @@
         started = cloud.Started(self.started[order.order_id])
         await web.reply_json(request.send, started)
 
-    def _refuses(self, order: cloud.InstanceOrder) -> bool:
+    def _is_refused(self, order: cloud.InstanceOrder) -> bool:
         return (
             order.zone in self.faults.refused_zones
             or order.machine_class.value in self.faults.refused_classes
@@ -92,7 +92,7 @@
         name = f"{order.pool}-{order.zone}-{len(self.started)}"
         self.started[order.order_id] = name
         address = await self._launch(name, order)
-        self._list.put(
+        self._instance_list.put(
             instances.Instance(
                 name=name,
                 kind=instances.InstanceKind.RUNNER,
--- a/packages/standins/src/martenquay_standins/demo.py
+++ b/packages/standins/src/martenquay_standins/demo.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from martenquay_daemon import daemon
 
-_HOLD = flags.DEFINE_bool(
+_KEEP_RUNNING = flags.DEFINE_bool(
     "hold", False, "Keep the fleet up until Ctrl-C, for use with the client."
 )
 _READY_POLL_S = 0.05
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class _Desk:
+class _DaemonAccess:
     """A daemon as callers and operators turn to it.
 
     Attributes:
@@ -49,41 +49,47 @@
 
 async def _run() -> int:
     async with trio.open_nursery() as nursery, http.open_client() as client:
-        place = world.World(nursery)
-        await place.start_platform()
-        place.put_standard_config()
-        daemons = await _start_fleet(place)
+        test_world = world.World(nursery)
+        await test_world.start_platform()
+        test_world.put_standard_config()
+        daemons = await _start_fleet(test_world)
         for process in daemons.values():
             await _wait_ready(client, process.addresses.callers)
         print(
             f"{len(daemons)} daemons are ready; they learned their routes "
             "from the log.\n"
         )
-        good = True
-        for plan in place.plans:
+        all_succeeded = True
+        for plan in test_world.plans:
             addresses = daemons[plan.zones[0]].addresses
-            desk = _Desk(addresses, plan.operator_credential)
-            good &= await _send_requests(client, plan, desk)
-        if _HOLD.value:
-            _explain_client(place, daemons)
+            desk = _DaemonAccess(addresses, plan.operator_credential)
+            all_succeeded &= await _send_requests(client, plan, desk)
+        if _KEEP_RUNNING.value:
+            _print_client_commands(test_world, daemons)
             await trio.sleep_forever()
         codes = await _stop_fleet(daemons)
         print(f"daemons stopped with exit codes {codes}")
         nursery.cancel_scope.cancel()
-    return 0 if good and not any(codes) else 1
+    return 0 if all_succeeded and not any(codes) else 1
 
 
-async def _start_fleet(place: world.World) -> dict[str, running.DaemonProcess]:
+async def _start_fleet(
+    test_world: world.World,
+) -> dict[str, running.DaemonProcess]:
     daemons: dict[str, running.DaemonProcess] = {}
-    for plan in place.plans:
+    for plan in test_world.plans:
         for number in range(5):
             zone = plan.zones[number % len(plan.zones)]
-            await place.add_engine(plan, zone, f"{plan.model_pool}-{number}")
+            await test_world.add_engine(
+                plan, zone, f"{plan.model_pool}-{number}"
+            )
         for number, zone in enumerate(plan.zones):
-            await place.add_service(plan, zone, f"{plan.service_pool}-{number}")
+            await test_world.add_service(
+                plan, zone, f"{plan.service_pool}-{number}"
+            )
         for zone in plan.zones:
             log_file = sys.stderr if os.environ.get("DEMO_LOGS") else None
-            daemons[zone] = await place.start_process(
+            daemons[zone] = await test_world.start_process(
                 plan, zone, f"entry-{zone}", log_file=log_file
             )
             print(
@@ -102,15 +108,19 @@
 
 
 async def _send_requests(
-    client: http.HttpClient, plan: partners.PartnerPlan, daemon: _Desk
+    client: http.HttpClient, plan: partners.PartnerPlan, daemon: _DaemonAccess
 ) -> bool:
     headers = [(b"authorization", f"Bearer {plan.name}-counter".encode())]
     chat = _build_chat("chat", "Is the bracket in part 7 printable? " * 20)
-    brief = _build_chat("review", "Review this order history. " * 200)
-    good = await _show(client, "chat, whole", daemon, headers, chat)
+    deferrable_chat = _build_chat("review", "Review this order history. " * 200)
+    all_succeeded = await _send_and_print(
+        client, "chat, whole", daemon, headers, chat
+    )
     streamed = chat | {"stream": True}
-    good &= await _show(client, "chat, streamed", daemon, headers, streamed)
-    good &= await _show(
+    all_succeeded &= await _send_and_print(
+        client, "chat, streamed", daemon, headers, streamed
+    )
+    all_succeeded &= await _send_and_print(
         client,
         "order status",
         daemon,
@@ -118,17 +128,19 @@
         None,
         "/services/status/orders/7",
     )
-    keyed = [*headers, (b"idempotency-key", b"slot-9-harvest")]
-    for again in ("", ", sent again"):
-        good &= await _show(
+    idempotent_headers = [*headers, (b"idempotency-key", b"slot-9-harvest")]
+    for title_suffix in ("", ", sent again"):
+        all_succeeded &= await _send_and_print(
             client,
-            f"slot booking{again}",
+            f"slot booking{title_suffix}",
             daemon,
-            keyed,
+            idempotent_headers,
             {"slot": 9},
             "/services/booking/slots",
         )
-    return good & await _defer(client, daemon.addresses.callers, headers, brief)
+    return all_succeeded & await _send_deferrable(
+        client, daemon.addresses.callers, headers, deferrable_chat
+    )
 
 
 def _build_chat(route: str, content: str) -> dict[str, Any]:
@@ -136,10 +148,10 @@
     return {"model": route, "messages": [message], "max_tokens": 12}
 
 
-async def _show(
+async def _send_and_print(
     client: http.HttpClient,
     title: str,
-    daemon: _Desk,
+    daemon: _DaemonAccess,
     headers: http.Headers,
     content: dict[str, Any] | None,
     path: str = "/v1/chat/completions",
@@ -157,13 +169,13 @@
     request_id = dict(answer.ok.headers)[b"x-request-id"].decode()
     print(f"{title}: {answer.ok.status}")
     print(f"    {answer.ok.body.decode()[:150]!r}")
-    for line in await _ask_why(client, daemon, request_id):
+    for line in await _query_routing_reasons(client, daemon, request_id):
         print(f"    {line}")
     return answer.ok.status < 300
 
 
-async def _ask_why(
-    client: http.HttpClient, daemon: _Desk, request_id: str
+async def _query_routing_reasons(
+    client: http.HttpClient, daemon: _DaemonAccess, request_id: str
 ) -> list[str]:
     """Return where a request ran and why, as operators are told."""
     answer = await client.call(
@@ -178,7 +190,7 @@
     return [f"ran on {row['runner']}: {row['reason']}" for row in rows]
 
 
-async def _defer(
+async def _send_deferrable(
     client: http.HttpClient,
     address: str,
     headers: http.Headers,
@@ -202,10 +214,10 @@
         await trio.sleep(_READY_POLL_S)
 
 
-def _explain_client(
-    place: world.World, daemons: dict[str, running.DaemonProcess]
+def _print_client_commands(
+    test_world: world.World, daemons: dict[str, running.DaemonProcess]
 ) -> None:
-    for plan in place.plans:
+    for plan in test_world.plans:
         address = daemons[plan.zones[0]].addresses.operators
         print(
             f"MARTENQUAY_CREDENTIAL={plan.operator_credential} "
--- a/packages/standins/src/martenquay_standins/engine.py
+++ b/packages/standins/src/martenquay_standins/engine.py
@@ -88,7 +88,7 @@
     return _VOCABULARY[(seed * 2654435761 >> 7) % len(_VOCABULARY)] + " "
 
 
-class _Slots:
+class _PrioritySemaphore:
     """Let a bounded number in, the most urgent first."""
 
     def __init__(self, count: int) -> None:
@@ -101,7 +101,7 @@
     def queued(self) -> int:
         return len(self._waiting)
 
-    async def enter(self, priority: int) -> None:
+    async def acquire(self, priority: int) -> None:
         if self.free == 0:
             event = trio.Event()
             entry = (priority, next(self._ids), event)
@@ -109,24 +109,24 @@
             try:
                 await event.wait()
             except trio.Cancelled:
-                self._give_up(entry)
+                self._abandon_wait(entry)
                 raise
         else:
             self.free -= 1
         self.running += 1
 
-    def leave(self) -> None:
+    def release(self) -> None:
         self.running -= 1
-        self._hand_on()
+        self._release_slot()
 
-    def _give_up(self, entry: tuple[int, int, trio.Event]) -> None:
+    def _abandon_wait(self, entry: tuple[int, int, trio.Event]) -> None:
         if entry in self._waiting:
             self._waiting.remove(entry)
             heapq.heapify(self._waiting)
         else:
-            self._hand_on()
+            self._release_slot()
 
-    def _hand_on(self) -> None:
+    def _release_slot(self) -> None:
         if self._waiting:
             heapq.heappop(self._waiting)[2].set()
         else:
@@ -151,7 +151,7 @@
         self.prompt_tokens = 0
         self.computed_tokens = 0
         self._shape = shape
-        self._slots = _Slots(shape.slots)
+        self._slots = _PrioritySemaphore(shape.slots)
         self._cache: collections.OrderedDict[int, None] = (
             collections.OrderedDict()
         )
@@ -159,7 +159,7 @@
         self._event_end = progress.Progress(0)
         self._loads: list[tuple[float, orders.Load]] = []
         self._streams: dict[str, trio.CancelScope] = {}
-        self._token = 0
+        self._fencing_token = 0
 
     async def handle(self, request: web.Request) -> None:
         """Serve the engine's calls."""
@@ -177,16 +177,16 @@
             case "/v1/kv/export":
                 await self._export(request)
             case "/v1/kv/import":
-                self._remember(request.read_json()["blocks"])
+                self._cache_chain(request.read_json()["blocks"])
                 await web.reply_json(request.send, {})
             case "/v1/events":
                 await self._read_events(request)
             case "/v1/blocks":
                 await self._list_blocks(request)
             case "/v1/load":
-                await self._tell_load(request)
+                await self._send_load(request)
             case "/v1/orders":
-                await self._take_order(request)
+                await self._apply_order(request)
             case _:
                 await web.reply_json(request.send, {"error": "unknown"}, 404)
 
@@ -198,13 +198,13 @@
         )
         with trio.CancelScope() as scope:
             self._streams[order.request_id] = scope
-            await self._slots.enter(order.priority)
-            self._note_load()
+            await self._slots.acquire(order.priority)
+            self._record_load()
             try:
                 await self._stream(request, order)
             finally:
-                self._slots.leave()
-                self._note_load()
+                self._slots.release()
+                self._record_load()
         self._streams.pop(order.request_id, None)
         await request.send({"type": "http.response.body", "body": b""})
 
@@ -212,7 +212,7 @@
         self, request: web.Request, order: orders.GenerateOrder
     ) -> None:
         cached = await self._prefill(order)
-        await _send_line(
+        await _send_event(
             request,
             orders.StreamStarted(
                 order.request_id, order.attempt, cached, order.count_tokens()
@@ -222,9 +222,9 @@
         async for event in self._iterate_tokens(order):
             if self.faults.down or sent == self.faults.break_after:
                 raise ConnectionResetError("told to break the stream")
-            await _send_line(request, event)
+            await _send_event(request, event)
             sent += 1
-        await _send_line(
+        await _send_event(
             request,
             orders.StreamFinished(
                 order.request_id, order.attempt, order.max_tokens
@@ -242,7 +242,7 @@
         self.prompt_tokens += total
         self.computed_tokens += total - cached
         await trio.sleep((total - cached) / self._shape.prefill_tokens_s)
-        self._remember(chain)
+        self._cache_chain(chain)
         return cached
 
     async def _iterate_tokens(
@@ -257,13 +257,13 @@
             )
             if self.faults.swap_tokens and len(held) < 2:
                 continue
-            for event in self._disturb(held):
+            for event in self._apply_token_faults(held):
                 yield event
             held = []
         for event in held:
             yield event
 
-    def _disturb(
+    def _apply_token_faults(
         self, events: list[orders.TokenEvent]
     ) -> list[orders.TokenEvent]:
         shown = list(reversed(events))
@@ -291,7 +291,7 @@
         ]
         await web.reply_json(request.send, {"blocks": held})
 
-    def _remember(self, chain: list[int]) -> None:
+    def _cache_chain(self, chain: list[int]) -> None:
         added = [block for block in chain if block not in self._cache]
         for block in chain:
             self._cache[block] = None
@@ -323,29 +323,33 @@
             request.send, orders.BlockList(len(self._events), list(self._cache))
         )
 
-    async def _tell_load(self, request: web.Request) -> None:
-        odd = {"running": "many"}
-        report = odd if self.faults.odd_load else self._report_load()
+    async def _send_load(self, request: web.Request) -> None:
+        malformed = {"running": "many"}
+        report = (
+            malformed if self.faults.odd_load else self._find_visible_load()
+        )
         self.reports += 1
         await web.reply_json(request.send, report)
 
-    def _note_load(self) -> None:
+    def _record_load(self) -> None:
         load = orders.Load(self._slots.running, self._slots.queued)
         self._loads.append((trio.current_time(), load))
         del self._loads[:-1000]
 
-    def _report_load(self) -> orders.Load:
+    def _find_visible_load(self) -> orders.Load:
         until = trio.current_time() - self.faults.load_lag_s
         seen = [load for time, load in self._loads if time <= until]
         return seen[-1] if seen else orders.Load(0, 0)
 
-    async def _take_order(self, request: web.Request) -> None:
+    async def _apply_order(self, request: web.Request) -> None:
         fields = request.read_json()
-        if fields["token"] < self._token:
-            await web.reply_json(request.send, {"token": self._token}, 409)
+        if fields["token"] < self._fencing_token:
+            await web.reply_json(
+                request.send, {"token": self._fencing_token}, 409
+            )
             return
-        self._token = fields["token"]
-        await web.reply_json(request.send, {"token": self._token})
+        self._fencing_token = fields["token"]
+        await web.reply_json(request.send, {"token": self._fencing_token})
 
     def _describe(self) -> dict[str, Any]:
         return {
@@ -355,7 +359,7 @@
         }
 
 
-async def _send_line(request: web.Request, event: orders.StreamEvent) -> None:
+async def _send_event(request: web.Request, event: orders.StreamEvent) -> None:
     line = msgspec.json.encode(event) + b"\n"
     await request.send(
         {"type": "http.response.body", "body": line, "more_body": True}
--- a/packages/standins/src/martenquay_standins/instances.py
+++ b/packages/standins/src/martenquay_standins/instances.py
@@ -36,7 +36,7 @@
         super().__init__()
         self.faults: ListFaults = ListFaults()
         self.unchanged_count = 0
-        self._history: list[tuple[float, dict[str, instances.Instance]]] = [
+        self._versions: list[tuple[float, dict[str, instances.Instance]]] = [
             (-1e9, {})
         ]
         self._notices: list[dict[str, object]] = []
@@ -66,13 +66,13 @@
 
     def put(self, instance: instances.Instance) -> None:
         """Add an instance or change what the list says of it."""
-        self._write({**self._history[-1][1], instance.name: instance})
+        self._add_version({**self._versions[-1][1], instance.name: instance})
 
     def remove(self, name: str) -> None:
         """Take an instance off the list."""
-        latest = dict(self._history[-1][1])
-        latest.pop(name, None)
-        self._write(latest)
+        listed_now = dict(self._versions[-1][1])
+        listed_now.pop(name, None)
+        self._add_version(listed_now)
 
     def give_notice(self, name: str, zone: str) -> None:
         """Announce that an instance is being reclaimed."""
@@ -82,12 +82,12 @@
     async def _send_list(self, request: web.Request) -> None:
         """Send the list, or only that it has not changed."""
         until = trio.current_time() - self.faults.lag_s
-        seen = [
+        visible = [
             (number, entry)
-            for number, (time, entry) in enumerate(self._history)
+            for number, (time, entry) in enumerate(self._versions)
             if time <= until
         ]
-        number, listed = seen[-1]
+        number, listed = visible[-1]
         tag = str(number).encode()
         if serving.find_header(request.scope, b"if-none-match") == str(number):
             self.unchanged_count += 1
@@ -96,8 +96,8 @@
         body = msgspec.json.encode(list(listed.values()))
         await serving.send_answer(request.send, 200, body, [(b"etag", tag)])
 
-    def _write(self, latest: dict[str, instances.Instance]) -> None:
-        self._history.append((trio.current_time(), latest))
+    def _add_version(self, listed_now: dict[str, instances.Instance]) -> None:
+        self._versions.append((trio.current_time(), listed_now))
 
     async def _read_notices(self, request: web.Request) -> None:
         start = int(request.query.get("from", "0"))
--- a/packages/standins/src/martenquay_standins/log.py
+++ b/packages/standins/src/martenquay_standins/log.py
@@ -56,7 +56,7 @@
         self.retention_s = retention_s
         self.append_count = 0
         self._streams: dict[str, _Stream] = {}
-        self._late: list[tuple[float, str, list[bytes]]] = []
+        self._delayed_appends: list[tuple[float, str, list[bytes]]] = []
 
     async def handle(self, request: web.Request) -> None:
         """Serve appends and reads of `/streams/NAME`, and `/stats`."""
@@ -80,7 +80,7 @@
 
     def add(self, name: str, payloads: list[bytes]) -> int:
         """Append at once and return the first offset."""
-        stream = self._find(name)
+        stream = self._get_stream(name)
         first = stream.end.value
         for index, payload in enumerate(payloads):
             stream.records.append(log.LogRecord(first + index, payload))
@@ -91,19 +91,19 @@
 
     async def wait_settled(self) -> None:
         """Return once no append that was answered is still to take effect."""
-        while self._late:
-            self._apply_late()
+        while self._delayed_appends:
+            self._apply_due_appends()
             await trio.sleep(_POLL_S)
 
     def list_records(self, name: str) -> list[log.LogRecord]:
         """Return the records that a stream still keeps."""
-        return list(self._find(name).records)
+        return list(self._get_stream(name).records)
 
     async def _append(self, request: web.Request, name: str) -> None:
         payloads = msgspec.msgpack.decode(request.body, type=list[bytes])
         if self.faults.late_effect_s:
             due = trio.current_time() + self.faults.late_effect_s
-            self._late.append((due, name, payloads))
+            self._delayed_appends.append((due, name, payloads))
             await web.reply_json(request.send, {"error": "lost"}, 502)
             return
         offset = self.add(name, payloads)
@@ -114,20 +114,20 @@
         await serving.send_answer(request.send, 200, body)
 
     async def _read(self, request: web.Request, name: str) -> None:
-        stream = self._find(name)
+        stream = self._get_stream(name)
         wanted = int(request.query.get("from", "1"))
         wait_s = int(request.query.get("wait_ms", "0")) / 1000
         with trio.move_on_after(wait_s):
             while stream.end.value <= wanted:
-                self._apply_late()
+                self._apply_due_appends()
                 with trio.move_on_after(0.05):
                     await stream.end.wait_beyond(wanted)
-        self._apply_late()
+        self._apply_due_appends()
         if self.faults.down:
             await web.reply_json(request.send, {"error": "down"}, 503)
             return
         limit = int(request.query.get("limit", "1000"))
-        self._expire(stream)
+        self._drop_expired(stream)
         skip = max(0, wanted - stream.start)
         page = log.LogPage(
             stream.start, stream.end.value, stream.records[skip : skip + limit]
@@ -135,25 +135,29 @@
         body = msgspec.msgpack.encode(page)
         await serving.send_answer(request.send, 200, body)
 
-    def _find(self, name: str) -> _Stream:
+    def _get_stream(self, name: str) -> _Stream:
         return self._streams.setdefault(name, _Stream())
 
-    def _expire(self, stream: _Stream) -> None:
+    def _drop_expired(self, stream: _Stream) -> None:
         oldest = trio.current_time() - self.retention_s
         count = 0
         while count < len(stream.times) and stream.times[count] < oldest:
             count += 1
-        _cut(stream, count)
+        _drop_oldest(stream, count)
 
     def truncate(self, name: str, to: int) -> None:
         """Forget the records below an offset."""
-        stream = self._find(name)
-        _cut(stream, max(0, min(to - stream.start, len(stream.records))))
+        stream = self._get_stream(name)
+        _drop_oldest(
+            stream, max(0, min(to - stream.start, len(stream.records)))
+        )
 
-    def _apply_late(self) -> None:
+    def _apply_due_appends(self) -> None:
         now = trio.current_time()
-        due = [item for item in self._late if item[0] <= now]
-        self._late = [item for item in self._late if item[0] > now]
+        due = [item for item in self._delayed_appends if item[0] <= now]
+        self._delayed_appends = [
+            item for item in self._delayed_appends if item[0] > now
+        ]
         for _, name, payloads in due:
             self.add(name, payloads)
 
@@ -164,7 +168,7 @@
         return {"append_count": self.append_count, "ends": ends}
 
 
-def _cut(stream: _Stream, count: int) -> None:
+def _drop_oldest(stream: _Stream, count: int) -> None:
     del stream.records[:count]
     del stream.times[:count]
     stream.start += count
--- a/packages/standins/src/martenquay_standins/network.py
+++ b/packages/standins/src/martenquay_standins/network.py
@@ -7,7 +7,7 @@
 __all__ = ["PLATFORM", "Network"]
 
 PLATFORM = "platform"
-_PIECE_BYTES = 65_536
+_RECEIVE_BYTES = 65_536
 
 
 class Network:
@@ -20,9 +20,9 @@
     def __init__(self, nursery: trio.Nursery) -> None:
         self._nursery = nursery
         self._forwarders: dict[tuple[str, str], str] = {}
-        self._cuts: set[frozenset[str]] = set()
+        self._cut_pairs: set[frozenset[str]] = set()
         self._healed = trio.Event()
-        self._open: dict[frozenset[str], set[trio.CancelScope]] = {}
+        self._open_scopes: dict[frozenset[str], set[trio.CancelScope]] = {}
 
     async def link(self, source: str, target: str, address: str) -> str:
         """Return where a zone reaches an address of another zone."""
@@ -43,43 +43,43 @@
     def cut(self, first: str, second: str) -> None:
         """Cut two zones from each other."""
         pair = frozenset((first, second))
-        self._cuts.add(pair)
-        for scope in self._open.get(pair, set()):
+        self._cut_pairs.add(pair)
+        for scope in self._open_scopes.get(pair, set()):
             scope.cancel()
 
     def heal(self) -> None:
         """Undo all cuts."""
-        self._cuts.clear()
+        self._cut_pairs.clear()
         self._healed.set()
         self._healed = trio.Event()
 
     async def _forward(
-        self, near: trio.SocketStream, pair: frozenset[str], address: str
+        self, downstream: trio.SocketStream, pair: frozenset[str], address: str
     ) -> None:
-        async with near:
-            if pair in self._cuts:
+        async with downstream:
+            if pair in self._cut_pairs:
                 await self._healed.wait()
                 return
             host, port = address.rsplit(":", 1)
             try:
-                far = await trio.open_tcp_stream(host, int(port))
+                upstream = await trio.open_tcp_stream(host, int(port))
             except OSError:
                 return
-            async with far:
-                await self._join(near, far, pair)
+            async with upstream:
+                await self._relay(downstream, upstream, pair)
 
-    async def _join(
+    async def _relay(
         self,
-        near: trio.SocketStream,
-        far: trio.SocketStream,
+        downstream: trio.SocketStream,
+        upstream: trio.SocketStream,
         pair: frozenset[str],
     ) -> None:
-        scopes = self._open.setdefault(pair, set())
+        scopes = self._open_scopes.setdefault(pair, set())
         async with trio.open_nursery() as nursery:
             scopes.add(nursery.cancel_scope)
             try:
-                nursery.start_soon(_copy, near, far, nursery)
-                await _copy(far, near, nursery)
+                nursery.start_soon(_copy, downstream, upstream, nursery)
+                await _copy(upstream, downstream, nursery)
             finally:
                 scopes.discard(nursery.cancel_scope)
 
@@ -90,8 +90,8 @@
     nursery: trio.Nursery,
 ) -> None:
     try:
-        while piece := await source.receive_some(_PIECE_BYTES):
-            await target.send_all(piece)
+        while data := await source.receive_some(_RECEIVE_BYTES):
+            await target.send_all(data)
     except (trio.BrokenResourceError, trio.ClosedResourceError):
         pass
     # Either side's end ends both: the callers here use whole connections.
--- a/packages/standins/src/martenquay_standins/ports/cloud.py
+++ b/packages/standins/src/martenquay_standins/ports/cloud.py
@@ -10,14 +10,14 @@
 from martenquay_core.platform import outcome
 from martenquay_core.serving import ports
 
-__all__ = ["MemoryCloud", "Received"]
+__all__ = ["MemoryCloud", "ReceivedCall"]
 
 _OK = 200
 _REFUSED = 409
 
 
 @dataclasses.dataclass(frozen=True)
-class Received:
+class ReceivedCall:
     """One call.
 
     Attributes:
@@ -41,7 +41,7 @@
     """
 
     def __init__(self) -> None:
-        self.received: list[Received] = []
+        self.received: list[ReceivedCall] = []
         self.is_lossy = False
         self.has_reclaimable = True
 
@@ -52,7 +52,7 @@
         self, report: ports.UsageReport, holder: str, fence: int
     ) -> Result[int, outcome.PlatformFailure]:
         """Take a report."""
-        return await self._take(Received(report, holder, fence), _OK)
+        return await self._record_call(ReceivedCall(report, holder, fence), _OK)
 
     async def order_runners(
         self, order: ports.RunnerOrderLine, holder: str, fence: int
@@ -60,7 +60,9 @@
         """Take an order, or refuse it while there are none."""
         refused = order.is_reclaimable and not self.has_reclaimable
         status = _REFUSED if refused else _OK
-        return await self._take(Received(order, holder, fence), status)
+        return await self._record_call(
+            ReceivedCall(order, holder, fence), status
+        )
 
     def list_reports(self) -> list[ports.UsageReport]:
         """Return the reports, in order."""
@@ -78,8 +80,8 @@
             if isinstance(call.content, ports.RunnerOrderLine)
         ]
 
-    async def _take(
-        self, call: Received, status: int
+    async def _record_call(
+        self, call: ReceivedCall, status: int
     ) -> Result[int, outcome.PlatformFailure]:
         await trio.lowlevel.checkpoint()
         self.received.append(call)
--- a/packages/standins/src/martenquay_standins/ports/log.py
+++ b/packages/standins/src/martenquay_standins/ports/log.py
@@ -14,7 +14,7 @@
 
 # Topics whose records have no key. What a record holds does not tell: any byte
 # may stand in the encoded number of a usage window.
-_WITHOUT_KEYS = frozenset({"lease", "usage"})
+_UNKEYED_TOPICS = frozenset({"lease", "usage"})
 
 
 @dataclasses.dataclass
@@ -69,8 +69,8 @@
         self.faults = LogFaults()
         self.calls = 0
         self._topics: dict[str, _Topic] = {}
-        self._late: list[_Append] = []
-        self._news = trio.Event()
+        self._delayed_appends: list[_Append] = []
+        self._appended = trio.Event()
 
     def move_to(self, address: str) -> None:
         """Do nothing: there is one address only."""
@@ -79,27 +79,27 @@
         self, topic: str, start: int, *, wait_s: float = 0.0
     ) -> Result[ports.Page, outcome.PlatformFailure]:
         """Return records from `start` on, waiting if there is none yet."""
-        failure = await self._fail()
+        failure = await self._check_faults()
         if failure is not None:
             return Error(failure)
-        found = self._find(topic)
+        stored = self._get_topic(topic)
         with trio.move_on_after(wait_s):
-            while start >= found.end:
-                await self._news.wait()
-        if start < found.first:
-            return Ok(ports.Page((), found.first, found.first, is_lost=True))
-        records = tuple(found.records[start - found.first :])
-        return Ok(ports.Page(records, start, found.end))
+            while start >= stored.end:
+                await self._appended.wait()
+        if start < stored.first:
+            return Ok(ports.Page((), stored.first, stored.first, is_lost=True))
+        records = tuple(stored.records[start - stored.first :])
+        return Ok(ports.Page(records, start, stored.end))
 
     async def read_newest(
         self, topic: str
     ) -> Result[ports.Snapshot, outcome.PlatformFailure]:
         """Return the newest record of each key of a keyed topic."""
-        failure = await self._fail()
+        failure = await self._check_faults()
         if failure is not None:
             return Error(failure)
-        found = self._find(topic)
-        return Ok(ports.Snapshot(tuple(found.newest.values()), found.end))
+        stored = self._get_topic(topic)
+        return Ok(ports.Snapshot(tuple(stored.newest.values()), stored.end))
 
     async def append(
         self,
@@ -109,22 +109,22 @@
         expected_end: int | None = None,
     ) -> Result[ports.Appended, outcome.PlatformFailure]:
         """Append all or nothing; only at `expected_end` if it is given."""
-        failure = await self._fail()
+        failure = await self._check_faults()
         if failure is not None:
             return Error(failure)
         await trio.sleep(self.faults.append_s)
         append = _Append(topic, payloads, expected_end)
-        unknown = outcome.PlatformFailure(
+        unknown_effect = outcome.PlatformFailure(
             outcome.Effect.UNKNOWN, "the answer was lost"
         )
         if self.faults.late_appends:
             self.faults.late_appends -= 1
-            self._late.append(append)
-            return Error(unknown)
-        done = self._do(append)
+            self._delayed_appends.append(append)
+            return Error(unknown_effect)
+        done = self._apply(append)
         if self.faults.lost_answers:
             self.faults.lost_answers -= 1
-            return Error(unknown)
+            return Error(unknown_effect)
         return Ok(done)
 
     def split_keyed(self, payload: bytes, offset: int) -> ports.KeyedRecord:
@@ -139,51 +139,53 @@
     def put(self, topic: str, key: str, value: bytes) -> int:
         """Write a keyed record as the platform would; return its offset."""
         append = _Append(topic, [self.join_keyed(key, value)], None)
-        return self._do(append).end - 1
+        return self._apply(append).end - 1
 
     def forget(self, topic: str) -> None:
         """Drop the records of a topic; the newest of each key stay."""
-        found = self._find(topic)
-        found.first = found.end
-        found.records.clear()
+        stored = self._get_topic(topic)
+        stored.first = stored.end
+        stored.records.clear()
 
     def do_late(self) -> None:
         """Do the appends that were kept back, if they still can be."""
-        late, self._late = self._late, []
+        late, self._delayed_appends = self._delayed_appends, []
         for append in late:
-            self._do(append)
+            self._apply(append)
 
     def list_payloads(self, topic: str) -> list[bytes]:
         """Return the records that are kept."""
-        return list(self._find(topic).records)
+        return list(self._get_topic(topic).records)
 
-    def _do(self, append: _Append) -> ports.Appended:
-        found = self._find(append.topic)
+    def _apply(self, append: _Append) -> ports.Appended:
+        stored = self._get_topic(append.topic)
         expected = append.expected_end
-        if expected is not None and expected != found.end:
-            return ports.Appended(None, found.end)
-        offset = found.end
+        if expected is not None and expected != stored.end:
+            return ports.Appended(None, stored.end)
+        offset = stored.end
         for payload in append.payloads:
-            self._keep_newest(append.topic, found, payload)
-            found.records.append(payload)
-        self._news.set()
-        self._news = trio.Event()
-        return ports.Appended(offset, found.end)
+            self._update_newest(append.topic, stored, payload)
+            stored.records.append(payload)
+        self._appended.set()
+        self._appended = trio.Event()
+        return ports.Appended(offset, stored.end)
 
     def is_keyed(self, topic: str) -> bool:
         """Tell whether a topic's records have keys."""
-        return topic not in _WITHOUT_KEYS
+        return topic not in _UNKEYED_TOPICS
 
-    def _keep_newest(self, topic: str, found: _Topic, payload: bytes) -> None:
+    def _update_newest(
+        self, topic: str, stored: _Topic, payload: bytes
+    ) -> None:
         if not self.is_keyed(topic):
             return
-        record = self.split_keyed(payload, found.end)
+        record = self.split_keyed(payload, stored.end)
         if record.value is None:
-            found.newest.pop(record.key, None)
+            stored.newest.pop(record.key, None)
         else:
-            found.newest[record.key] = record
+            stored.newest[record.key] = record
 
-    async def _fail(self) -> outcome.PlatformFailure | None:
+    async def _check_faults(self) -> outcome.PlatformFailure | None:
         self.calls += 1
         await trio.lowlevel.checkpoint()
         if self.faults.is_silent:
@@ -193,5 +195,5 @@
             return outcome.PlatformFailure(outcome.Effect.NOT_DONE, "down")
         return None
 
-    def _find(self, topic: str) -> _Topic:
+    def _get_topic(self, topic: str) -> _Topic:
         return self._topics.setdefault(topic, _Topic())
--- a/packages/standins/src/martenquay_standins/ports/runner.py
+++ b/packages/standins/src/martenquay_standins/ports/runner.py
@@ -13,7 +13,7 @@
 _RECEIVE_BYTES = 65_536
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 # What a runner may have said before it ends.
-_BEGUN = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n"
+_RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n"
 
 
 @dataclasses.dataclass(frozen=True)
@@ -57,26 +57,26 @@
         self.heard = trio.Event()
         self.closed = trio.Event()
         self.has_ended = False
-        self._holds: set[trio.CancelScope] = set()
+        self._hold_scopes: set[trio.CancelScope] = set()
         self._scripts = scripts
         self._lethal = lethal
-        self._open: set[trio.SocketStream] = set()
-        self._listening = trio.CancelScope()
+        self._open_streams: set[trio.SocketStream] = set()
+        self._listen_scope = trio.CancelScope()
 
     def stop_listening(self) -> None:
         """Take no more connections; open ones stay."""
         self.has_ended = True
-        self._listening.cancel()
+        self._listen_scope.cancel()
 
     def crash(self) -> None:
         """End as a process does: nobody listens, all connections reset."""
         self.stop_listening()
-        for stream in self._open:
+        for stream in self._open_streams:
             _reset(stream)
 
     def break_off(self) -> None:
         """Close the connections that are held."""
-        for hold in self._holds:
+        for hold in self._hold_scopes:
             hold.cancel()
 
     async def run(
@@ -88,20 +88,20 @@
         self.address = f"{host}:{port}"
         task_status.started()
         async with trio.open_nursery() as nursery:
-            with self._listening:
+            with self._listen_scope:
                 await trio.serve_listeners(
                     self._serve, listeners, handler_nursery=nursery
                 )
 
     async def _serve(self, stream: trio.SocketStream) -> None:
-        self._open.add(stream)
+        self._open_streams.add(stream)
         try:
             await self._answer(stream)
         except trio.ClosedResourceError:
             # The runner has ended under it.
             self.closed.set()
         finally:
-            self._open.discard(stream)
+            self._open_streams.discard(stream)
 
     async def _answer(self, stream: trio.SocketStream) -> None:
         number = len(self.requests)
@@ -116,7 +116,7 @@
             if script.reads_all:
                 self.heard.set()
             if self._lethal and self._lethal in self.requests[number]:
-                await stream.send_all(_BEGUN)
+                await stream.send_all(_RESPONSE_HEAD)
                 self.crash()
                 return
             *first, last = script.pieces or (b"",)
@@ -138,11 +138,11 @@
     async def _hold(self, stream: trio.SocketStream) -> None:
         """Wait until the other side closes or the runner breaks off."""
         with trio.CancelScope() as hold:
-            self._holds.add(hold)
+            self._hold_scopes.add(hold)
             while await stream.receive_some(_RECEIVE_BYTES):
                 pass
             self.closed.set()
-        self._holds.discard(hold)
+        self._hold_scopes.discard(hold)
 
 
 def _reset(stream: trio.SocketStream) -> None:
--- a/packages/standins/src/martenquay_standins/windows.py
+++ b/packages/standins/src/martenquay_standins/windows.py
@@ -12,10 +12,10 @@
 
 def count_most(times: Sequence[float], window_s: float) -> int:
     """Return the most of the times, in order, that fall into one window."""
-    most = 0
-    first = 0
-    for last, at in enumerate(times):
-        while times[first] <= at - window_s:
-            first += 1
-        most = max(most, last - first + 1)
-    return most
+    peak = 0
+    oldest = 0
+    for last, time_s in enumerate(times):
+        while times[oldest] <= time_s - window_s:
+            oldest += 1
+        peak = max(peak, last - oldest + 1)
+    return peak
--- a/packages/standins/src/martenquay_standins/world.py
+++ b/packages/standins/src/martenquay_standins/world.py
@@ -29,7 +29,7 @@
 __all__ = ["World"]
 
 
-_FAST = {
+_FAST_TIMING = {
     "heartbeat_s": 0.1,
     "suspect_after_s": 0.4,
     "dead_after_s": 0.6,
@@ -187,7 +187,7 @@
         **sections: Any,
     ) -> dict[str, Any]:
         """Return a daemon's settings with fast timing; sections are merged."""
-        timing = _FAST | sections.pop("timing", {})
+        timing = _FAST_TIMING | sections.pop("timing", {})
         return {
             "partner": plan.name,
             "zone": zone,
@@ -246,7 +246,7 @@
                 ended.set()
 
         addresses = await self._nursery.start(run)
-        self._list_entry(plan, zone, instance, addresses.peers)
+        self._list_daemon(plan, zone, instance, addresses.peers)
         return running.LocalDaemon(process, addresses, scope, ended)
 
     async def start_process(
@@ -275,12 +275,12 @@
                 stderr=log_file or -3,
             )
             self._processes.append(process)
-            line = await _read_line(process)
+            line = await _read_first_line(process)
         fields = json.loads(line)
         addresses = daemon.Addresses(
             fields["callers"], fields["operators"], fields["peers"]
         )
-        self._list_entry(plan, zone, instance, addresses.peers)
+        self._list_daemon(plan, zone, instance, addresses.peers)
         return running.DaemonProcess(process, addresses, fields["member"])
 
     def end_processes(self) -> None:
@@ -289,7 +289,7 @@
             if process.poll() is None:
                 process.kill()
 
-    def _list_entry(
+    def _list_daemon(
         self, plan: partners.PartnerPlan, zone: str, instance: str, address: str
     ) -> None:
         self.instances.put(
@@ -344,11 +344,11 @@
         platform["instances"] = f"http://{self._zone_lists[zone]}"
 
 
-async def _read_line(process: trio.Process) -> bytes:
+async def _read_first_line(process: trio.Process) -> bytes:
     line = b""
     while not line.endswith(b"\n"):
-        piece = await process.stdout.receive_some(4096)
-        if not piece:
+        data = await process.stdout.receive_some(4096)
+        if not data:
             raise RuntimeError("the daemon ended before it was ready")
-        line += piece
+        line += data
     return line
--- a/packages/standins/src/martenquay_standins/zone_view.py
+++ b/packages/standins/src/martenquay_standins/zone_view.py
@@ -22,11 +22,11 @@
     def __init__(
         self,
         app: instance_list.InstanceListStandIn,
-        net: network.Network,
+        zone_network: network.Network,
         zone: str,
     ) -> None:
         self._app = app
-        self._network = net
+        self._network = zone_network
         self._zone = zone
 
     async def __call__(
@@ -40,7 +40,7 @@
             await self._app(scope, receive, send)
             return
 
-        async def send_mapped(message: Any) -> None:
+        async def send_rewritten(message: Any) -> None:
             if message["type"] == "http.response.start":
                 # The mapped list has another length.
                 message["headers"] = [
@@ -49,14 +49,14 @@
                     if name != b"content-length"
                 ]
             elif message.get("body"):
-                message["body"] = await self._map(message["body"])
+                message["body"] = await self._rewrite_addresses(message["body"])
             await send(message)
 
-        await self._app(scope, receive, send_mapped)
+        await self._app(scope, receive, send_rewritten)
 
-    async def _map(self, body: bytes) -> bytes:
+    async def _rewrite_addresses(self, body: bytes) -> bytes:
         listed = msgspec.json.decode(body, type=list[instances.Instance])
-        mapped = [
+        rewritten = [
             msgspec.structs.replace(
                 item,
                 address=await self._network.link(
@@ -65,4 +65,4 @@
             )
             for item in listed
         ]
-        return msgspec.json.encode(mapped)
+        return msgspec.json.encode(rewritten)
--- a/proofs/checker.py
+++ b/proofs/checker.py
@@ -23,7 +23,7 @@
     "search_violation",
 ]
 
-_STEP_LIMIT = 400_000_000
+_SOLVER_STEP_LIMIT = 400_000_000
 
 
 class Verdict(enum.Enum):
@@ -53,10 +53,12 @@
     def make_state(self, step: int) -> dict[str, Any]:
         """Return fresh variables for the state at a step."""
 
-    def start(self, state: dict[str, Any]) -> Any:
+    def is_initial(self, state: dict[str, Any]) -> Any:
         """Return the condition on the first state."""
 
-    def step(self, before: dict[str, Any], after: dict[str, Any]) -> Any:
+    def is_transition(
+        self, before: dict[str, Any], after: dict[str, Any]
+    ) -> Any:
         """Return the condition on two states in a row."""
 
     def is_safe(self, state: dict[str, Any]) -> Any:
@@ -67,13 +69,13 @@
     """Look for a run of at most `depth` steps that ends in an unsafe state."""
     solver = _make_solver()
     states = [specification.make_state(0)]
-    solver.add(specification.start(states[0]))
+    solver.add(specification.is_initial(states[0]))
     for number in range(1, depth + 1):
         states.append(specification.make_state(number))
-        solver.add(specification.step(states[-2], states[-1]))
+        solver.add(specification.is_transition(states[-2], states[-1]))
     unsafe = [z3.Not(specification.is_safe(state)) for state in states]
     solver.add(z3.Or(unsafe))
-    return _conclude(solver, states)
+    return _run_solver(solver, states)
 
 
 def prove_inductive(
@@ -88,10 +90,12 @@
     before = specification.make_state(0)
     after = specification.make_state(1)
     obligations = {
-        "start": z3.And(specification.start(before), z3.Not(invariant(before))),
+        "start": z3.And(
+            specification.is_initial(before), z3.Not(invariant(before))
+        ),
         "kept": z3.And(
             invariant(before),
-            specification.step(before, after),
+            specification.is_transition(before, after),
             z3.Not(invariant(after)),
         ),
         "enough": z3.And(
@@ -102,18 +106,18 @@
     for name, counterexample in obligations.items():
         solver = _make_solver()
         solver.add(counterexample)
-        findings[name] = _conclude(solver, [before, after])
+        findings[name] = _run_solver(solver, [before, after])
     return findings
 
 
 def _make_solver() -> z3.Solver:
     solver = z3.Solver()
-    solver.set("rlimit", _STEP_LIMIT)
+    solver.set("rlimit", _SOLVER_STEP_LIMIT)
     solver.set("random_seed", 7)
     return solver
 
 
-def _conclude(solver: z3.Solver, states: list[dict[str, Any]]) -> Finding:
+def _run_solver(solver: z3.Solver, states: list[dict[str, Any]]) -> Finding:
     answer = solver.check()
     if answer == z3.unsat:
         return Finding(Verdict.HOLDS, [])
--- a/proofs/claims.py
+++ b/proofs/claims.py
@@ -17,13 +17,13 @@
 
 import z3
 
-__all__ = ["Breakage", "ClaimSpecification", "State"]
+__all__ = ["InjectedBug", "ClaimSpecification", "DaemonState"]
 
 DAEMONS = (0, 1)
-PLACES = 4
+LOG_LENGTH = 4
 
 
-class Breakage(enum.Enum):
+class InjectedBug(enum.Enum):
     """A way in which the protocol may be broken."""
 
     NONE = "none"
@@ -32,7 +32,7 @@
     LOSER_TAKES_OVER = "a losing claim takes over after a release"
 
 
-class State(enum.IntEnum):
+class DaemonState(enum.IntEnum):
     """Where a daemon is with its claim."""
 
     IDLE = 0
@@ -52,14 +52,14 @@
 class ClaimSpecification:
     """The claim protocol for one key."""
 
-    def __init__(self, breakage: Breakage = Breakage.NONE) -> None:
-        self._breakage = breakage
+    def __init__(self, bug: InjectedBug = InjectedBug.NONE) -> None:
+        self._bug = bug
 
     def make_state(self, step: int) -> dict[str, Any]:
         """Return the variables of a state."""
         state: dict[str, Any] = {}
-        for place in range(PLACES):
-            state[f"log{place}"] = z3.Int(f"log{place}_{step}")
+        for position in range(LOG_LENGTH):
+            state[f"log{position}"] = z3.Int(f"log{position}_{step}")
         state["end"] = z3.Int(f"end_{step}")
         for daemon in DAEMONS:
             state[f"at{daemon}"] = z3.Int(f"at{daemon}_{step}")
@@ -69,22 +69,24 @@
         state["calls"] = z3.Int(f"calls_{step}")
         return state
 
-    def start(self, state: dict[str, Any]) -> Any:
+    def is_initial(self, state: dict[str, Any]) -> Any:
         """Return the condition on the first state."""
         conditions = [state["end"] == 0, state["calls"] == 0]
         conditions += [
-            state[f"log{place}"] == _EMPTY for place in range(PLACES)
+            state[f"log{position}"] == _EMPTY for position in range(LOG_LENGTH)
         ]
         for daemon in DAEMONS:
-            conditions.append(state[f"at{daemon}"] == State.IDLE)
+            conditions.append(state[f"at{daemon}"] == DaemonState.IDLE)
             conditions.append(z3.Not(state[f"flying{daemon}"]))
             conditions.append(z3.Not(state[f"releasing{daemon}"]))
             conditions.append(z3.Not(state[f"said_not_run{daemon}"]))
         return z3.And(conditions)
 
-    def step(self, before: dict[str, Any], after: dict[str, Any]) -> Any:
+    def is_transition(
+        self, before: dict[str, Any], after: dict[str, Any]
+    ) -> Any:
         """Return the condition on two states in a row."""
-        actions = [_keep(before, after, {})]
+        actions = [_update(before, after, {})]
         for daemon in DAEMONS:
             actions += self._list_actions(before, after, daemon)
         return z3.Or(actions)
@@ -95,92 +97,102 @@
         Nor does a daemon hold the key that was told that it lost: it would
         never call and never let go.
         """
-        alone = z3.And(
+        all_said_not_run = z3.And(
             [
                 z3.Or(
                     state[f"said_not_run{daemon}"],
-                    state[f"at{daemon}"] == State.IDLE,
+                    state[f"at{daemon}"] == DaemonState.IDLE,
                 )
                 for daemon in DAEMONS
             ]
         )
         stuck = [
             z3.And(
-                state[f"at{daemon}"] == State.LOST, self.holds(state, daemon)
+                state[f"at{daemon}"] == DaemonState.LOST,
+                self.holds(state, daemon),
             )
             for daemon in DAEMONS
         ]
         return z3.And(
             state["calls"] <= 1,
-            z3.Implies(alone, state["calls"] == 0),
+            z3.Implies(all_said_not_run, state["calls"] == 0),
             z3.Not(z3.Or(stuck)),
         )
 
     def _list_actions(
         self, before: dict[str, Any], after: dict[str, Any], daemon: int
     ) -> list[Any]:
-        at, flying = f"at{daemon}", f"flying{daemon}"
-        said, releasing = f"said_not_run{daemon}", f"releasing{daemon}"
+        at, in_flight = f"at{daemon}", f"flying{daemon}"
+        said_not_run, releasing = f"said_not_run{daemon}", f"releasing{daemon}"
         actions = [
             # The append leaves the daemon; the log takes it later, or never.
             z3.And(
-                before[at] == State.IDLE,
-                _keep(before, after, {at: State.SENT, flying: True}),
+                before[at] == DaemonState.IDLE,
+                _update(before, after, {at: DaemonState.SENT, in_flight: True}),
             ),
-            self._append(before, after, flying, _CLAIMS[daemon]),
+            self._append(before, after, in_flight, _CLAIMS[daemon]),
             # The append is refused and never reaches the log.
             z3.And(
-                before[flying],
-                before[at] == State.GIVEN_UP,
-                _keep(before, after, {flying: False}),
+                before[in_flight],
+                before[at] == DaemonState.GIVEN_UP,
+                _update(before, after, {in_flight: False}),
             ),
             z3.And(
-                before[at] == State.SENT,
+                before[at] == DaemonState.SENT,
                 self.holds(before, daemon),
-                _keep(before, after, {at: State.WON}),
+                _update(before, after, {at: DaemonState.WON}),
             ),
             z3.And(
-                before[at] == State.SENT,
+                before[at] == DaemonState.SENT,
                 _contains(before, _CLAIMS[daemon]),
                 z3.Not(self.holds(before, daemon)),
-                _keep(before, after, {at: State.LOST}),
+                _update(before, after, {at: DaemonState.LOST}),
             ),
             z3.And(
-                before[at] == State.WON,
-                _keep(
+                before[at] == DaemonState.WON,
+                _update(
                     before,
                     after,
-                    {at: State.CALLED, "calls": before["calls"] + 1},
+                    {at: DaemonState.CALLED, "calls": before["calls"] + 1},
                 ),
             ),
             z3.And(
-                z3.Or(before[at] == State.SENT, before[at] == State.WON),
-                _keep(
+                z3.Or(
+                    before[at] == DaemonState.SENT,
+                    before[at] == DaemonState.WON,
+                ),
+                _update(
                     before,
                     after,
-                    {at: State.GIVEN_UP, said: True, releasing: True},
+                    {
+                        at: DaemonState.GIVEN_UP,
+                        said_not_run: True,
+                        releasing: True,
+                    },
                 ),
             ),
             self._append(before, after, releasing, _RELEASES[daemon]),
         ]
-        return actions + self._list_broken(before, after, daemon)
+        return actions + self._list_bug_actions(before, after, daemon)
 
-    def _list_broken(
+    def _list_bug_actions(
         self, before: dict[str, Any], after: dict[str, Any], daemon: int
     ) -> list[Any]:
         at = f"at{daemon}"
-        call = {at: State.CALLED, "calls": before["calls"] + 1}
-        match self._breakage:
-            case Breakage.CALL_WITHOUT_READING:
-                place = z3.And(
-                    before[at] == State.SENT, _contains(before, _CLAIMS[daemon])
+        call = {at: DaemonState.CALLED, "calls": before["calls"] + 1}
+        match self._bug:
+            case InjectedBug.CALL_WITHOUT_READING:
+                condition = z3.And(
+                    before[at] == DaemonState.SENT,
+                    _contains(before, _CLAIMS[daemon]),
                 )
-                return [z3.And(place, _keep(before, after, call))]
-            case Breakage.CALL_AFTER_GIVING_UP:
-                place = z3.And(
-                    before[at] == State.GIVEN_UP, self.holds(before, daemon)
+                return [z3.And(condition, _update(before, after, call))]
+            case InjectedBug.CALL_AFTER_GIVING_UP:
+                condition = z3.And(
+                    before[at] == DaemonState.GIVEN_UP,
+                    self.holds(before, daemon),
                 )
-                return [z3.And(place, _keep(before, after, call))]
+                return [z3.And(condition, _update(before, after, call))]
             case _:
                 return []
 
@@ -192,32 +204,38 @@
         record: int,
     ) -> Any:
         """Return: a record on its way is put into the log's next place."""
-        ways = []
-        for place in range(PLACES):
-            changes = {f"log{place}": record, "end": place + 1, flag: False}
-            ways.append(
-                z3.And(before["end"] == place, _keep(before, after, changes))
+        cases = []
+        for position in range(LOG_LENGTH):
+            changes = {
+                f"log{position}": record,
+                "end": position + 1,
+                flag: False,
+            }
+            cases.append(
+                z3.And(
+                    before["end"] == position, _update(before, after, changes)
+                )
             )
-        return z3.And(before[flag], z3.Or(ways))
+        return z3.And(before[flag], z3.Or(cases))
 
     def holds(self, state: dict[str, Any], daemon: int) -> Any:
         """Return: the fold of the log gives the key to this daemon."""
         holder: Any = z3.IntVal(-1)
         voided = [z3.BoolVal(False) for _ in DAEMONS]
         released = [z3.BoolVal(False) for _ in DAEMONS]
-        for place in range(PLACES):
-            record = state[f"log{place}"]
-            free = holder == -1
+        for position in range(LOG_LENGTH):
+            record = state[f"log{position}"]
+            is_free = holder == -1
             for other in DAEMONS:
                 is_claim = record == _CLAIMS[other]
                 blocked = z3.Or(voided[other], released[other])
-                takes = z3.And(is_claim, free, z3.Not(blocked))
+                is_granted = z3.And(is_claim, is_free, z3.Not(blocked))
                 voided[other] = z3.Or(
-                    voided[other], z3.And(is_claim, z3.Not(free))
+                    voided[other], z3.And(is_claim, z3.Not(is_free))
                 )
-                holder = z3.If(takes, other, holder)
+                holder = z3.If(is_granted, other, holder)
             holder, released = self._fold_release(
-                state, record, holder, released, place
+                state, record, holder, released, position
             )
         return holder == daemon
 
@@ -227,16 +245,16 @@
         record: Any,
         holder: Any,
         released: list[Any],
-        place: int,
+        position: int,
     ) -> tuple[Any, list[Any]]:
         for other in DAEMONS:
             is_release = record == _RELEASES[other]
             released[other] = z3.Or(released[other], is_release)
             successor: Any = z3.IntVal(-1)
-            if self._breakage is Breakage.LOSER_TAKES_OVER:
+            if self._bug is InjectedBug.LOSER_TAKES_OVER:
                 earlier = [
                     state[f"log{before}"] == _CLAIMS[1 - other]
-                    for before in range(place)
+                    for before in range(position)
                 ]
                 successor = z3.If(z3.Or([*earlier, False]), 1 - other, -1)
             holder = z3.If(
@@ -246,10 +264,12 @@
 
 
 def _contains(state: dict[str, Any], record: int) -> Any:
-    return z3.Or([state[f"log{place}"] == record for place in range(PLACES)])
+    return z3.Or(
+        [state[f"log{position}"] == record for position in range(LOG_LENGTH)]
+    )
 
 
-def _keep(
+def _update(
     before: dict[str, Any], after: dict[str, Any], changes: dict[str, Any]
 ) -> Any:
     """Return: the changes are made and all else stays as it was."""
--- a/proofs/configuration.py
+++ b/proofs/configuration.py
@@ -17,13 +17,13 @@
 
 import z3
 
-__all__ = ["Breakage", "ConfigSpecification", "holds_always"]
+__all__ = ["InjectedBug", "ConfigSpecification", "satisfies_invariant"]
 
-RECORDS = 3
+RECORD_COUNT = 3
 READERS = (0, 1)
 
 
-class Breakage(enum.Enum):
+class InjectedBug(enum.Enum):
     """A way in which the protocol may be broken."""
 
     NONE = "none"
@@ -39,8 +39,8 @@
     shows: after offset n the right value has the lowest n bits set.
     """
 
-    def __init__(self, breakage: Breakage = Breakage.NONE) -> None:
-        self._breakage = breakage
+    def __init__(self, bug: InjectedBug = InjectedBug.NONE) -> None:
+        self._bug = bug
 
     def make_state(self, step: int) -> dict[str, Any]:
         """Return the variables of a state."""
@@ -57,25 +57,27 @@
             state[f"highest{reader}"] = z3.Int(f"highest{reader}_{step}")
         return state
 
-    def start(self, state: dict[str, Any]) -> Any:
+    def is_initial(self, state: dict[str, Any]) -> Any:
         """Return the condition on the first state."""
         zero = [name for name in state if name != "start"]
         return z3.And(state["start"] == 1, *[state[name] == 0 for name in zero])
 
-    def step(self, before: dict[str, Any], after: dict[str, Any]) -> Any:
+    def is_transition(
+        self, before: dict[str, Any], after: dict[str, Any]
+    ) -> Any:
         """Return the condition on two states in a row."""
-        actions = [_keep(before, after, {})]
+        actions = [_update(before, after, {})]
         actions.append(
             z3.And(
-                before["end"] < RECORDS,
-                _keep(before, after, {"end": before["end"] + 1}),
+                before["end"] < RECORD_COUNT,
+                _update(before, after, {"end": before["end"] + 1}),
             )
         )
         # The log forgets its oldest record.
         actions.append(
             z3.And(
                 before["start"] <= before["end"],
-                _keep(before, after, {"start": before["start"] + 1}),
+                _update(before, after, {"start": before["start"] + 1}),
             )
         )
         for reader in READERS:
@@ -87,7 +89,9 @@
         conditions = []
         for reader in READERS:
             applied = state[f"applied{reader}"]
-            conditions.append(state[f"value{reader}"] == _right_value(applied))
+            conditions.append(
+                state[f"value{reader}"] == _expected_value(applied)
+            )
             conditions.append(applied >= state[f"highest{reader}"])
         return z3.And(conditions)
 
@@ -99,97 +103,105 @@
         next_offset = before[applied] + 1
         folded = {
             applied: next_offset,
-            value: before[value] + _bit(next_offset),
-            highest: _larger(before[highest], next_offset),
+            value: before[value] + _record_bit(next_offset),
+            highest: _maximum(before[highest], next_offset),
         }
         no_gap = before["start"] <= next_offset
         fold = z3.And(
-            next_offset <= before["end"], no_gap, _keep(before, after, folded)
+            next_offset <= before["end"], no_gap, _update(before, after, folded)
         )
-        taken = {
+        snapshot_state = {
             applied: before["snap_offset"],
             value: before["snap_value"],
-            highest: _larger(before[highest], before["snap_offset"]),
+            highest: _maximum(before[highest], before["snap_offset"]),
         }
         newer = before["snap_offset"] > before[applied]
-        take = z3.And(newer, _keep(before, after, taken))
-        publish = _keep(
+        take_snapshot = z3.And(newer, _update(before, after, snapshot_state))
+        publish = _update(
             before,
             after,
             {"snap_offset": before[applied], "snap_value": before[value]},
         )
         # A process that starts anew has had nothing in force.
-        restart = _keep(before, after, {applied: 0, value: 0, highest: 0})
-        broken = self._list_broken(before, after, reader, taken)
-        return [fold, take, publish, restart, *broken]
+        restart = _update(before, after, {applied: 0, value: 0, highest: 0})
+        broken = self._list_bug_actions(before, after, reader, snapshot_state)
+        return [fold, take_snapshot, publish, restart, *broken]
 
-    def _list_broken(
+    def _list_bug_actions(
         self,
         before: dict[str, Any],
         after: dict[str, Any],
         reader: int,
-        taken: dict[str, Any],
+        snapshot_state: dict[str, Any],
     ) -> list[Any]:
         applied, value = f"applied{reader}", f"value{reader}"
-        match self._breakage:
-            case Breakage.TAKE_OLDER_SNAPSHOT:
-                return [_keep(before, after, taken)]
-            case Breakage.FOLD_OVER_GAP:
-                jump = _larger(before["start"], before[applied] + 1)
-                folded = {applied: jump, value: before[value] + _bit(jump)}
+        match self._bug:
+            case InjectedBug.TAKE_OLDER_SNAPSHOT:
+                return [_update(before, after, snapshot_state)]
+            case InjectedBug.FOLD_OVER_GAP:
+                offset_after_gap = _maximum(
+                    before["start"], before[applied] + 1
+                )
+                folded = {
+                    applied: offset_after_gap,
+                    value: before[value] + _record_bit(offset_after_gap),
+                }
                 return [
-                    z3.And(jump <= before["end"], _keep(before, after, folded))
+                    z3.And(
+                        offset_after_gap <= before["end"],
+                        _update(before, after, folded),
+                    )
                 ]
-            case Breakage.PUBLISH_FALSE_OFFSET:
+            case InjectedBug.PUBLISH_FALSE_OFFSET:
                 published = {
                     "snap_offset": before["end"],
                     "snap_value": before[value],
                 }
-                return [_keep(before, after, published)]
+                return [_update(before, after, published)]
             case _:
                 return []
 
 
-def holds_always(state: dict[str, Any]) -> Any:
+def satisfies_invariant(state: dict[str, Any]) -> Any:
     """Return the inductive invariant."""
     conditions = [
         state["start"] >= 1,
         state["end"] >= 0,
-        state["end"] <= RECORDS,
+        state["end"] <= RECORD_COUNT,
         state["snap_offset"] >= 0,
         state["snap_offset"] <= state["end"],
-        state["snap_value"] == _right_value(state["snap_offset"]),
+        state["snap_value"] == _expected_value(state["snap_offset"]),
     ]
     for reader in READERS:
         applied = state[f"applied{reader}"]
         conditions += [
             applied >= 0,
             applied <= state["end"],
-            state[f"value{reader}"] == _right_value(applied),
+            state[f"value{reader}"] == _expected_value(applied),
             state[f"highest{reader}"] <= applied,
         ]
     return z3.And(conditions)
 
 
-def _right_value(offset: Any) -> Any:
+def _expected_value(offset: Any) -> Any:
     value: Any = z3.IntVal(0)
-    for number in range(1, RECORDS + 1):
+    for number in range(1, RECORD_COUNT + 1):
         value = z3.If(offset == number, 2**number - 1, value)
     return value
 
 
-def _bit(offset: Any) -> Any:
+def _record_bit(offset: Any) -> Any:
     value: Any = z3.IntVal(0)
-    for number in range(1, RECORDS + 1):
+    for number in range(1, RECORD_COUNT + 1):
         value = z3.If(offset == number, 2 ** (number - 1), value)
     return value
 
 
-def _larger(first: Any, second: Any) -> Any:
+def _maximum(first: Any, second: Any) -> Any:
     return z3.If(first > second, first, second)
 
 
-def _keep(
+def _update(
     before: dict[str, Any], after: dict[str, Any], changes: dict[str, Any]
 ) -> Any:
     return z3.And(
--- a/scripts/run_tests.py
+++ b/scripts/run_tests.py
@@ -13,19 +13,19 @@
 
 _ROOT = pathlib.Path(__file__).resolve().parent.parent
 _BIN = pathlib.Path(sys.executable).parent
-_WORKERS = "4"
-_MAX_KNOWN = 3
+_CONCURRENCY = "4"
+_MAX_KNOWN_RED = 3
 
 
 def main() -> int:
     """Run everything; return 0 only if all is clean and green."""
     os.environ["PATH"] = f"{_BIN}{os.pathsep}{os.environ['PATH']}"
     checks = [
-        _call("ruff", "format", "--check", "."),
-        _call("ruff", "check", "."),
+        _run_command("ruff", "format", "--check", "."),
+        _run_command("ruff", "check", "."),
     ]
-    _call("stestr", "init", quiet=True)
-    _call("stestr", "run", "--concurrency", _WORKERS, *sys.argv[1:])
+    _run_command("stestr", "init", quiet=True)
+    _run_command("stestr", "run", "--concurrency", _CONCURRENCY, *sys.argv[1:])
     passed, failing = _read_last_run()
     known = _read_known_red()
     excused = [name for name in failing if name in known]
@@ -39,10 +39,10 @@
     return 0 if failed == 0 and passed > 0 else 1
 
 
-def _call(*words: str, quiet: bool = False) -> int:
+def _run_command(*arguments: str, quiet: bool = False) -> int:
     output = subprocess.DEVNULL if quiet else None
     done = subprocess.run(
-        words, cwd=_ROOT, check=False, stdout=output, stderr=output
+        arguments, cwd=_ROOT, check=False, stdout=output, stderr=output
     )
     return done.returncode
 
@@ -61,12 +61,12 @@
     if not path.exists():
         return set()
     lines = [line for line in path.read_text().splitlines() if line.strip()]
-    return {line.split()[0] for line in lines[:_MAX_KNOWN]}
+    return {line.split()[0] for line in lines[:_MAX_KNOWN_RED]}
 
 
-def _capture(*words: str) -> str:
+def _capture(*arguments: str) -> str:
     done = subprocess.run(
-        words, cwd=_ROOT, check=False, capture_output=True, text=True
+        arguments, cwd=_ROOT, check=False, capture_output=True, text=True
     )
     return done.stdout
 
--- a/tests/test_client/test_main.py
+++ b/tests/test_client/test_main.py
@@ -13,25 +13,31 @@
 
 
 class ClientTest(scenarios.ScenarioTestCase):
-    async def _call(self, *words: str, credential: str = "serrana-operator"):
-        done = await trio.run_process(
-            [sys.executable, "-m", "martenquay_client", *words],
+    async def _run_client(
+        self, *arguments: str, credential: str = "serrana-operator"
+    ):
+        process = await trio.run_process(
+            [sys.executable, "-m", "martenquay_client", *arguments],
             env=os.environ | {"MARTENQUAY_CREDENTIAL": credential},
             capture_stdout=True,
             capture_stderr=True,
             check=False,
         )
-        return done.returncode, done.stdout.decode(), done.stderr.decode()
+        return (
+            process.returncode,
+            process.stdout.decode(),
+            process.stderr.decode(),
+        )
 
     def test_queries_and_commands_go_to_a_daemon(self):
         async def scenario(scene: scenarios.Scene) -> None:
             await scene.world.add_engine(partners.SERRANA, "serra-a", "model-1")
             daemon = (await scene.start_daemons(partners.SERRANA, 1))[0]
             flag = f"--daemon={daemon.addresses.operators}"
-            code, out, _ = await self._call(flag, "show", "runners")
+            code, out, _ = await self._run_client(flag, "show", "runners")
             self.assertEqual(0, code)
             self.assertIn("model-1", out)
-            code, out, _ = await self._call(
+            code, out, _ = await self._run_client(
                 flag, "--json", "set", "team", "counter", "weight=2"
             )
             self.assertEqual(0, code)
@@ -49,12 +55,14 @@
                 (("drop team counter if version 99",), 6, "5002"),
                 (("show routes nowhere",), 2, "5007"),
             ]
-            for words, expected, number in cases:
-                code, _, err = await self._call(flag, *words)
+            for arguments, expected, number in cases:
+                code, _, err = await self._run_client(flag, *arguments)
                 self.assertEqual((expected, True), (code, number in err), err)
-            code, _, err = await self._call(flag, "show daemons", credential="")
+            code, _, err = await self._run_client(
+                flag, "show daemons", credential=""
+            )
             self.assertEqual(3, code, err)
-            code, _, err = await self._call(
+            code, _, err = await self._run_client(
                 "--daemon=127.0.0.1:1", "show daemons"
             )
             self.assertIn("7003", err)
@@ -63,11 +71,11 @@
 
     def test_settings_are_checked_without_a_daemon(self):
         async def scenario(scene: scenarios.Scene) -> None:
-            code, out, _ = await self._call(
+            code, out, _ = await self._run_client(
                 "check-settings", "examples/serrana-bureau.jsonc"
             )
             self.assertEqual((0, True), (code, "good" in out))
-            code, _, err = await self._call("check-settings", "README.md")
+            code, _, err = await self._run_client("check-settings", "README.md")
             self.assertEqual((7, True), (code, "6002" in err), err)
 
         self.run_scene(scenario)
--- a/tests/test_proofs/test_claims.py
+++ b/tests/test_proofs/test_claims.py
@@ -19,10 +19,10 @@
         self.assertEqual(checker.Verdict.HOLDS, found.verdict, found.trace)
 
     def test_each_broken_variant_is_refuted(self):
-        for breakage in list(claims.Breakage)[1:]:
-            broken = claims.ClaimSpecification(breakage)
-            found = checker.search_violation(broken, _DEPTH)
-            self.assertEqual(checker.Verdict.VIOLATED, found.verdict, breakage)
+        for bug in list(claims.InjectedBug)[1:]:
+            buggy = claims.ClaimSpecification(bug)
+            found = checker.search_violation(buggy, _DEPTH)
+            self.assertEqual(checker.Verdict.VIOLATED, found.verdict, bug)
             self.assertGreater(len(found.trace), 1)
 
 
@@ -35,7 +35,7 @@
             3: records.Release("key", "a0"),
             4: records.Release("key", "a1"),
         }
-        logs = itertools.product(range(5), repeat=claims.PLACES)
+        logs = itertools.product(range(5), repeat=claims.LOG_LENGTH)
         for log in logs:
             # Places fill from the front; a release comes once.
             written = list(itertools.takewhile(bool, log))
@@ -53,7 +53,8 @@
 
     def _find_holder(self, specification, log) -> str:
         state = {
-            f"log{place}": z3.IntVal(code) for place, code in enumerate(log)
+            f"log{position}": z3.IntVal(code)
+            for position, code in enumerate(log)
         }
         for daemon in claims.DAEMONS:
             if z3.is_true(z3.simplify(specification.holds(state, daemon))):
--- a/tests/test_proofs/test_configuration.py
+++ b/tests/test_proofs/test_configuration.py
@@ -17,7 +17,8 @@
 class ConfigSpecificationTest(testtools.TestCase):
     def test_the_invariant_holds_at_the_start_is_kept_and_is_enough(self):
         findings = checker.prove_inductive(
-            configuration.ConfigSpecification(), configuration.holds_always
+            configuration.ConfigSpecification(),
+            configuration.satisfies_invariant,
         )
         for name, found in findings.items():
             self.assertEqual(
@@ -25,10 +26,10 @@
             )
 
     def test_each_broken_variant_is_refuted(self):
-        for breakage in list(configuration.Breakage)[1:]:
-            broken = configuration.ConfigSpecification(breakage)
-            found = checker.search_violation(broken, _DEPTH)
-            self.assertEqual(checker.Verdict.VIOLATED, found.verdict, breakage)
+        for bug in list(configuration.InjectedBug)[1:]:
+            buggy = configuration.ConfigSpecification(bug)
+            found = checker.search_violation(buggy, _DEPTH)
+            self.assertEqual(checker.Verdict.VIOLATED, found.verdict, bug)
 
 
 _ACTIONS = strategies.lists(
@@ -48,8 +49,8 @@
         found.apply(*log[0])
         older = _publish(partners, found)
         found.apply(*log[1])
-        _take(partners, found, older)
-        self.assertEqual(_fold_all(partners, log, 2), found.state)
+        _take_snapshot(partners, found, older)
+        self.assertEqual(_fold_log(partners, log, 2), found.state)
 
     @hypothesis.settings(
         derandomize=True, deadline=None, max_examples=80, database=None
@@ -76,7 +77,7 @@
                 case "publish":
                     published = _publish(partners, found)
                 case "take":
-                    _take(partners, found, published)
+                    _take_snapshot(partners, found, published)
                 case "restart":
                     found = store.ConfigStore(
                         ["serrana", "lindqvist"], partners.verifier
@@ -84,7 +85,7 @@
                     highest = 0
             self.assertGreaterEqual(found.applied.value, highest)
             highest = found.applied.value
-            self.assertEqual(_fold_all(partners, log, highest), found.state)
+            self.assertEqual(_fold_log(partners, log, highest), found.state)
 
 
 def _append(partners, offset: int) -> tuple[int, bytes]:
@@ -104,14 +105,16 @@
     ]
 
 
-def _take(partners, found: store.ConfigStore, chunks: list[bytes]) -> None:
+def _take_snapshot(
+    partners, found: store.ConfigStore, chunks: list[bytes]
+) -> None:
     buffer = snapshot.SnapshotBuffer(partners.verifier)
     for chunk in chunks:
         buffer.add(chunk)
     found.take_snapshots(buffer)
 
 
-def _fold_all(partners, log, end: int) -> fold.ConfigState:
+def _fold_log(partners, log, end: int) -> fold.ConfigState:
     state = partners.start_state()
     for offset, raw in log[:end]:
         fold.apply_record(state, offset, raw, partners.verifier)
--- a/tests/test_standins/test_chaos_readings.py
+++ b/tests/test_standins/test_chaos_readings.py
@@ -57,12 +57,14 @@
                 readings.ConfigReader(ask), log, {"serrana": members}
             )
 
-        told = history.History()
-        told.observations = trio.run(scenario)
-        self.assertEqual([], history.find_breaches(told))
-        finals = [seen.version for seen in told.observations if seen.is_final]
+        recorded = history.History()
+        recorded.observations = trio.run(scenario)
+        self.assertEqual([], history.find_breaches(recorded))
+        finals = [
+            seen.version for seen in recorded.observations if seen.is_final
+        ]
         self.assertEqual([27, 27], finals)
-        self.assertEqual(4, len(told.observations) - len(finals))
+        self.assertEqual(4, len(recorded.observations) - len(finals))
 
     def test_daemons_that_differ_at_one_end_are_still_rejected(self) -> None:
         log = _GrowingLog()
@@ -81,6 +83,8 @@
                 readings.ConfigReader(ask), log, {"serrana": members}
             )
 
-        told = history.History()
-        told.observations = trio.run(scenario)
-        self.assertIn("serrana ended in 2 ways", history.find_breaches(told))
+        recorded = history.History()
+        recorded.observations = trio.run(scenario)
+        self.assertIn(
+            "serrana ended in 2 ways", history.find_breaches(recorded)
+        )
