--- a/packages/client/src/martenquay_client/__init__.py
+++ b/packages/client/src/martenquay_client/__init__.py
@@ -1,1 +1,1 @@
-"""Give operators a command line for queries and commands."""
+"""Command line for operators: queries, commands and offline checks."""
--- a/packages/client/src/martenquay_client/connection.py
+++ b/packages/client/src/martenquay_client/connection.py
@@ -1,4 +1,4 @@
-"""Send statements to a daemon and bring back typed replies."""
+"""Send statements to a daemon's operator API and decode its replies."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class StatementOptions:
-    """How a statement is to be carried out.
+    """Options sent along with a command.
 
     Attributes:
-        change_id: Names a change, so that it can be sent again.
-        wait: Wait until a change is in force in every zone.
+        change_id: Idempotency key of the change; empty for none.
+        wait: The daemon replies once the change is in force in every zone.
     """
 
     change_id: str = ""
@@ -35,11 +35,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Reply:
-    """What a daemon answered.
+    """Successful reply of a daemon.
 
     Attributes:
-        content: The decoded answer.
-        is_query: It answers a query and has rows.
+        content: The decoded JSON object.
+        is_query: The statement was a query; `content` has rows.
     """
 
     content: dict[str, Any]
@@ -47,7 +47,7 @@
 
 
 class Connection:
-    """Talk to one daemon as one operator."""
+    """Operator API of one daemon, used with one credential."""
 
     def __init__(
         self, client: http.HttpClient, address: str, credential: str
@@ -62,7 +62,13 @@
     async def send(
         self, text: str, options: StatementOptions
     ) -> Result[Reply, results.Failure]:
-        """Send one statement; its words are checked here first."""
+        """Parse a statement locally, then send it to the daemon.
+
+        Returns:
+            The reply, or a failure with SYNTAX_ERROR if nothing was sent,
+            CHANGE_UNKNOWN if a change may have been made, or the code that
+            the daemon answered.
+        """
         parsed = parser.parse_statement(text)
         if parsed.is_error():
             code = results.ResultCode.SYNTAX_ERROR
--- a/packages/client/src/martenquay_client/main.py
+++ b/packages/client/src/martenquay_client/main.py
@@ -1,4 +1,4 @@
-"""Start `martenquay`: statements, settings checks, keys and digests."""
+"""Entry point and subcommands of the `martenquay` command line."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
 
 
 def start() -> None:
-    """Run the client; the entry point of the binary."""
+    """Run the command line and exit with its exit code."""
     app.run(_run)
 
 
@@ -110,7 +110,7 @@
 
 
 async def _run_statements(arguments: list[str]) -> int:
-    # A change without a name could not be sent again when its answer is lost.
+    # Without an id, a change could not be retried after a lost response.
     change_id = _CHANGE_ID.value or f"change-{secrets.token_hex(8)}"
     options = connection.StatementOptions(change_id, _WAIT.value)
     credential = os.environ.get(_CREDENTIAL_VARIABLE, "").strip()
@@ -125,7 +125,7 @@
         daemon = connection.Connection(client, _DAEMON.value, credential)
         match arguments:
             case ["shell"]:
-                # Each command in the shell is a change of its own.
+                # One id for all commands would make them retries of the first.
                 shell_options = connection.StatementOptions("", _WAIT.value)
                 return await shell.run_shell(
                     daemon, shell_options, as_json=_JSON.value
--- a/packages/client/src/martenquay_client/render.py
+++ b/packages/client/src/martenquay_client/render.py
@@ -1,4 +1,4 @@
-"""Write replies as tables or as JSON."""
+"""Format replies and failures as tables or JSON."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def render_reply(reply: connection.Reply, *, as_json: bool) -> str:
-    """Return a reply as text."""
+    """Return a reply as JSON, a table of rows or a line on the change."""
     if as_json:
         return json.dumps(reply.content, indent=2)
     if not reply.is_query:
@@ -25,7 +25,7 @@
 
 
 def render_failure(failure: results.Failure, *, as_json: bool) -> str:
-    """Return a failure as text."""
+    """Return a failure as JSON or as its message, code and meaning."""
     if as_json:
         return json.dumps(
             {
--- a/packages/client/src/martenquay_client/shell.py
+++ b/packages/client/src/martenquay_client/shell.py
@@ -1,4 +1,4 @@
-"""Read statements one after the other, with history and completion."""
+"""Interactive shell for statements, with history and completion."""
 
 from __future__ import annotations
 
@@ -39,13 +39,17 @@
     *,
     as_json: bool,
 ) -> int:
-    """Answer statements until the operator leaves; return an exit code."""
+    """Read and send statements until exit or end of input.
+
+    Returns:
+        The exit code, always 0.
+    """
     session: prompt_toolkit.PromptSession[str] = prompt_toolkit.PromptSession(
         completer=completion.WordCompleter(_COMPLETIONS)
     )
     while True:
         try:
-            # The prompt has an event loop of its own, so it gets a thread.
+            # prompt() runs an asyncio loop and would block the trio loop here.
             text = await trio.to_thread.run_sync(session.prompt, "martenquay> ")
         except (EOFError, KeyboardInterrupt):
             return 0
--- a/packages/client/src/martenquay_client/trace.py
+++ b/packages/client/src/martenquay_client/trace.py
@@ -1,4 +1,4 @@
-"""Find what daemons logged of one request, in files of their log lines."""
+"""Find the log lines of one request in the log files of daemons."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 __all__ = ["TraceLine", "find_lines", "render_line"]
 
-# Fields that each line has, or that the rendered line begins with.
+# Fields of every log line; render_line prints the others as name=value.
 _STANDARD_FIELDS = frozenset(
     {
         "message_type",
@@ -31,11 +31,11 @@
     """One log line.
 
     Attributes:
-        at: Seconds since 1970, by the clock of its daemon.
-        source: The daemon's instance.
-        part: The part of the daemon that wrote it.
-        text: The sentence.
-        fields: What decided, and the outcome.
+        at: Unix time in seconds, by the clock of the daemon.
+        source: The instance name of the daemon.
+        part: The component of the daemon that logged it.
+        text: The message.
+        fields: The other fields, such as the status and the runner.
     """
 
     at: float
@@ -46,12 +46,12 @@
 
 
 def find_lines(request: str, paths: list[str]) -> list[TraceLine]:
-    """Return all lines of a request, oldest first.
+    """Return all log lines of a request, oldest first.
 
     Args:
         request: The request's id.
-        paths: Files of log lines; what stands before a line's first brace,
-            such as the time of a collector, is passed over.
+        paths: Log files; a prefix before the JSON object of a line, such as
+            a log collector's timestamp, is skipped.
 
     Raises:
         OSError: A file cannot be read.
@@ -65,7 +65,7 @@
 
 
 def render_line(line: TraceLine, start: float) -> str:
-    """Return a line for a person; times count from `start`."""
+    """Return a line as text, its time in ms since `start` (Unix time in s)."""
     fields = " ".join(
         f"{name}={value}"
         for name, value in line.fields.items()
@@ -88,7 +88,7 @@
             try:
                 content = json.loads(raw_line[start:])
             except json.JSONDecodeError:
-                # Other programs' output may stand in the same file.
+                # The file may also hold the output of other programs.
                 continue
             if content.get("request") == request:
                 yield _parse_line(content)
--- a/packages/standins/src/martenquay_standins/__init__.py
+++ b/packages/standins/src/martenquay_standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand in for the platform, model engines and plain services in tests."""
+"""Fake platform services, model engines and backend servers for tests."""
--- a/packages/standins/src/martenquay_standins/__main__.py
+++ b/packages/standins/src/martenquay_standins/__main__.py
@@ -1,4 +1,4 @@
-"""Run a stand-in with `python -m martenquay_standins`."""
+"""Run a fake server with `python -m martenquay_standins`."""
 
 from __future__ import annotations
 
--- a/packages/standins/src/martenquay_standins/chaos/__init__.py
+++ b/packages/standins/src/martenquay_standins/chaos/__init__.py
@@ -1,1 +1,1 @@
-"""Run callers and operators under seeded failures and check the history."""
+"""Chaos tests: a workload under seeded faults and a history checker."""
--- a/packages/standins/src/martenquay_standins/chaos/faults.py
+++ b/packages/standins/src/martenquay_standins/chaos/faults.py
@@ -1,4 +1,4 @@
-"""Bring failures about in a world, from a seed."""
+"""Seeded fault injection into a test environment."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 
 
 class FaultMaker:
-    """Kill, freeze, cut and reclaim; everything is healed at the end.
+    """Injects faults one at a time, each ended before the next one begins.
 
     Attributes:
-        daemons: The daemons that callers may turn to.
-        done: The faults made so far, for the report.
+        daemons: The running daemons by partner.
+        done: Names of the faults injected so far.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
         self._start_count = 0
 
     async def make_faults(self, count: int) -> None:
-        """Make faults one after the other."""
+        """Inject `count` faults one after the other, with pauses."""
         kinds: list[Callable[[], Awaitable[None]]] = [
             self._kill_daemon,
             self._freeze_daemon,
@@ -53,7 +53,7 @@
             self._break_services,
             self._reclaim_runner,
         ]
-        # Each kind comes as often as the others, in an order of the seed's.
+        # An independent draw each time could leave out a kind.
         chosen = [kinds[number % len(kinds)] for number in range(count)]
         self._random.shuffle(chosen)
         for fault in chosen:
@@ -137,7 +137,7 @@
         plan = next(p for p in self._world.plans if f"-{p.name}-" in name)
         zone = self._random.choice(plan.zones)
         self._start_count += 1
-        # Starts are refused in a wave; here the next one succeeds.
+        # Without a replacement, the pool would run out of runners.
         await self._world.add_engine(
             plan, zone, f"model-{plan.name}-new-{self._start_count}"
         )
--- a/packages/standins/src/martenquay_standins/chaos/history.py
+++ b/packages/standins/src/martenquay_standins/chaos/history.py
@@ -1,4 +1,4 @@
-"""Record what callers and operators were told, and judge it afterwards."""
+"""History of a chaos run and the checker of its guarantees."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     "find_breaches",
 ]
 
-# Codes from 2000 to 3999 say that nothing ran.
+# Result codes from 2000 to 3999 state that the request was not executed.
 _FIRST_NOT_RUN_CODE = 2000
 _LAST_NOT_RUN_CODE = 3999
 _OK_CODE = 1000
@@ -23,12 +23,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class BookingReply:
-    """What one try of a booking was told.
+    """Outcome of one attempt of a booking.
 
     Attributes:
-        key: The booking's key.
-        code: The numbered result; 0 if the connection broke.
-        body: The answer.
+        key: The idempotency key.
+        code: The result code; 0 if there was no response.
+        body: The response body.
     """
 
     key: str
@@ -38,13 +38,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class ChatReply:
-    """What a chat caller got.
+    """Outcome of one streamed chat.
 
     Attributes:
-        expected: The whole answer.
-        text: What came.
-        is_whole: It came to its proper end.
-        has_error: It ended in an explicit error, or the connection broke.
+        expected: The text of a complete answer.
+        text: The text received.
+        is_whole: The stream ended with its end marker.
+        has_error: The stream ended with an error, or the connection broke.
     """
 
     expected: str
@@ -55,13 +55,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class TicketReply:
-    """One fetch of the answer to an accepted request.
+    """One fetch of the answer to an accepted deferrable request.
 
     Attributes:
-        ticket: The ticket.
-        expected: The answer's text as it should be.
-        text: The text that came; None if none came by the end.
-        body: The whole answer.
+        ticket: The ticket of the request.
+        expected: The text of a correct answer.
+        text: The text received; None if none came before the run ended.
+        body: The response body.
     """
 
     ticket: str
@@ -72,12 +72,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class ChangeReply:
-    """What an operator was told of a change.
+    """Outcome of one configuration change.
 
     Attributes:
         partner: The operator's partner.
-        version: The version it was accepted at; 0 if it was not accepted.
-        weight: The value that was asked for.
+        version: The accepted version; 0 if the change was not accepted.
+        weight: The requested value.
     """
 
     partner: str
@@ -87,14 +87,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Observation:
-    """What a daemon process had in force at some time.
+    """One reading of the configuration in force at a daemon.
 
     Attributes:
         member: The daemon process.
-        partner: Whose object was read.
+        partner: The partner of the object read.
         version: The object's version.
         weight: The object's value.
-        is_final: It was read after everything had healed.
+        is_final: It was read after all faults had ended.
     """
 
     member: str
@@ -106,16 +106,16 @@
 
 @dataclasses.dataclass
 class History:
-    """All that was told, in the order in which it was told.
+    """Outcomes of a run, each kind in order of completion.
 
     Attributes:
-        bookings: Replies to bookings.
-        chats: Replies to chats.
-        tickets: Fetched answers.
-        accepted: Tickets that were accepted.
-        changes: Replies to operators.
+        bookings: Booking attempts.
+        chats: Streamed chats.
+        tickets: Fetches of deferrable answers.
+        accepted: Tickets of accepted deferrable requests.
+        changes: Configuration changes.
         observations: Readings of the configuration.
-        runs: How often each booking's key ran, counted by the services.
+        runs: Executions by idempotency key, as counted by the services.
     """
 
     bookings: list[BookingReply] = dataclasses.field(default_factory=list)
@@ -130,7 +130,7 @@
 
 
 def find_breaches(history: History) -> list[str]:
-    """Return a sentence for each promise that the history breaks."""
+    """Return a message for each guarantee that the history violates."""
     return [
         *_check_bookings(history),
         *_check_chats(history),
--- a/packages/standins/src/martenquay_standins/chaos/programs.py
+++ b/packages/standins/src/martenquay_standins/chaos/programs.py
@@ -1,4 +1,4 @@
-"""Start programs as processes of their own and read the lines they print."""
+"""Subprocesses of Python programs that print JSON lines."""
 
 from __future__ import annotations
 
@@ -20,26 +20,25 @@
 __all__ = ["Program", "start_program"]
 
 _RECEIVE_BYTES = 65_536
-# What is kept of a program's errors.
 _STDERR_TAIL_BYTES = 4000
 _STDOUT_TAIL_LINES = 40
-# Before an interpreter has worked so long, nothing it runs can catch a signal.
-# It is its own time, which a busy machine doesn't stretch.
+# With less CPU time than this, the interpreter is starting and no program has
+# signal handlers yet. Elapsed time would depend on the load of the machine.
 _STARTUP_CPU_S = 0.1
 
 
 class Program:
-    """A running program.
+    """A running subprocess.
 
     Attributes:
-        name: What the soak calls it.
+        name: Its name in reports.
         process: The process.
-        errors: The end of what it wrote to its error output.
-        is_expected_to_end: It was told to end.
-        started_at: When it was started, by the steady clock.
-        signals: The signals that it was sent, and how long after its start.
-        lines: The last lines that it printed, and how long after its start.
-        address: Where it listens; empty until it has told.
+        errors: The last bytes of its standard error.
+        is_expected_to_end: A test has told it to end.
+        started_at: When it was started, in seconds of the monotonic clock.
+        signals: The signals sent to it, with seconds since its start.
+        lines: Its last log lines, with seconds since its start.
+        address: Where it listens; empty while unknown.
     """
 
     def __init__(self, name: str, process: trio.Process) -> None:
@@ -53,48 +52,48 @@
             maxlen=_STDOUT_TAIL_LINES
         )
         self.started_at = time.monotonic()
-        # Lines bear the time of day.
+        # The timestamps of log lines are Unix times.
         self._started_at_epoch_s = time.time()
         self._startup_signals: set[int] = set()
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal to this process alone, if it is still there."""
+        """Send a signal to this process if it is still running."""
         if self.process.poll() is None:
             self.process.send_signal(number)
 
     def send_early_or_late(self, number: signal.Signals) -> None:
-        """Send a signal; note whether the program can know of it by now."""
+        """Send a signal and record whether the program was still starting."""
         if self.process.poll() is not None:
             return
         cpu_time_s = self._read_cpu_time_s()
         if cpu_time_s < _STARTUP_CPU_S:
             self._startup_signals.add(number)
         elif cpu_time_s > 2 * _STARTUP_CPU_S:
-            # It has outlived what came early.
+            # A program that runs on has survived its startup signals.
             self._startup_signals.clear()
         age_s = time.monotonic() - self.started_at
         self.signals.append(f"{number.name}+{age_s:.3f}")
         self.send(number)
 
     def is_excused(self) -> bool:
-        """Tell whether it ended by a signal that nobody could catch."""
+        """Return whether a signal sent during startup has killed it."""
         status = self.process.poll()
         return status is not None and -status in self._startup_signals
 
     def keep_line(self, line: dict[str, Any]) -> None:
-        """Keep a line that it printed, for those who ask why it ended."""
+        """Keep a log line for the report on why the program ended."""
         age_s = line.get("timestamp", 0.0) - self._started_at_epoch_s
         self.lines.append(f"{age_s:.3f} {line.get('text', line)}")
 
     def kill(self) -> None:
-        """End it at once."""
+        """Send SIGKILL, marking the end as expected."""
         self.is_expected_to_end = True
         self.send(signal.SIGKILL)
 
     async def read_lines(
         self, handle_line: Callable[[dict[str, Any]], None]
     ) -> None:
-        """Hand on each JSON line that it prints, until it ends."""
+        """Call `handle_line` with each JSON line that it prints, until EOF."""
         assert self.process.stdout is not None, "it is started with a pipe"
         partial_line = b""
         while data := await self.process.stdout.receive_some(_RECEIVE_BYTES):
@@ -103,15 +102,15 @@
                 handle_line(json.loads(line))
 
     def _read_cpu_time_s(self) -> float:
-        """Return how long it has worked, by the system's account."""
+        """Return the user and system CPU time of the process."""
         stat_line = pathlib.Path(f"/proc/{self.process.pid}/stat").read_text()
-        # The name, in brackets, may hold anything.
+        # The command name, in parentheses, may hold spaces and parentheses.
         fields = stat_line.rpartition(")")[2].split()
         ticks = int(fields[11]) + int(fields[12])
         return ticks / os.sysconf("SC_CLK_TCK")
 
     async def read_errors(self) -> None:
-        """Keep what it writes to its error output."""
+        """Keep the last bytes of its standard error, until EOF."""
         assert self.process.stderr is not None, "it is started with a pipe"
         while data := await self.process.stderr.receive_some(_RECEIVE_BYTES):
             self.errors = (self.errors + data)[-_STDERR_TAIL_BYTES:]
@@ -120,7 +119,10 @@
 async def start_program(
     name: str, arguments: list[str], env: Mapping[str, str]
 ) -> Program:
-    """Start a Python program; its output is read by `read_lines`."""
+    """Start a Python program; call `read_lines` and `read_errors` on it.
+
+    Without these two, the program would block on a full pipe.
+    """
     process = await trio.lowlevel.open_process(
         [sys.executable, *arguments],
         stdout=subprocess.PIPE,
--- a/packages/standins/src/martenquay_standins/chaos/proxy.py
+++ b/packages/standins/src/martenquay_standins/chaos/proxy.py
@@ -1,4 +1,4 @@
-"""Stand between two programs on loopback and harm what passes."""
+"""TCP proxy on loopback with fault injection."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class ProxyFaults:
-    """What goes wrong with what passes.
+    """Faults of all connections through a proxy.
 
     Attributes:
-        delay_s: Each piece is held back so long.
-        is_silent_to: Nothing passes towards the target.
-        is_silent_from: Nothing passes from it.
+        delay_s: Delay of each chunk of data.
+        is_silent_to: Hold back data sent to the target.
+        is_silent_from: Hold back data sent by the target.
     """
 
     delay_s: float = 0.0
@@ -38,7 +38,8 @@
     """One connection through the proxy.
 
     Attributes:
-        is_silent: Nothing passes any more, not even its end.
+        scope: Cancelling it resets the connection.
+        is_silent: Neither data nor the end of the stream is forwarded.
     """
 
     scope: trio.CancelScope = dataclasses.field(
@@ -48,16 +49,15 @@
 
 
 class FaultyProxy:
-    """Forward TCP to one target.
+    """TCP proxy for one target.
 
-    What is held back while a direction is silent passes when it heals, as
-    after a cut, unless the connection was reset meanwhile. A connection that
-    was silenced by itself stays so for good; each side's kernel goes on
-    acknowledging what the other one does not get.
+    Data held back by a fault is forwarded when the fault ends, unless the
+    connection is reset before. `silence_connections` is permanent for its
+    connections: the kernel acknowledges data that is never forwarded.
 
     Attributes:
-        address: Where it listens.
-        target: Where it forwards to.
+        address: Host and port where it listens.
+        target: Host and port to forward to.
     """
 
     def __init__(self, target: str) -> None:
@@ -71,7 +71,7 @@
     async def run(
         self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Forward until cancelled."""
+        """Accept and forward connections until cancelled."""
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
         host, port = listeners[0].socket.getsockname()[:2]
         self.address = f"{host}:{port}"
@@ -83,11 +83,11 @@
                 )
 
     def stop_listening(self) -> None:
-        """Refuse new connections from now on; open ones go on."""
+        """Refuse new connections; open ones stay."""
         self._listen_scope.cancel()
 
     def set_faults(self, faults: ProxyFaults) -> None:
-        """Change what goes wrong."""
+        """Replace the faults, for open connections too."""
         self._faults = faults
         self._notify_changed()
 
@@ -97,13 +97,13 @@
             connection.scope.cancel()
 
     def silence_connections(self) -> None:
-        """Silence the connections that are open now; new ones pass."""
+        """Stop forwarding on all open connections; new ones are forwarded."""
         for connection in self._connections:
             connection.is_silent = True
         self._notify_changed()
 
     def count_connections(self) -> int:
-        """Return how many connections are open, silent ones too."""
+        """Return the number of open connections, including silent ones."""
         return len(self._connections)
 
     async def _forward(self, downstream: trio.SocketStream) -> None:
@@ -143,7 +143,7 @@
             await target.send_eof()
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             if connection.is_silent:
-                # The other side of a silent connection learns of nothing.
+                # A reset here would tell the other side of the failure.
                 await trio.sleep_forever()
             _reset_streams(source, target)
 
@@ -166,7 +166,7 @@
 
 
 def _reset_streams(*streams: trio.SocketStream) -> None:
-    """Close with a reset, so that nothing held back is delivered."""
+    """Reset the streams that are open, discarding undelivered data."""
     for stream in _iterate_open_streams(streams):
         stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
         stream.socket.close()
--- a/packages/standins/src/martenquay_standins/chaos/readings.py
+++ b/packages/standins/src/martenquay_standins/chaos/readings.py
@@ -1,4 +1,4 @@
-"""Read the configuration that daemons show, at the end all at one point."""
+"""Readings of the configuration in force at daemons."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
 
 
 class SettlingLog(Protocol):
-    """The part of the log's stand-in that is needed here."""
+    """The part of `LogStandIn` that `read_finals` needs."""
 
     async def wait_settled(self) -> None:
-        """Return once no append that was answered is to take effect."""
+        """Wait until all delayed appends have been applied."""
 
     def list_records(self, name: str) -> Sequence[log.LogRecord]:
-        """Return the records of a stream."""
+        """Return the records that a stream retains."""
 
 
 class ConfigReader:
-    """Ask daemons what they have in force."""
+    """Queries the configuration in force at daemons."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
     async def read(
         self, partner: str, daemon: running.DaemonProcess
     ) -> list[history.Observation]:
-        """Return what a daemon shows of the teams; nothing if it fails."""
+        """Return the teams' weights at a daemon; nothing if the query fails."""
         answer = await self._ask(partner, "show teams counter", daemon)
         if answer is None or answer.status != 200:
             return []
@@ -65,7 +65,7 @@
     async def wait_applied(
         self, partner: str, daemon: running.DaemonProcess, end: int
     ) -> None:
-        """Return once a daemon has applied the log up to an offset."""
+        """Wait until a daemon has applied the log up to an offset."""
         while True:
             answer = await self._ask(partner, "show config", daemon)
             rows = json.loads(answer.body)["rows"] if answer else []
@@ -80,16 +80,16 @@
     log: SettlingLog,
     daemons: Mapping[str, Sequence[running.DaemonProcess]],
 ) -> list[history.Observation]:
-    """Return what all daemons show, the last of it at one end of the log.
+    """Return readings of all daemons, the final ones at one end of the log.
 
-    Commands whose callers have gone go on in daemons, and a change that takes
-    effect between two readings would make daemons differ that were only read
-    at different times. So all are read again after such a change.
+    A daemon may still append the change of a caller that has disconnected.
+    All daemons are then read again; else those read before the change would
+    seem to differ from those read after it.
 
     Args:
-        reader: Asks the daemons.
-        log: Where changes are written.
-        daemons: By partner.
+        reader: Queries the daemons.
+        log: The log of configuration changes.
+        daemons: The daemons by partner.
     """
     observations: list[history.Observation] = []
     while True:
--- a/packages/standins/src/martenquay_standins/chaos/run.py
+++ b/packages/standins/src/martenquay_standins/chaos/run.py
@@ -1,4 +1,4 @@
-"""Run the workload of callers and operators while faults are made."""
+"""Chaos run: callers and operators at work while faults are injected."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class ChaosPlan:
-    """How a run goes.
+    """Parameters of a chaos run.
 
     Attributes:
-        seed: Decides the faults and the callers' choices.
-        faults: How many faults are made.
-        callers: Callers of each kind and partner.
-        settle_s: How long accepted work may take once all has healed.
+        seed: Seed of the faults and of the callers' choices.
+        faults: Number of faults to inject.
+        callers: Booking callers, and as many chat callers, per partner.
+        settle_s: Time limit for deferrable answers after the faults have ended.
     """
 
     seed: int
@@ -45,12 +45,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class ChaosReport:
-    """What came of a run.
+    """Result of a chaos run.
 
     Attributes:
-        history: All that was told.
-        breaches: The promises broken.
-        faults: The faults made, in order.
+        history: The outcomes seen by callers and operators.
+        breaches: Messages on violated guarantees.
+        faults: Names of the injected faults in order.
     """
 
     history: history.History
@@ -59,7 +59,7 @@
 
 
 async def run_chaos(plan: ChaosPlan) -> ChaosReport:
-    """Run one seed and judge its history."""
+    """Run one seed and check its history."""
     async with (
         trio.open_nursery() as nursery,
         http.open_client(reuse=False) as client,
@@ -75,7 +75,7 @@
 
 
 class _ChaosRun:
-    """One run: the world, the callers and what they were told."""
+    """One run: its test environment, workload and history."""
 
     def __init__(
         self, plan: ChaosPlan, test_world: world.World, client: http.HttpClient
@@ -93,7 +93,7 @@
         self._count = 0
 
     async def perform(self) -> ChaosReport:
-        """Start everything, run the workload under faults, and judge."""
+        """Start the fleet, run the workload under faults, check the history."""
         await self._start()
         maker = faults.FaultMaker(self._world, self._daemons, self._plan.seed)
         async with trio.open_nursery() as nursery:
@@ -153,8 +153,8 @@
     async def _run_booking_caller(self, partner: partners.PartnerPlan) -> None:
         while True:
             key = self._next_name("slot")
-            # A caller that cannot be sure tries the same key elsewhere, and
-            # some do so before the first answer came.
+            # Callers retry a key at another daemon, at times before the first
+            # response; without these, no two attempts would race.
             if self._random.random() < 0.3:
                 async with trio.open_nursery() as nursery:
                     for _ in range(2):
@@ -173,7 +173,7 @@
             if answer is not None:
                 code, body = _read_result_code(answer), answer.body
         finally:
-            # A caller that is cut short was told nothing; it still counts.
+            # A cancelled attempt may have been executed, so it is recorded.
             reply = history.BookingReply(key, code, body)
             self._history.bookings.append(reply)
         return code
@@ -234,7 +234,7 @@
             await trio.sleep(0.05)
 
     async def _collect_final_state(self) -> None:
-        """Heal, wait for what is owed, and read everything once more."""
+        """Read the final configuration and the answers of accepted tickets."""
         found = await readings.read_finals(
             self._reader, self._world.log, self._daemons
         )
@@ -250,7 +250,7 @@
             )
 
     async def _fetch_from_all_daemons(self, ticket: str) -> None:
-        """Fetch an answer from every daemon of the partner."""
+        """Fetch the answer of a ticket from every daemon of its partner."""
         partner = next(
             p for p in self._world.plans if p.name == self._owners[ticket]
         )
@@ -346,7 +346,7 @@
 
 
 def _read_text(body: bytes) -> str:
-    """Return a whole answer's text, or the answer itself if it is none."""
+    """Return the text of a chat completion, or the body of any other JSON."""
     content = json.loads(body)
     if "choices" not in content:
         return body.decode()
--- a/packages/standins/src/martenquay_standins/cloud.py
+++ b/packages/standins/src/martenquay_standins/cloud.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's cloud API."""
+"""Fake cloud API that starts and stops runner instances."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
     from martenquay_standins import instances as instance_list
 
-    # Starts what the instance is to run and returns its address.
+    # Starts the server of an instance, given its name; returns its address.
     Launch = Callable[[str, cloud.InstanceOrder], Awaitable[str]]
 
 __all__ = ["CloudStandIn"]
@@ -23,11 +23,11 @@
 
 @dataclasses.dataclass
 class CloudFaults(web.Faults):
-    """Faults of the cloud besides the common ones.
+    """Faults of the cloud API besides the common ones.
 
     Attributes:
-        refused_zones: Zones in which no instance starts.
-        refused_classes: Classes of which no instance starts.
+        refused_zones: Availability zones in which starts are refused.
+        refused_classes: Machine classes of which starts are refused.
     """
 
     refused_zones: list[str] = dataclasses.field(default_factory=list)
@@ -35,7 +35,7 @@
 
 
 class CloudStandIn(web.StandIn):
-    """Start and stop instances and put them on the list.
+    """Starts and stops instances and keeps the instance list current.
 
     Attributes:
         started: Names of started instances by order id.
@@ -55,7 +55,7 @@
         self._prices = prices
 
     async def handle(self, request: web.Request) -> None:
-        """Serve starts, stops and prices."""
+        """Serve `/instances` (start and stop) and `/prices`."""
         if await self.refuse_when_down(request):
             return
         match request.method, request.path:
--- a/packages/standins/src/martenquay_standins/demo.py
+++ b/packages/standins/src/martenquay_standins/demo.py
@@ -1,7 +1,7 @@
-"""Run the main job: a small fleet of processes that serves real requests.
+"""Demo: a small fleet of daemon processes that serves a few requests.
 
-Two partners, three availability zones each, one daemon a zone as a process of
-its own. The platform and the runners are stand-ins.
+Two partners with three availability zones each and one daemon process in each
+zone. The platform and the runners are fakes in the process of the demo.
 """
 
 from __future__ import annotations
@@ -30,11 +30,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class _DaemonAccess:
-    """A daemon as callers and operators turn to it.
+    """Addresses of a daemon and a credential for its operator API.
 
     Attributes:
         addresses: Where it listens.
-        operator: The credential of an operator.
+        operator: Credential of an operator.
     """
 
     addresses: daemon.Addresses
@@ -42,7 +42,7 @@
 
 
 def main(argv: list[str]) -> int:
-    """Start the fleet, send one request of each kind, and stop it."""
+    """Start the fleet, send one request of each kind and stop the fleet."""
     del argv
     return trio.run(_run)
 
@@ -177,7 +177,7 @@
 async def _query_routing_reasons(
     client: http.HttpClient, daemon: _DaemonAccess, request_id: str
 ) -> list[str]:
-    """Return where a request ran and why, as operators are told."""
+    """Return the runners of a request with the reason of each choice."""
     answer = await client.call(
         "POST",
         f"http://{daemon.addresses.operators}/v1/query",
--- a/packages/standins/src/martenquay_standins/engine.py
+++ b/packages/standins/src/martenquay_standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand in for a model engine: batching, prefix cache, streams, faults."""
+"""Fake model engine with batching, prefix cache, streams and faults."""
 
 from __future__ import annotations
 
@@ -42,13 +42,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class EngineShape:
-    """How big and fast an engine is.
+    """Capacity and speed of an engine.
 
     Attributes:
-        slots: Requests worked on at once.
-        prefill_tokens_s: Prompt tokens read a second, uncached ones only.
-        token_s: Seconds between two tokens of one request.
-        cache_blocks: How many prefix blocks the cache holds.
+        slots: Requests processed at the same time.
+        prefill_tokens_s: Uncached prompt tokens processed per second.
+        token_s: Time between two output tokens of one request.
+        cache_blocks: Capacity of the prefix cache in blocks.
     """
 
     slots: int = 8
@@ -62,14 +62,14 @@
     """Faults of an engine besides the common ones.
 
     Attributes:
-        break_after: Break each stream after this many tokens; -1 for never.
+        break_after: Reset each stream after this many tokens; -1 for never.
         repeat_tokens: Send every token event twice.
-        swap_tokens: Send each pair of token events in the wrong order.
-        foreign_tokens: Mix in events of another request.
-        event_gap: Leave out every n-th cache event; 0 for none.
-        event_lag_s: Seconds by which cache events are behind.
-        load_lag_s: Seconds by which the load report is behind.
-        odd_load: Answer a load report that is none.
+        swap_tokens: Swap the two events of each pair of token events.
+        foreign_tokens: Insert events of another request and an old attempt.
+        event_gap: Omit every n-th cache event; 0 for none.
+        event_lag_s: Delay of cache events.
+        load_lag_s: Age of the reported load.
+        odd_load: Answer with a malformed load report.
     """
 
     break_after: int = -1
@@ -83,13 +83,13 @@
 
 
 def make_token(prompt: str, index: int) -> str:
-    """Return the token that any engine generates at this place."""
+    """Return the token at an index of the answer, the same on any engine."""
     seed = sum(prompt.encode()) + 31 * len(prompt) + 7 * index
     return _VOCABULARY[(seed * 2654435761 >> 7) % len(_VOCABULARY)] + " "
 
 
 class _PrioritySemaphore:
-    """Let a bounded number in, the most urgent first."""
+    """Semaphore that admits waiters by priority, the lowest number first."""
 
     def __init__(self, count: int) -> None:
         self.free = count
@@ -134,13 +134,13 @@
 
 
 class EngineStandIn(web.StandIn):
-    """Generate deterministic tokens.
+    """Engine whose tokens depend only on the prompt and their index.
 
     Attributes:
-        runs: How often each request was started here.
-        prompt_tokens: Prompt tokens read in all.
-        computed_tokens: Those of them that the cache did not hold.
-        reports: How often it was asked for its load.
+        runs: Number of starts by request id.
+        prompt_tokens: Prompt tokens of all requests.
+        computed_tokens: Those of them that were not in the prefix cache.
+        reports: Number of load reports sent.
     """
 
     def __init__(self, shape: EngineShape) -> None:
@@ -162,7 +162,7 @@
         self._fencing_token = 0
 
     async def handle(self, request: web.Request) -> None:
-        """Serve the engine's calls."""
+        """Serve the engine API, and `/runs` for tests."""
         if request.path == "/runs":
             await web.reply_json(request.send, self._describe())
             return
--- a/packages/standins/src/martenquay_standins/host.py
+++ b/packages/standins/src/martenquay_standins/host.py
@@ -1,4 +1,4 @@
-"""Run stand-ins as servers, several in one trio run."""
+"""Start fake servers in a nursery."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 @dataclasses.dataclass
 class RunningStandIn:
-    """A stand-in that listens.
+    """A fake server that is listening.
 
     Attributes:
-        app: The stand-in.
-        address: Where it listens.
-        scope: Cancelled to kill it: open connections break.
+        app: Its ASGI app.
+        address: Its host and port.
+        scope: Cancelling it stops the server and breaks open connections.
     """
 
     app: web.StandIn
@@ -30,14 +30,14 @@
     scope: trio.CancelScope
 
     def kill(self) -> None:
-        """End it at once."""
+        """Stop the server at once, breaking open connections."""
         self.scope.cancel()
 
 
 async def start_stand_in(
     nursery: trio.Nursery, app: web.StandIn, address: str = "127.0.0.1:0"
 ) -> RunningStandIn:
-    """Start a stand-in and return it once it listens."""
+    """Start a fake server and return it once it listens."""
     scope = trio.CancelScope()
 
     async def run(*, task_status: trio.TaskStatus[str]) -> None:
--- a/packages/standins/src/martenquay_standins/instances.py
+++ b/packages/standins/src/martenquay_standins/instances.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's instance list and its reclaim notices."""
+"""Fake instance list of the platform, with its reclaim notices."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 
 @dataclasses.dataclass
 class ListFaults(web.Faults):
-    """Faults of the list besides the common ones.
+    """Faults of the instance list besides the common ones.
 
     Attributes:
-        lag_s: Seconds by which the list is behind.
+        lag_s: Age of the list that is served.
     """
 
     lag_s: float = 0.0
 
 
 class InstanceListStandIn(web.StandIn):
-    """Keep the list and the notices in memory.
+    """Keeps all versions of the list and the notices in memory.
 
     Attributes:
-        unchanged_count: Readings answered with "not modified".
+        unchanged_count: Number of requests answered with 304.
     """
 
     def __init__(self) -> None:
@@ -43,7 +43,7 @@
         self._notice_end = progress.Progress(0)
 
     async def handle(self, request: web.Request) -> None:
-        """Serve the list, changes to it, and `/notices`."""
+        """Serve `/instances` (list, add and remove) and `/notices`."""
         if await self.refuse_when_down(request):
             return
         match request.method, request.path:
@@ -65,22 +65,22 @@
                 await self._read_notices(request)
 
     def put(self, instance: instances.Instance) -> None:
-        """Add an instance or change what the list says of it."""
+        """Add an instance or replace its entry."""
         self._add_version({**self._versions[-1][1], instance.name: instance})
 
     def remove(self, name: str) -> None:
-        """Take an instance off the list."""
+        """Remove an instance from the list."""
         listed_now = dict(self._versions[-1][1])
         listed_now.pop(name, None)
         self._add_version(listed_now)
 
     def give_notice(self, name: str, zone: str) -> None:
-        """Announce that an instance is being reclaimed."""
+        """Publish a notice that an instance will be reclaimed."""
         self._notices.append({"instance": name, "zone": zone})
         self._notice_end.advance(len(self._notices))
 
     async def _send_list(self, request: web.Request) -> None:
-        """Send the list, or only that it has not changed."""
+        """Send the list, or 304 if the client's ETag is current."""
         until = trio.current_time() - self.faults.lag_s
         visible = [
             (number, entry)
--- a/packages/standins/src/martenquay_standins/log.py
+++ b/packages/standins/src/martenquay_standins/log.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's log service."""
+"""Fake log service of the platform."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass
 class _Stream:
-    # Offsets count from 1, so that 0 can mean "nothing read yet".
+    # Offsets start at 1; readers take 0 to mean that nothing was read yet.
     start: int = 1
     records: list[log.LogRecord] = dataclasses.field(default_factory=list)
     times: list[float] = dataclasses.field(default_factory=list)
@@ -29,12 +29,12 @@
 
 @dataclasses.dataclass
 class LogFaults(web.Faults):
-    """Faults of the log besides the common ones.
+    """Faults of the log service besides the common ones.
 
     Attributes:
-        late_effect_s: Answer 502 to an append at once, do it this much later.
-        answer_delay_s: Do an append, then answer this much later.
-        refused_stream: Refuse everything on this one stream.
+        late_effect_s: Answer appends with 502, yet apply them after this time.
+        answer_delay_s: Delay between applying an append and answering.
+        refused_stream: Answer 503 to all requests for this stream.
     """
 
     late_effect_s: float = 0.0
@@ -43,11 +43,11 @@
 
 
 class LogStandIn(web.StandIn):
-    """Keep streams of records in memory.
+    """Keeps streams of records in memory.
 
     Attributes:
-        retention_s: Seconds after which a record is forgotten.
-        append_count: Appends that took effect, a run counting as one.
+        retention_s: Age at which records are dropped.
+        append_count: Applied appends; a batch of records counts as one.
     """
 
     def __init__(self, retention_s: float = 3600.0) -> None:
@@ -59,7 +59,7 @@
         self._delayed_appends: list[tuple[float, str, list[bytes]]] = []
 
     async def handle(self, request: web.Request) -> None:
-        """Serve appends and reads of `/streams/NAME`, and `/stats`."""
+        """Serve `/streams/NAME` (append and read), `/truncate` and `/stats`."""
         if request.path == "/stats":
             await web.reply_json(request.send, self._describe())
             return
@@ -79,7 +79,7 @@
             await self._read(request, name)
 
     def add(self, name: str, payloads: list[bytes]) -> int:
-        """Append at once and return the first offset."""
+        """Append records and return the offset of the first."""
         stream = self._get_stream(name)
         first = stream.end.value
         for index, payload in enumerate(payloads):
@@ -90,13 +90,13 @@
         return first
 
     async def wait_settled(self) -> None:
-        """Return once no append that was answered is still to take effect."""
+        """Wait until all delayed appends have been applied."""
         while self._delayed_appends:
             self._apply_due_appends()
             await trio.sleep(_POLL_S)
 
     def list_records(self, name: str) -> list[log.LogRecord]:
-        """Return the records that a stream still keeps."""
+        """Return the records that a stream retains."""
         return list(self._get_stream(name).records)
 
     async def _append(self, request: web.Request, name: str) -> None:
@@ -146,7 +146,7 @@
         _drop_oldest(stream, count)
 
     def truncate(self, name: str, to: int) -> None:
-        """Forget the records below an offset."""
+        """Drop the records below an offset."""
         stream = self._get_stream(name)
         _drop_oldest(
             stream, max(0, min(to - stream.start, len(stream.records)))
--- a/packages/standins/src/martenquay_standins/main.py
+++ b/packages/standins/src/martenquay_standins/main.py
@@ -1,4 +1,4 @@
-"""Run one stand-in as a process: `python -m martenquay_standins KIND`."""
+"""Command line that runs one fake server: log, instances, service, engine."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def start() -> None:
-    """Run the stand-in that the command line names."""
+    """Run the fake server that the command line names."""
     app.run(_run)
 
 
--- a/packages/standins/src/martenquay_standins/network.py
+++ b/packages/standins/src/martenquay_standins/network.py
@@ -1,4 +1,4 @@
-"""Forward TCP between zones and cut zones from each other in tests."""
+"""Simulate network partitions between zones with TCP forwarders."""
 
 from __future__ import annotations
 
@@ -11,10 +11,11 @@
 
 
 class Network:
-    """Forwarders, one for each zone that talks to an address.
+    """TCP forwarders, one for each source zone and target address.
 
-    A cut drops open connections and holds new ones unanswered, as lost
-    packets would.
+    A partition closes the open connections between two zones. New ones are
+    accepted, get no answer as if packets were dropped, and are closed when
+    the partition is healed.
     """
 
     def __init__(self, nursery: trio.Nursery) -> None:
@@ -25,7 +26,13 @@
         self._open_scopes: dict[frozenset[str], set[trio.CancelScope]] = {}
 
     async def link(self, source: str, target: str, address: str) -> str:
-        """Return where a zone reaches an address of another zone."""
+        """Return the forwarder through which a zone reaches an address.
+
+        Args:
+            source: The zone that connects.
+            target: The zone of the address, or `PLATFORM`.
+            address: Host and port to forward to.
+        """
         known = self._forwarders.get((source, address))
         if known is not None:
             return known
@@ -41,14 +48,14 @@
         return f"{host}:{port}"
 
     def cut(self, first: str, second: str) -> None:
-        """Cut two zones from each other."""
+        """Partition two zones from each other."""
         pair = frozenset((first, second))
         self._cut_pairs.add(pair)
         for scope in self._open_scopes.get(pair, set()):
             scope.cancel()
 
     def heal(self) -> None:
-        """Undo all cuts."""
+        """End all partitions."""
         self._cut_pairs.clear()
         self._healed.set()
         self._healed = trio.Event()
@@ -94,5 +101,5 @@
             await target.send_all(data)
     except (trio.BrokenResourceError, trio.ClosedResourceError):
         pass
-    # Either side's end ends both: the callers here use whole connections.
+    # Without this, the copy of the other direction would wait for ever.
     nursery.cancel_scope.cancel()
--- a/packages/standins/src/martenquay_standins/partners.py
+++ b/packages/standins/src/martenquay_standins/partners.py
@@ -1,4 +1,4 @@
-"""Name the two partners and what each has today."""
+"""Partners, zones and pools of the test fleets."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class PartnerPlan:
-    """One partner at today's sizes.
+    """Zones, pools and operator of one partner.
 
     Attributes:
-        name: The partner.
+        name: The name of the partner.
         zones: Its availability zones.
         model_pool: Its pool of model runners.
         service_pool: Its pool of service runners.
-        operator_credential: What its operator shows.
+        operator_credential: Credential of its operator.
     """
 
     name: str
--- a/packages/standins/src/martenquay_standins/ports/__init__.py
+++ b/packages/standins/src/martenquay_standins/ports/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for a platform's ports, in the process of the test."""
+"""In-memory implementations of the platform ports, and test runners."""
--- a/packages/standins/src/martenquay_standins/ports/cloud.py
+++ b/packages/standins/src/martenquay_standins/ports/cloud.py
@@ -1,4 +1,4 @@
-"""Take usage reports and orders in memory and remember them."""
+"""In-memory cloud port that records usage reports and runner orders."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class ReceivedCall:
-    """One call.
+    """One call of the cloud port.
 
     Attributes:
-        content: What was reported or ordered.
-        holder: Who called.
-        fence: With which fence.
+        content: The report or order.
+        holder: The lease holder that called.
+        fence: The fencing token of the call.
     """
 
     content: ports.UsageReport | ports.RunnerOrderLine
@@ -32,12 +32,12 @@
 
 
 class MemoryCloud:
-    """Implement `ports.CloudPort` in memory.
+    """Implementation of `ports.CloudPort` in memory.
 
     Attributes:
         received: All calls, in order.
-        is_lossy: Calls are taken and not answered.
-        has_reclaimable: Reclaimable runners are to be had.
+        is_lossy: Calls are recorded and fail with an unknown effect.
+        has_reclaimable: Reclaimable runners are available.
     """
 
     def __init__(self) -> None:
@@ -51,13 +51,13 @@
     async def report_usage(
         self, report: ports.UsageReport, holder: str, fence: int
     ) -> Result[int, outcome.PlatformFailure]:
-        """Take a report."""
+        """Record a usage report."""
         return await self._record_call(ReceivedCall(report, holder, fence), _OK)
 
     async def order_runners(
         self, order: ports.RunnerOrderLine, holder: str, fence: int
     ) -> Result[int, outcome.PlatformFailure]:
-        """Take an order, or refuse it while there are none."""
+        """Record an order; 409 for reclaimable runners if there are none."""
         refused = order.is_reclaimable and not self.has_reclaimable
         status = _REFUSED if refused else _OK
         return await self._record_call(
@@ -65,7 +65,7 @@
         )
 
     def list_reports(self) -> list[ports.UsageReport]:
-        """Return the reports, in order."""
+        """Return the recorded reports in order."""
         return [
             call.content
             for call in self.received
@@ -73,7 +73,7 @@
         ]
 
     def list_orders(self) -> list[ports.RunnerOrderLine]:
-        """Return the orders, in order."""
+        """Return the recorded orders in order."""
         return [
             call.content
             for call in self.received
--- a/packages/standins/src/martenquay_standins/ports/log.py
+++ b/packages/standins/src/martenquay_standins/ports/log.py
@@ -1,4 +1,4 @@
-"""Keep a log in memory, with the faults of a real one."""
+"""In-memory log port with fault injection."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 
 __all__ = ["LogFaults", "MemoryLog"]
 
-# Topics whose records have no key. What a record holds does not tell: any byte
-# may stand in the encoded number of a usage window.
+# Topics whose records have no key. The payload does not show it: an encoded
+# usage window may hold the byte of "=", which separates key and value.
 _UNKEYED_TOPICS = frozenset({"lease", "usage"})
 
 
 @dataclasses.dataclass
 class LogFaults:
-    """What goes wrong now.
+    """Faults that a `MemoryLog` injects.
 
     Attributes:
-        is_down: Every call is refused.
-        is_silent: No call is answered before it times out.
-        lost_answers: So many appends are done and not answered.
-        late_appends: So many appends are kept back, unanswered, until
-            `MemoryLog.do_late` is called.
-        append_s: An append is done so long after it was sent.
+        is_down: Every call fails without effect.
+        is_silent: Every call times out with an unknown effect.
+        lost_answers: Number of appends to apply and report as unknown.
+        late_appends: Number of appends to report as unknown and to apply only
+            when `MemoryLog.do_late` is called.
+        append_s: Delay before an append is applied.
     """
 
     is_down: bool = False
@@ -58,11 +58,11 @@
 
 
 class MemoryLog:
-    """Implement `ports.LogPort` in memory.
+    """Implementation of `ports.LogPort` in memory.
 
     Attributes:
-        faults: What goes wrong now.
-        calls: Calls so far.
+        faults: The faults injected now.
+        calls: Number of reads and appends so far.
     """
 
     def __init__(self) -> None:
@@ -78,7 +78,7 @@
     async def read(
         self, topic: str, start: int, *, wait_s: float = 0.0
     ) -> Result[ports.Page, outcome.PlatformFailure]:
-        """Return records from `start` on, waiting if there is none yet."""
+        """Return records from `start` on; wait up to `wait_s` for the first."""
         failure = await self._check_faults()
         if failure is not None:
             return Error(failure)
@@ -108,7 +108,7 @@
         *,
         expected_end: int | None = None,
     ) -> Result[ports.Appended, outcome.PlatformFailure]:
-        """Append all or nothing; only at `expected_end` if it is given."""
+        """Append all payloads, or none if the end is not `expected_end`."""
         failure = await self._check_faults()
         if failure is not None:
             return Error(failure)
@@ -137,24 +137,24 @@
         return key.encode() + b"=" + value
 
     def put(self, topic: str, key: str, value: bytes) -> int:
-        """Write a keyed record as the platform would; return its offset."""
+        """Append a keyed record, bypassing faults, and return its offset."""
         append = _Append(topic, [self.join_keyed(key, value)], None)
         return self._apply(append).end - 1
 
     def forget(self, topic: str) -> None:
-        """Drop the records of a topic; the newest of each key stay."""
+        """Drop the records of a topic except the newest of each key."""
         stored = self._get_topic(topic)
         stored.first = stored.end
         stored.records.clear()
 
     def do_late(self) -> None:
-        """Do the appends that were kept back, if they still can be."""
+        """Apply the delayed appends whose `expected_end` still matches."""
         late, self._delayed_appends = self._delayed_appends, []
         for append in late:
             self._apply(append)
 
     def list_payloads(self, topic: str) -> list[bytes]:
-        """Return the records that are kept."""
+        """Return the payloads that a topic retains."""
         return list(self._get_topic(topic).records)
 
     def _apply(self, append: _Append) -> ports.Appended:
@@ -171,7 +171,7 @@
         return ports.Appended(offset, stored.end)
 
     def is_keyed(self, topic: str) -> bool:
-        """Tell whether a topic's records have keys."""
+        """Return whether the records of a topic have keys."""
         return topic not in _UNKEYED_TOPICS
 
     def _update_newest(
--- a/packages/standins/src/martenquay_standins/ports/runner.py
+++ b/packages/standins/src/martenquay_standins/ports/runner.py
@@ -1,4 +1,4 @@
-"""Answer each connection with scripted bytes, as a bad runner may."""
+"""Runner that answers each connection with scripted bytes."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 _RECEIVE_BYTES = 65_536
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-# What a runner may have said before it ends.
+# Sent before a crash, so that the request counts as started.
 _RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n"
 
 
 @dataclasses.dataclass(frozen=True)
 class Script:
-    """What one connection is answered.
+    """Script of one connection.
 
     Attributes:
-        pieces: Bytes sent one after the other.
-        is_reset: The connection is reset after them, not closed.
-        is_held: The connection stays open after them.
-        reads_all: The whole request head is read before the first piece.
-        resume: Waited for before the last piece.
+        pieces: Bytes to send, in one write each.
+        is_reset: Reset the connection after them instead of closing it.
+        is_held: Keep the connection open after them.
+        reads_all: Read the whole request head before the first piece.
+        resume: Event to wait for before the last piece.
     """
 
     pieces: tuple[bytes, ...] = ()
@@ -36,19 +36,19 @@
 
 
 class ScriptedRunner:
-    """A runner on loopback.
+    """Fake runner on loopback that plays a script for each connection.
 
     Args:
-        scripts: What each connection is answered; the last one again and again.
-        lethal: A request that holds this, once it has begun to run, ends the
-            runner with all that runs there; empty for none.
+        scripts: Scripts by order of connection; the last one repeats.
+        lethal: A request with these bytes crashes the runner after the
+            response head is sent; empty for none.
 
     Attributes:
         address: Host and port.
-        requests: What each connection has sent.
-        heard: Set when a whole request head has come.
-        closed: Set when a held connection was closed by the other side.
-        has_ended: It takes no more connections.
+        requests: The bytes received on each connection.
+        heard: Set when a whole request head has been received.
+        closed: Set when the client or `crash` has closed a connection.
+        has_ended: The runner accepts no more connections.
     """
 
     def __init__(self, scripts: list[Script], lethal: bytes = b"") -> None:
@@ -64,18 +64,18 @@
         self._listen_scope = trio.CancelScope()
 
     def stop_listening(self) -> None:
-        """Take no more connections; open ones stay."""
+        """Accept no more connections; open ones stay."""
         self.has_ended = True
         self._listen_scope.cancel()
 
     def crash(self) -> None:
-        """End as a process does: nobody listens, all connections reset."""
+        """Stop listening and reset all connections, as a killed process."""
         self.stop_listening()
         for stream in self._open_streams:
             _reset(stream)
 
     def break_off(self) -> None:
-        """Close the connections that are held."""
+        """Close the connections that scripts hold open."""
         for hold in self._hold_scopes:
             hold.cancel()
 
@@ -98,7 +98,7 @@
         try:
             await self._answer(stream)
         except trio.ClosedResourceError:
-            # The runner has ended under it.
+            # crash() has closed the stream.
             self.closed.set()
         finally:
             self._open_streams.discard(stream)
@@ -128,7 +128,7 @@
             if script.is_held:
                 await self._hold(stream)
         except trio.BrokenResourceError:
-            # Connections that only ask whether the runner is there reset too.
+            # Connect probes reset too and must not count as closed requests.
             if self.requests[number]:
                 self.closed.set()
         if script.is_reset:
@@ -136,7 +136,7 @@
         await trio.aclose_forcefully(stream)
 
     async def _hold(self, stream: trio.SocketStream) -> None:
-        """Wait until the other side closes or the runner breaks off."""
+        """Wait until the client closes or `break_off` is called."""
         with trio.CancelScope() as hold:
             self._hold_scopes.add(hold)
             while await stream.receive_some(_RECEIVE_BYTES):
--- a/packages/standins/src/martenquay_standins/ports/telling_runner.py
+++ b/packages/standins/src/martenquay_standins/ports/telling_runner.py
@@ -1,4 +1,4 @@
-"""A plain runner that tells of its own state in its answers."""
+"""Runner whose answers carry given headers, such as load reports."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Arrival:
-    """A request that has come.
+    """A received request.
 
     Attributes:
-        at: When, in trio's time.
-        headers: Its headers, names in lower case.
-        is_refused: It was turned away and did not run.
+        at: When it was received, in seconds of the trio clock.
+        headers: Its headers by name in lower case.
+        is_refused: It was answered with 503 and not executed.
     """
 
     at: float
@@ -29,13 +29,13 @@
 
 
 class TellingRunner:
-    """A runner on loopback whose answers carry what it is told to say.
+    """Fake runner on loopback that adds given header lines to its answers.
 
     Attributes:
         address: Host and port.
-        lines: Header lines that all of its answers carry now.
-        refusal: Header lines of the 503 that it answers now; None to serve.
-        arrivals: The requests that came, in order.
+        lines: Header lines to add to all answers.
+        refusal: Header lines of 503 answers; None to serve requests.
+        arrivals: The received requests in order.
     """
 
     def __init__(self) -> None:
@@ -55,7 +55,7 @@
         await trio.serve_listeners(self._serve, listeners)
 
     def count_most(self, window_s: float, from_at: float) -> int:
-        """Return the most requests that came in any window from a time on."""
+        """Return the most requests in any window since `from_at`."""
         times = [one.at for one in self.arrivals if one.at >= from_at]
         return windows.count_most(times, window_s)
 
@@ -65,7 +65,7 @@
                 while raw := await _read_head(stream):
                     await stream.send_all(self._answer(raw))
         except trio.BrokenResourceError:
-            # Whoever only asks whether the runner is there resets.
+            # Connect probes close with a reset.
             return
 
     def _answer(self, raw: bytes) -> bytes:
@@ -86,7 +86,7 @@
 
 
 async def _read_head(stream: trio.SocketStream) -> bytes:
-    """Return a whole head, or nothing if the other side has closed."""
+    """Return a request head, or b"" if the client has closed."""
     raw = b""
     while b"\r\n\r\n" not in raw:
         data = await stream.receive_some(_RECEIVE_BYTES)
--- a/packages/standins/src/martenquay_standins/running.py
+++ b/packages/standins/src/martenquay_standins/running.py
@@ -1,4 +1,4 @@
-"""Hold daemons that run, in this process or in one of their own."""
+"""Handles of running daemons, in this process or in their own."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 @dataclasses.dataclass
 class LocalDaemon:
-    """A daemon in this process.
+    """A daemon that runs in this process.
 
     Attributes:
-        process: The daemon.
-        addresses: Where it listens.
-        scope: Cancelled to end it at once.
-        ended: Set when it has ended.
+        process: The daemon object.
+        addresses: Addresses of its listeners.
+        scope: Cancelling it stops the daemon at once.
+        ended: Set when the daemon has stopped.
     """
 
     process: daemon.Daemon
@@ -34,12 +34,12 @@
 
 @dataclasses.dataclass
 class DaemonProcess:
-    """A daemon in a process of its own.
+    """A daemon that runs as a subprocess.
 
     Attributes:
         process: The process.
-        addresses: Where it listens.
-        member: The daemon's id.
+        addresses: Addresses of its listeners.
+        member: The id of the daemon process in the fleet.
     """
 
     process: trio.Process
--- a/packages/standins/src/martenquay_standins/service.py
+++ b/packages/standins/src/martenquay_standins/service.py
@@ -1,4 +1,4 @@
-"""Stand in for a plain service, such as the counter or dispatch service."""
+"""Fake backend server of a plain service, such as counter or dispatch."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 @dataclasses.dataclass
 class ServiceFaults(web.Faults):
-    """Faults of a service besides the common ones.
+    """Faults and options of a service besides the common faults.
 
     Attributes:
-        checks_keys: Runs a key once and repeats its answer.
-        break_answers: Runs a call, then breaks the connection.
+        checks_keys: Execute each idempotency key once and repeat its answer.
+        break_answers: Execute each request, then reset the connection.
     """
 
     break_answers: bool = False
@@ -27,10 +27,10 @@
 
 
 class ServiceStandIn(web.StandIn):
-    """Answer every call and count the runs of each key.
+    """Answers every request and counts executions by idempotency key.
 
     Attributes:
-        runs: How often each idempotency key ran.
+        runs: Number of executions by idempotency key.
     """
 
     def __init__(self, name: str) -> None:
@@ -41,7 +41,7 @@
         self._answers: dict[str, dict[str, object]] = {}
 
     async def handle(self, request: web.Request) -> None:
-        """Run the call once, unless its key has run and keys are checked."""
+        """Execute a request; with `checks_keys`, once for each key."""
         if request.path == "/runs":
             await web.reply_json(request.send, dict(self.runs))
             return
@@ -72,7 +72,7 @@
 
 
 async def _break_answer(request: web.Request) -> None:
-    """Begin an answer and break the connection."""
+    """Send the head of a response and reset the connection."""
     length = (b"content-length", b"1000")
     await request.send(
         {"type": "http.response.start", "status": 200, "headers": [length]}
--- a/packages/standins/src/martenquay_standins/web.py
+++ b/packages/standins/src/martenquay_standins/web.py
@@ -1,4 +1,4 @@
-"""Give every stand-in the same small HTTP shell with switchable faults."""
+"""Base class of the fake HTTP servers, with fault injection."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 @dataclasses.dataclass
 class Faults:
-    """What a stand-in does wrong; all can be switched while it runs.
+    """Faults that a fake server injects; tests change them at runtime.
 
     Attributes:
-        down: Refuse every call with 503, doing nothing.
-        lose_answers: Do what is asked, then answer 502, this many times;
-            -1 for always.
-        hang: Do what is asked, then never answer.
-        delay_s: Seconds to wait before each call.
+        down: Answer every request with 503 without executing it.
+        lose_answers: Number of requests to execute and answer with 502;
+            -1 for all.
+        hang: Execute each request and never answer.
+        delay_s: Delay before each request is handled.
     """
 
     down: bool = False
@@ -35,15 +35,15 @@
 
 @dataclasses.dataclass
 class Request:
-    """One request to a stand-in.
+    """One request to a fake server.
 
     Attributes:
         method: The HTTP method.
-        path: The path without the query.
-        query: The query's fields.
+        path: The path without the query string.
+        query: The query parameters.
         body: The whole body.
         scope: The ASGI scope.
-        send: Sends the answer.
+        send: The ASGI send callable.
     """
 
     method: str
@@ -59,17 +59,17 @@
 
 
 class StandIn:
-    """Answer `/faults` and pass the rest to `handle`.
+    """ASGI app that serves `/faults` and passes other paths to `handle`.
 
     Attributes:
-        faults: What goes wrong now.
+        faults: The faults injected now.
     """
 
     def __init__(self) -> None:
         self.faults: Any = Faults()
 
     async def handle(self, request: Request) -> None:
-        """Answer one request; each stand-in says how."""
+        """Answer one request; subclasses implement this."""
         raise NotImplementedError
 
     async def __call__(
@@ -78,7 +78,7 @@
         receive: serving.Receive,
         send: serving.Send,
     ) -> None:
-        """Serve as an ASGI app."""
+        """Serve one ASGI scope: the lifespan or a request."""
         if scope["type"] == "lifespan":
             await serving.answer_lifespan(receive, send)
             return
@@ -100,11 +100,15 @@
         await self.handle(request)
 
     def set_faults(self, changes: dict[str, Any]) -> None:
-        """Change some faults and leave the others."""
+        """Replace the given faults; the others stay."""
         self.faults = dataclasses.replace(self.faults, **changes)
 
     async def refuse_when_down(self, request: Request) -> bool:
-        """Answer 503 when down; tell whether that was done."""
+        """Wait for `delay_s`, then answer 503 if `down` is set.
+
+        Returns:
+            Whether the request has been answered.
+        """
         if self.faults.delay_s:
             await trio.sleep(self.faults.delay_s)
         if self.faults.down:
@@ -112,7 +116,11 @@
         return self.faults.down
 
     async def drop_answer(self, request: Request) -> bool:
-        """Lose the answer to what was done; tell whether it was lost."""
+        """Withhold the answer to an executed request if a fault says so.
+
+        Returns:
+            Whether 502 was sent in its place; with `hang` it never returns.
+        """
         if self.faults.hang:
             await trio.sleep_forever()
         if self.faults.lose_answers == 0:
@@ -126,7 +134,7 @@
 async def reply_json(
     send: serving.Send, content: Any, status: int = 200
 ) -> None:
-    """Answer with JSON."""
+    """Send a JSON response."""
     await serving.send_answer(
         send,
         status,
--- a/packages/standins/src/martenquay_standins/windows.py
+++ b/packages/standins/src/martenquay_standins/windows.py
@@ -1,4 +1,4 @@
-"""Count what falls into sliding windows of time."""
+"""Count events in a sliding time window."""
 
 from __future__ import annotations
 
@@ -11,7 +11,12 @@
 
 
 def count_most(times: Sequence[float], window_s: float) -> int:
-    """Return the most of the times, in order, that fall into one window."""
+    """Return the largest number of events within any window of `window_s`.
+
+    Args:
+        times: Times of the events in seconds, ascending.
+        window_s: Length of the window.
+    """
     peak = 0
     oldest = 0
     for last, time_s in enumerate(times):
--- a/packages/standins/src/martenquay_standins/world.py
+++ b/packages/standins/src/martenquay_standins/world.py
@@ -1,4 +1,4 @@
-"""Build the two partners' places: platform, runners, daemons, settings."""
+"""Test environment on loopback: platform, runners and daemons."""
 
 from __future__ import annotations
 
@@ -43,14 +43,14 @@
 
 
 class World:
-    """Everything around and including the daemons, on loopback.
+    """Fake platform and runners, and the daemons that use them.
 
     Attributes:
-        plans: The partners.
+        plans: The partners with their zones and pools.
         log: The log service.
         instances: The instance list.
-        runners: The running stand-ins by runner name.
-        network: Cuts zones from each other, if asked for.
+        runners: The running fake runners by name.
+        network: Simulates partitions between zones; None without network.
     """
 
     def __init__(
@@ -79,18 +79,18 @@
         self._processes: list[trio.Process] = []
 
     async def start_platform(self) -> None:
-        """Start the log and the instance list."""
+        """Start the log service and the instance list."""
         running = await host.start_stand_in(self._nursery, self.log)
         self._log_address = running.address
         listed = await host.start_stand_in(self._nursery, self.instances)
         self._list_address = listed.address
 
     def signer(self, partner: str) -> records.Signer:
-        """Return a partner's signer."""
+        """Return the signer of a partner's configuration records."""
         return records.create_signer(partner, self._keys[partner][0])
 
     def verifier(self) -> records.Verifier:
-        """Return what checks all partners' signatures."""
+        """Return a verifier of all partners' signatures."""
         return records.create_verifier(
             {name: public for name, (_, public) in self._keys.items()}
         )
@@ -98,7 +98,11 @@
     def put_object(
         self, partner: str, kind: str, name: str, /, **fields: Any
     ) -> int:
-        """Write an object straight into the log, as its first version."""
+        """Append a configuration object to the log as its first version.
+
+        Returns:
+            The offset of its record.
+        """
         self._change_count += 1
         change = records.Change(
             partner,
@@ -114,7 +118,7 @@
         return self.log.add("config", [payload])
 
     def put_standard_config(self) -> None:
-        """Write each partner's teams, pools and routes."""
+        """Append the teams, pools and routes of each partner to the log."""
         for plan in self.plans:
             for team in ("counter", "workshops"):
                 self.put_object(
@@ -166,7 +170,7 @@
         shape: engine.EngineShape | None = None,
         **fields: Any,
     ) -> engine.EngineStandIn:
-        """Start a model engine and list it."""
+        """Start a fake engine and add it to the instance list."""
         app = engine.EngineStandIn(shape or engine.EngineShape())
         await self._add_runner(app, plan, zone, name, plan.model_pool, fields)
         return app
@@ -174,7 +178,7 @@
     async def add_service(
         self, plan: partners.PartnerPlan, zone: str, name: str, **fields: Any
     ) -> service.ServiceStandIn:
-        """Start a plain service's runner and list it."""
+        """Start a fake backend server and add it to the instance list."""
         app = service.ServiceStandIn(name)
         await self._add_runner(app, plan, zone, name, plan.service_pool, fields)
         return app
@@ -186,7 +190,10 @@
         instance: str,
         **sections: Any,
     ) -> dict[str, Any]:
-        """Return a daemon's settings with fast timing; sections are merged."""
+        """Return daemon settings with short timeouts.
+
+        `sections` replace whole sections; those of `timing` are merged.
+        """
         timing = _FAST_TIMING | sections.pop("timing", {})
         return {
             "partner": plan.name,
@@ -230,7 +237,7 @@
         instance: str,
         **sections: Any,
     ) -> running.LocalDaemon:
-        """Start a daemon in this process and list it."""
+        """Start a daemon in this process and add it to the instance list."""
         content = self.build_settings(plan, zone, instance, **sections)
         await self._route_through_network(content, zone)
         settings = models.DaemonSettings.model_validate(content)
@@ -258,7 +265,7 @@
         log_file: Any = None,
         **sections: Any,
     ) -> running.DaemonProcess:
-        """Start a daemon as a process of its own and list it."""
+        """Start a daemon as a subprocess and add it to the instance list."""
         content = self.build_settings(plan, zone, instance, **sections)
         await self._route_through_network(content, zone)
         with tempfile.NamedTemporaryFile("w", suffix=".jsonc") as file:
@@ -284,7 +291,7 @@
         return running.DaemonProcess(process, addresses, fields["member"])
 
     def end_processes(self) -> None:
-        """Kill every daemon process that is still there."""
+        """Kill the daemon processes that are still running."""
         for process in self._processes:
             if process.poll() is None:
                 process.kill()
--- a/packages/standins/src/martenquay_standins/zone_view.py
+++ b/packages/standins/src/martenquay_standins/zone_view.py
@@ -1,4 +1,4 @@
-"""Show the instance list as one zone reaches it."""
+"""Instance list whose addresses point to the forwarders of one zone."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ZoneView:
-    """The instance list as one zone reaches it, through the network."""
+    """ASGI app that serves the instance list with rewritten addresses."""
 
     def __init__(
         self,
@@ -35,14 +35,14 @@
         receive: serving.Receive,
         send: serving.Send,
     ) -> None:
-        """Answer one request; addresses lead through the zone's links."""
+        """Serve one request, rewriting addresses to the zone's forwarders."""
         if scope.get("path") != "/instances":
             await self._app(scope, receive, send)
             return
 
         async def send_rewritten(message: Any) -> None:
             if message["type"] == "http.response.start":
-                # The mapped list has another length.
+                # Rewritten addresses change the length of the body.
                 message["headers"] = [
                     (name, value)
                     for name, value in message["headers"]
--- a/proofs/__init__.py
+++ b/proofs/__init__.py
@@ -1,1 +1,1 @@
-"""Specify the core protocols small enough for a model checker."""
+"""Bounded models of the core protocols, checked with z3."""
--- a/proofs/checker.py
+++ b/proofs/checker.py
@@ -1,7 +1,7 @@
-"""Search a transition relation for a violation with z3.
+"""Bounded model checking and inductive invariants with z3.
 
-Work is bounded by z3's own count of steps, which is the same on every
-machine, never by time. An answer of `unknown` counts as a failure.
+z3's resource limit bounds the work, so a verdict doesn't depend on the speed
+of the machine.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class Verdict(enum.Enum):
-    """What the checker found."""
+    """Result of a check; UNKNOWN if z3 hit its resource limit."""
 
     HOLDS = "holds"
     VIOLATED = "violated"
@@ -36,11 +36,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Finding:
-    """What the checker found and, for a violation, the way there.
+    """Result of a check with its counterexample.
 
     Attributes:
-        verdict: The finding.
-        trace: The action and state of each step, as text.
+        verdict: The result.
+        trace: The states of a violating run as text; empty if there is none.
     """
 
     verdict: Verdict
@@ -48,25 +48,25 @@
 
 
 class Specification(Protocol):
-    """A transition system over z3 variables."""
+    """A transition system over z3 variables, each state a dict by name."""
 
     def make_state(self, step: int) -> dict[str, Any]:
-        """Return fresh variables for the state at a step."""
+        """Return new variables for the state after `step` transitions."""
 
     def is_initial(self, state: dict[str, Any]) -> Any:
-        """Return the condition on the first state."""
+        """Return the condition that an initial state meets."""
 
     def is_transition(
         self, before: dict[str, Any], after: dict[str, Any]
     ) -> Any:
-        """Return the condition on two states in a row."""
+        """Return the condition that a transition between two states meets."""
 
     def is_safe(self, state: dict[str, Any]) -> Any:
-        """Return the condition that must always hold."""
+        """Return the safety property that every reachable state must meet."""
 
 
 def search_violation(specification: Specification, depth: int) -> Finding:
-    """Look for a run of at most `depth` steps that ends in an unsafe state."""
+    """Search for a run of at most `depth` transitions to an unsafe state."""
     solver = _make_solver()
     states = [specification.make_state(0)]
     solver.add(specification.is_initial(states[0]))
@@ -82,10 +82,11 @@
     specification: Specification,
     invariant: Callable[[dict[str, Any]], Any],
 ) -> dict[str, Finding]:
-    """Prove that an invariant holds at the start, is kept, and is enough.
+    """Prove that an invariant is inductive and implies safety.
 
     Returns:
-        One finding for each of `start`, `kept` and `enough`.
+        A finding for each of `start` (initial states meet it), `kept`
+        (transitions preserve it) and `enough` (it implies safety).
     """
     before = specification.make_state(0)
     after = specification.make_state(1)
--- a/proofs/claims.py
+++ b/proofs/claims.py
@@ -1,13 +1,13 @@
-"""Specify claim and call: a key's call is made at most once.
+"""Model of the claim protocol: an idempotency key is executed at most once.
 
-Two daemons, one key, a log of a few places. A claim may be in the log, still
-on its way (its append's answer was lost), or not sent. A daemon makes the
-call only after it has read its own claim back as the one that holds the key.
-A daemon that gives up writes a release, which may come before its claim.
-Daemons freeze between any two steps simply by taking none.
+Two daemons claim one key in a short log. A claim is unsent, in flight (the
+answer to its append was lost) or in the log. A daemon makes the call only after
+it has read back from the log that its claim holds the key. A daemon that gives
+up appends a release, which may reach the log before its claim. A frozen daemon
+is one that takes no action.
 
-The broken variants call on the append's answer, or after a lost answer
-without reading back, or let a claim that lost take over after a release.
+Each injected bug must be found: a call without reading back, a call after
+giving up, a losing claim that takes over after a release.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class InjectedBug(enum.Enum):
-    """A way in which the protocol may be broken."""
+    """Protocol bugs that the checker must find."""
 
     NONE = "none"
     CALL_WITHOUT_READING = "call without reading back"
@@ -33,7 +33,7 @@
 
 
 class DaemonState(enum.IntEnum):
-    """Where a daemon is with its claim."""
+    """State of the claim of one daemon."""
 
     IDLE = 0
     SENT = 1
@@ -43,20 +43,20 @@
     GIVEN_UP = 5
 
 
-# What a place of the log holds.
+# Contents of a log position.
 _EMPTY, _CLAIM_0, _CLAIM_1, _RELEASE_0, _RELEASE_1 = range(5)
 _CLAIMS = (_CLAIM_0, _CLAIM_1)
 _RELEASES = (_RELEASE_0, _RELEASE_1)
 
 
 class ClaimSpecification:
-    """The claim protocol for one key."""
+    """Transition system of the claim protocol for one key."""
 
     def __init__(self, bug: InjectedBug = InjectedBug.NONE) -> None:
         self._bug = bug
 
     def make_state(self, step: int) -> dict[str, Any]:
-        """Return the variables of a state."""
+        """Return new variables for the state after `step` transitions."""
         state: dict[str, Any] = {}
         for position in range(LOG_LENGTH):
             state[f"log{position}"] = z3.Int(f"log{position}_{step}")
@@ -70,7 +70,7 @@
         return state
 
     def is_initial(self, state: dict[str, Any]) -> Any:
-        """Return the condition on the first state."""
+        """Return the condition of an empty log and idle daemons."""
         conditions = [state["end"] == 0, state["calls"] == 0]
         conditions += [
             state[f"log{position}"] == _EMPTY for position in range(LOG_LENGTH)
@@ -85,17 +85,18 @@
     def is_transition(
         self, before: dict[str, Any], after: dict[str, Any]
     ) -> Any:
-        """Return the condition on two states in a row."""
+        """Return the condition that one daemon acts or nothing changes."""
         actions = [_update(before, after, {})]
         for daemon in DAEMONS:
             actions += self._list_actions(before, after, daemon)
         return z3.Or(actions)
 
     def is_safe(self, state: dict[str, Any]) -> Any:
-        """Return: at most one call, none where only "not run" was said.
+        """Return the condition that the key is executed as callers were told.
 
-        Nor does a daemon hold the key that was told that it lost: it would
-        never call and never let go.
+        There is at most one call, and none if each daemon that took part
+        answered "not run". A daemon that has lost doesn't hold the key, since
+        it would neither call nor release.
         """
         all_said_not_run = z3.And(
             [
@@ -125,13 +126,13 @@
         at, in_flight = f"at{daemon}", f"flying{daemon}"
         said_not_run, releasing = f"said_not_run{daemon}", f"releasing{daemon}"
         actions = [
-            # The append leaves the daemon; the log takes it later, or never.
+            # The claim is sent; the log applies it later or never.
             z3.And(
                 before[at] == DaemonState.IDLE,
                 _update(before, after, {at: DaemonState.SENT, in_flight: True}),
             ),
             self._append(before, after, in_flight, _CLAIMS[daemon]),
-            # The append is refused and never reaches the log.
+            # The append of the claim is refused.
             z3.And(
                 before[in_flight],
                 before[at] == DaemonState.GIVEN_UP,
@@ -203,7 +204,7 @@
         flag: str,
         record: int,
     ) -> Any:
-        """Return: a record on its way is put into the log's next place."""
+        """Return the condition that a record in flight is appended."""
         cases = []
         for position in range(LOG_LENGTH):
             changes = {
@@ -219,7 +220,7 @@
         return z3.And(before[flag], z3.Or(cases))
 
     def holds(self, state: dict[str, Any], daemon: int) -> Any:
-        """Return: the fold of the log gives the key to this daemon."""
+        """Return the condition that the log grants the key to the daemon."""
         holder: Any = z3.IntVal(-1)
         voided = [z3.BoolVal(False) for _ in DAEMONS]
         released = [z3.BoolVal(False) for _ in DAEMONS]
@@ -272,7 +273,7 @@
 def _update(
     before: dict[str, Any], after: dict[str, Any], changes: dict[str, Any]
 ) -> Any:
-    """Return: the changes are made and all else stays as it was."""
+    """Return the condition that exactly `changes` are made."""
     return z3.And(
         [after[name] == changes.get(name, before[name]) for name in before]
     )
--- a/proofs/configuration.py
+++ b/proofs/configuration.py
@@ -1,13 +1,12 @@
-"""Specify snapshots and truncation: a daemon's state never reverts.
+"""Model of snapshots and log truncation: configuration never rolls back.
 
-Three changes to one object stand in the log, which forgets from the front. A
-daemon folds records without a gap, or takes a snapshot if it can fold every
-record after it. Snapshots may be published late by a daemon that is behind,
-and a daemon may start anew with nothing. A state is right if its value is the
-one that folding all records up to its offset gives.
+A log holds up to three changes and is truncated from the front. A daemon
+applies records without a gap, or loads a snapshot that is newer than its state.
+A daemon that lags may publish an old snapshot, and a daemon may restart empty.
+A state is correct if its value results from all records up to its offset.
 
-The broken variants take an older snapshot over a newer state, fold over a
-gap, and trust a snapshot's offset without its value.
+Each injected bug must be found: loading an older snapshot, applying records
+across a gap, publishing a snapshot with a wrong offset.
 """
 
 from __future__ import annotations
@@ -24,7 +23,7 @@
 
 
 class InjectedBug(enum.Enum):
-    """A way in which the protocol may be broken."""
+    """Protocol bugs that the checker must find."""
 
     NONE = "none"
     TAKE_OLDER_SNAPSHOT = "take an older snapshot"
@@ -33,17 +32,17 @@
 
 
 class ConfigSpecification:
-    """The fold with snapshots on a log that forgets.
+    """Transition system of two daemons, a truncated log and one snapshot.
 
-    A value is a bit set of the records folded in, so that a record left out
-    shows: after offset n the right value has the lowest n bits set.
+    A value is the bit set of the applied records, which reveals a missing
+    one: at offset n the correct value has the lowest n bits set.
     """
 
     def __init__(self, bug: InjectedBug = InjectedBug.NONE) -> None:
         self._bug = bug
 
     def make_state(self, step: int) -> dict[str, Any]:
-        """Return the variables of a state."""
+        """Return new variables for the state after `step` transitions."""
         state: dict[str, Any] = {
             "start": z3.Int(f"start_{step}"),
             "end": z3.Int(f"end_{step}"),
@@ -53,19 +52,19 @@
         for reader in READERS:
             state[f"applied{reader}"] = z3.Int(f"applied{reader}_{step}")
             state[f"value{reader}"] = z3.Int(f"value{reader}_{step}")
-            # The highest offset this process has had in force.
+            # The highest offset that this process has applied.
             state[f"highest{reader}"] = z3.Int(f"highest{reader}_{step}")
         return state
 
     def is_initial(self, state: dict[str, Any]) -> Any:
-        """Return the condition on the first state."""
+        """Return the condition of an empty log and empty daemons."""
         zero = [name for name in state if name != "start"]
         return z3.And(state["start"] == 1, *[state[name] == 0 for name in zero])
 
     def is_transition(
         self, before: dict[str, Any], after: dict[str, Any]
     ) -> Any:
-        """Return the condition on two states in a row."""
+        """Return the condition that the log or a daemon acts, or nothing."""
         actions = [_update(before, after, {})]
         actions.append(
             z3.And(
@@ -73,7 +72,7 @@
                 _update(before, after, {"end": before["end"] + 1}),
             )
         )
-        # The log forgets its oldest record.
+        # The log is truncated by its oldest record.
         actions.append(
             z3.And(
                 before["start"] <= before["end"],
@@ -85,7 +84,7 @@
         return z3.Or(actions)
 
     def is_safe(self, state: dict[str, Any]) -> Any:
-        """Return: each value is right for its offset, and none went back."""
+        """Return the condition that values are correct and never roll back."""
         conditions = []
         for reader in READERS:
             applied = state[f"applied{reader}"]
@@ -122,7 +121,7 @@
             after,
             {"snap_offset": before[applied], "snap_value": before[value]},
         )
-        # A process that starts anew has had nothing in force.
+        # A new process has applied nothing, so its highest offset is 0 too.
         restart = _update(before, after, {applied: 0, value: 0, highest: 0})
         broken = self._list_bug_actions(before, after, reader, snapshot_state)
         return [fold, take_snapshot, publish, restart, *broken]
@@ -163,7 +162,7 @@
 
 
 def satisfies_invariant(state: dict[str, Any]) -> Any:
-    """Return the inductive invariant."""
+    """Return the inductive invariant of the specification."""
     conditions = [
         state["start"] >= 1,
         state["end"] >= 0,
--- a/scripts/run_tests.py
+++ b/scripts/run_tests.py
@@ -1,6 +1,6 @@
-"""Run formatter, linter and tests, and close with `N passed, N failed`.
+"""Run formatter, linter and tests; the last line is `N passed, N failed`.
 
-A test listed in KNOWN-RED.txt may fail; it is printed and counted apart.
+A test listed in KNOWN-RED.txt may fail; it is printed, not counted as failed.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 def main() -> int:
-    """Run everything; return 0 only if all is clean and green."""
+    """Run all checks; return 0 if they pass and at least one test has run."""
     os.environ["PATH"] = f"{_BIN}{os.pathsep}{os.environ['PATH']}"
     checks = [
         _run_command("ruff", "format", "--check", "."),
--- a/tests/test_client/test_main.py
+++ b/tests/test_client/test_main.py
@@ -1,4 +1,4 @@
-"""The operators' client: statements, exit codes, settings checks."""
+"""Tests of the command line: statements, exit codes, settings checks."""
 
 from __future__ import annotations
 
--- a/tests/test_client/test_trace.py
+++ b/tests/test_client/test_trace.py
@@ -1,4 +1,4 @@
-"""All lines of a request are found, in order, and no others."""
+"""Tests of the trace command: lines of one request only, in time order."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
         found = trace.find_lines("r-1", [first, second])
         self.assertEqual(["early", "late"], [line.text for line in found])
 
-    def test_a_line_shows_what_decided(self) -> None:
+    def test_a_rendered_line_shows_fields_that_have_a_value(self) -> None:
         path = self._write("a", _line(1.0, "r-1", "Whole.", status=200, x=None))
         line = trace.find_lines("r-1", [path])[0]
         rendered = trace.render_line(line, 0.5)
--- a/tests/test_proofs/__init__.py
+++ b/tests/test_proofs/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the specifications."""
+"""Tests that check the models of the core protocols."""
--- a/tests/test_proofs/test_claims.py
+++ b/tests/test_proofs/test_claims.py
@@ -1,4 +1,4 @@
-"""The claim protocol is checked, and tied to the code's own fold."""
+"""Checks the model of the claim protocol and that ClaimTable agrees with it."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
         found = checker.search_violation(claims.ClaimSpecification(), _DEPTH)
         self.assertEqual(checker.Verdict.HOLDS, found.verdict, found.trace)
 
-    def test_each_broken_variant_is_refuted(self):
+    def test_each_injected_bug_is_found(self):
         for bug in list(claims.InjectedBug)[1:]:
             buggy = claims.ClaimSpecification(bug)
             found = checker.search_violation(buggy, _DEPTH)
@@ -26,8 +26,10 @@
             self.assertGreater(len(found.trace), 1)
 
 
-class ClaimFoldTest(testtools.TestCase):
-    def test_the_code_folds_every_short_log_as_the_specification_does(self):
+class ClaimTableTest(testtools.TestCase):
+    def test_the_claim_table_grants_the_key_as_the_model_does_for_short_logs(
+        self,
+    ):
         specification = claims.ClaimSpecification()
         records_by_code = {
             1: records.Claim("key", "a0", "d0", "x"),
@@ -37,7 +39,7 @@
         }
         logs = itertools.product(range(5), repeat=claims.LOG_LENGTH)
         for log in logs:
-            # Places fill from the front; a release comes once.
+            # The log has no empty position before its end.
             written = list(itertools.takewhile(bool, log))
             if any(log[len(written) :]):
                 continue
--- a/tests/test_proofs/test_configuration.py
+++ b/tests/test_proofs/test_configuration.py
@@ -1,4 +1,4 @@
-"""The fold with snapshots is checked, and tied to the code's own store."""
+"""Checks the snapshot model and that ConfigStore never rolls back."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ConfigSpecificationTest(testtools.TestCase):
-    def test_the_invariant_holds_at_the_start_is_kept_and_is_enough(self):
+    def test_the_invariant_is_inductive_and_implies_safety(self):
         findings = checker.prove_inductive(
             configuration.ConfigSpecification(),
             configuration.satisfies_invariant,
@@ -25,7 +25,7 @@
                 checker.Verdict.HOLDS, found.verdict, f"{name} {found.trace}"
             )
 
-    def test_each_broken_variant_is_refuted(self):
+    def test_each_injected_bug_is_found(self):
         for bug in list(configuration.InjectedBug)[1:]:
             buggy = configuration.ConfigSpecification(bug)
             found = checker.search_violation(buggy, _DEPTH)
@@ -44,13 +44,15 @@
 class StoreTest(testtools.TestCase):
     def test_an_older_snapshot_changes_nothing(self):
         partners = builders.build_partners()
-        found = store.ConfigStore(["serrana", "lindqvist"], partners.verifier)
+        config_store = store.ConfigStore(
+            ["serrana", "lindqvist"], partners.verifier
+        )
         log = [_append(partners, offset) for offset in (1, 2)]
-        found.apply(*log[0])
-        older = _publish(partners, found)
-        found.apply(*log[1])
-        _take_snapshot(partners, found, older)
-        self.assertEqual(_fold_log(partners, log, 2), found.state)
+        config_store.apply(*log[0])
+        older = _publish(partners, config_store)
+        config_store.apply(*log[1])
+        _take_snapshot(partners, config_store, older)
+        self.assertEqual(_fold_log(partners, log, 2), config_store.state)
 
     @hypothesis.settings(
         derandomize=True, deadline=None, max_examples=80, database=None
@@ -63,7 +65,9 @@
         log: list[tuple[int, bytes]] = []
         start = 1
         published = []
-        found = store.ConfigStore(["serrana", "lindqvist"], partners.verifier)
+        config_store = store.ConfigStore(
+            ["serrana", "lindqvist"], partners.verifier
+        )
         highest = 0
         for action in actions:
             match action:
@@ -71,21 +75,23 @@
                     log.append(_append(partners, len(log) + 1))
                 case "forget":
                     start = min(start + 1, len(log) + 1)
-                case "fold" if found.can_continue(start):
-                    for offset, raw in log[found.applied.value :][:1]:
-                        found.apply(offset, raw)
+                case "fold" if config_store.can_continue(start):
+                    for offset, raw in log[config_store.applied.value :][:1]:
+                        config_store.apply(offset, raw)
                 case "publish":
-                    published = _publish(partners, found)
+                    published = _publish(partners, config_store)
                 case "take":
-                    _take_snapshot(partners, found, published)
+                    _take_snapshot(partners, config_store, published)
                 case "restart":
-                    found = store.ConfigStore(
+                    config_store = store.ConfigStore(
                         ["serrana", "lindqvist"], partners.verifier
                     )
                     highest = 0
-            self.assertGreaterEqual(found.applied.value, highest)
-            highest = found.applied.value
-            self.assertEqual(_fold_log(partners, log, highest), found.state)
+            self.assertGreaterEqual(config_store.applied.value, highest)
+            highest = config_store.applied.value
+            self.assertEqual(
+                _fold_log(partners, log, highest), config_store.state
+            )
 
 
 def _append(partners, offset: int) -> tuple[int, bytes]:
@@ -95,23 +101,23 @@
     return offset, records.encode_change(change, partners.serrana)
 
 
-def _publish(partners, found: store.ConfigStore) -> list[bytes]:
+def _publish(partners, config_store: store.ConfigStore) -> list[bytes]:
     return [
         chunk
         for signer in (partners.serrana, partners.lindqvist)
         for chunk in snapshot.encode_snapshot(
-            found.state.partners[signer.partner], signer
+            config_store.state.partners[signer.partner], signer
         )
     ]
 
 
 def _take_snapshot(
-    partners, found: store.ConfigStore, chunks: list[bytes]
+    partners, config_store: store.ConfigStore, chunks: list[bytes]
 ) -> None:
     buffer = snapshot.SnapshotBuffer(partners.verifier)
     for chunk in chunks:
         buffer.add(chunk)
-    found.take_snapshots(buffer)
+    config_store.take_snapshots(buffer)
 
 
 def _fold_log(partners, log, end: int) -> fold.ConfigState:
--- a/tests/test_standins/__init__.py
+++ b/tests/test_standins/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the stand-ins and of the history checker."""
+"""Tests of the fake servers and of the chaos history checker."""
--- a/tests/test_standins/test_chaos_readings.py
+++ b/tests/test_standins/test_chaos_readings.py
@@ -1,8 +1,6 @@
-"""A run's last readings are compared at one end of the log.
+"""Final readings are comparable: all daemons are read at one end of the log.
 
-Symptom: daemons "ended in 2 ways" although each had applied all that the log
-held. A change whose caller had gone took effect 2.4 s after the readings began;
-daemons that were read before showed the version before it, the others its own.
+Guards against reporting a difference for a change made between two readings.
 """
 
 from __future__ import annotations
@@ -24,13 +22,13 @@
 
 
 class _GrowingLog:
-    """A log that grows behind the first reading."""
+    """Log that grows after the first reading."""
 
     def __init__(self) -> None:
         self.end = 24
 
     async def wait_settled(self) -> None:
-        """Return at once: no append is late."""
+        """Return at once: no append is delayed."""
 
     def list_records(self, name: str) -> list[_Record]:
         """Return the last record."""
--- a/tests/test_standins/test_history.py
+++ b/tests/test_standins/test_history.py
@@ -1,4 +1,4 @@
-"""The history checker lets a good history pass and rejects each bad one."""
+"""The history checker accepts a valid history and finds each violation."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def _build_valid_history() -> history.History:
-    """Return a history that keeps every promise."""
+    """Return a history that violates no guarantee."""
     valid = history.History()
     valid.bookings = [
         history.BookingReply("slot-1", 4001, b""),
@@ -49,7 +49,7 @@
             any(sentence in breach for breach in breaches), breaches
         )
 
-    def test_a_good_history_passes(self):
+    def test_a_valid_history_passes(self):
         self.assertEqual([], history.find_breaches(_build_valid_history()))
 
     def test_a_booking_that_ran_twice_is_rejected(self):
@@ -79,7 +79,7 @@
         invalid.chats = [history.ChatReply("a b ", "a ", True, False)]
         self._assert_rejected(invalid, "a whole chat was 'a '")
 
-    def test_a_chat_cut_off_without_a_word_is_rejected(self):
+    def test_a_chat_cut_off_without_an_error_is_rejected(self):
         invalid = _build_valid_history()
         invalid.chats.append(history.ChatReply("a b ", "a ", False, False))
         self._assert_rejected(invalid, "cut off without a word")
@@ -94,7 +94,7 @@
         invalid.tickets.append(history.TicketReply("t-1", "a ", "a ", b"{b}"))
         self._assert_rejected(invalid, "t-1 has 2 answers")
 
-    def test_a_daemon_that_goes_back_is_rejected(self):
+    def test_a_daemon_that_rolls_back_is_rejected(self):
         invalid = _build_valid_history()
         late = history.Observation("d-1", "serrana", 5, 2.0, False)
         invalid.observations.append(late)
@@ -105,7 +105,7 @@
         invalid.changes.append(history.ChangeReply("serrana", 9, 5.0))
         self._assert_rejected(invalid, "ended at 7, though 9 was accepted")
 
-    def test_daemons_that_end_apart_are_rejected(self):
+    def test_daemons_that_end_in_different_states_are_rejected(self):
         invalid = _build_valid_history()
         invalid.observations[-1] = dataclasses.replace(
             invalid.observations[-1], weight=8.0
--- a/tests/test_standins/test_memory_log.py
+++ b/tests/test_standins/test_memory_log.py
@@ -1,4 +1,4 @@
-"""The log in memory tells records with keys by their topic."""
+"""The in-memory log knows by the topic whether records have keys."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 from martenquay_standins.ports import log
 
-# A number, encoded, in which the byte of "=" happens to stand.
+# An encoded number with the byte of "=", which separates key and value.
 _PAYLOAD = b"\x92\xce\x15\x4a\x3d\x00\x80"
 
 
 class MemoryLogTest(testtools.TestCase):
-    def test_any_byte_may_stand_in_a_record_without_a_key(self) -> None:
+    def test_a_record_without_a_key_may_hold_the_key_separator(self) -> None:
         async def scenario() -> None:
             store = log.MemoryLog()
             await store.append("usage", [_PAYLOAD])
--- a/tests/test_standins/test_proxy.py
+++ b/tests/test_standins/test_proxy.py
@@ -1,4 +1,4 @@
-"""A silenced connection is dead for good, and new ones pass."""
+"""FaultyProxy.silence_connections: open connections only, for good."""
 
 from __future__ import annotations
 
@@ -8,7 +8,6 @@
 from martenquay_standins.chaos import proxy
 
 _TIMEOUT_S = 30.0
-# Loopback delivers in far less.
 _SILENCE_S = 0.2
 
 
@@ -40,21 +39,21 @@
         self.assertEqual(b"first", await stream.receive_some(100))
         return stream
 
-    def test_open_ones_fall_silent_and_new_ones_pass(self) -> None:
+    def test_only_open_connections_are_silenced(self) -> None:
         async def scenario(faulty_proxy: proxy.FaultyProxy) -> None:
             async with await self._connect(faulty_proxy) as old:
                 faulty_proxy.silence_connections()
                 await old.send_all(b"lost")
                 async with await self._connect(faulty_proxy):
                     pass
-                # Healing the way does not bring them back.
+                # Ending the faults must not restore silenced connections.
                 faulty_proxy.set_faults(proxy.ProxyFaults())
                 with trio.move_on_after(_SILENCE_S):
                     self.fail(f"heard {await old.receive_some(100)!r}")
 
         self._run(scenario)
 
-    def test_a_silent_one_tells_neither_side_of_its_end(self) -> None:
+    def test_a_close_is_not_forwarded_on_a_silenced_connection(self) -> None:
         async def scenario(faulty_proxy: proxy.FaultyProxy) -> None:
             old = await self._connect(faulty_proxy)
             faulty_proxy.silence_connections()
