--- a/packages/standins/src/martenquay_standins/chaos/history.py
+++ b/packages/standins/src/martenquay_standins/chaos/history.py
@@ -145,10 +145,10 @@
     for reply in history.bookings:
         replies[reply.key].append(reply)
     breaches = []
-    for key, told in replies.items():
+    for key, attempts in replies.items():
         runs = history.runs[key]
-        answers = {reply.body for reply in told if reply.code == _OK_CODE}
-        all_not_run = all(_is_not_run(reply.code) for reply in told)
+        answers = {reply.body for reply in attempts if reply.code == _OK_CODE}
+        all_not_run = all(_is_not_run(reply.code) for reply in attempts)
         if runs > 1:
             breaches.append(f"{key} ran {runs} times")
         if answers and runs == 0:
--- a/packages/standins/src/martenquay_standins/chaos/programs.py
+++ b/packages/standins/src/martenquay_standins/chaos/programs.py
@@ -94,7 +94,7 @@
         self, handle_line: Callable[[dict[str, Any]], None]
     ) -> None:
         """Call `handle_line` with each JSON line that it prints, until EOF."""
-        assert self.process.stdout is not None, "it is started with a pipe"
+        assert self.process.stdout is not None, "stdout is not a pipe"
         partial_line = b""
         while data := await self.process.stdout.receive_some(_RECEIVE_BYTES):
             *lines, partial_line = (partial_line + data).split(b"\n")
@@ -111,7 +111,7 @@
 
     async def read_errors(self) -> None:
         """Keep the last bytes of its standard error, until EOF."""
-        assert self.process.stderr is not None, "it is started with a pipe"
+        assert self.process.stderr is not None, "stderr is not a pipe"
         while data := await self.process.stderr.receive_some(_RECEIVE_BYTES):
             self.errors = (self.errors + data)[-_STDERR_TAIL_BYTES:]
 
--- a/packages/standins/src/martenquay_standins/demo.py
+++ b/packages/standins/src/martenquay_standins/demo.py
@@ -62,8 +62,8 @@
         all_succeeded = True
         for plan in test_world.plans:
             addresses = daemons[plan.zones[0]].addresses
-            desk = _DaemonAccess(addresses, plan.operator_credential)
-            all_succeeded &= await _send_requests(client, plan, desk)
+            access = _DaemonAccess(addresses, plan.operator_credential)
+            all_succeeded &= await _send_requests(client, plan, access)
         if _KEEP_RUNNING.value:
             _print_client_commands(test_world, daemons)
             await trio.sleep_forever()
--- a/packages/standins/src/martenquay_standins/engine.py
+++ b/packages/standins/src/martenquay_standins/engine.py
@@ -221,7 +221,9 @@
         sent = 0
         async for event in self._iterate_tokens(order):
             if self.faults.down or sent == self.faults.break_after:
-                raise ConnectionResetError("told to break the stream")
+                raise ConnectionResetError(
+                    "stream reset by the fault break_after"
+                )
             await _send_event(request, event)
             sent += 1
         await _send_event(
--- a/packages/standins/src/martenquay_standins/service.py
+++ b/packages/standins/src/martenquay_standins/service.py
@@ -77,4 +77,4 @@
     await request.send(
         {"type": "http.response.start", "status": 200, "headers": [length]}
     )
-    raise ConnectionResetError("told to break the connection")
+    raise ConnectionResetError("connection reset by the fault break_answers")
--- a/packages/standins/src/martenquay_standins/world.py
+++ b/packages/standins/src/martenquay_standins/world.py
@@ -356,6 +356,8 @@
     while not line.endswith(b"\n"):
         data = await process.stdout.receive_some(4096)
         if not data:
-            raise RuntimeError("the daemon ended before it was ready")
+            raise RuntimeError(
+                "the daemon exited before it printed its addresses"
+            )
         line += data
     return line
--- a/tests/test_standins/test_proxy.py
+++ b/tests/test_standins/test_proxy.py
@@ -49,7 +49,7 @@
                 # Ending the faults must not restore silenced connections.
                 faulty_proxy.set_faults(proxy.ProxyFaults())
                 with trio.move_on_after(_SILENCE_S):
-                    self.fail(f"heard {await old.receive_some(100)!r}")
+                    self.fail(f"received {await old.receive_some(100)!r}")
 
         self._run(scenario)
 
