--- a/packages/standins/src/martenquay_standins/ports/telling_runner.py
+++ b/packages/standins/src/martenquay_standins/ports/telling_runner.py
@@ -8,7 +8,7 @@
 
 from martenquay_standins import windows
 
-__all__ = ["Arrival", "TellingRunner"]
+__all__ = ["Arrival", "ReportingRunner"]
 
 _RECEIVE_BYTES = 65_536
 
@@ -28,7 +28,7 @@
     is_refused: bool
 
 
-class TellingRunner:
+class ReportingRunner:
     """Fake runner on loopback that adds given header lines to its answers.
 
     Attributes:
--- a/tests/test_promises/test_runner_rest.py
+++ b/tests/test_promises/test_runner_rest.py
@@ -89,7 +89,7 @@
         self.run_fleet(scenario)
 
 
-def _count_most(runner: telling_runner.TellingRunner) -> int:
+def _count_most(runner: telling_runner.ReportingRunner) -> int:
     """Return the most requests that came while one time was to be kept."""
     refused = [one.at for one in runner.arrivals if one.is_refused]
     return max(
