--- a/tests/telling_fleet.py
+++ b/tests/telling_fleet.py
@@ -9,7 +9,7 @@
 import testtools
 import trio
 
-from martenquay_standins.ports import telling_runner
+from martenquay_standins.ports import reporting_runner
 from tests import gateway_fleet
 
 if TYPE_CHECKING:
@@ -37,7 +37,7 @@
 
     platform: gateway_fleet.Platform
     daemons: list[gateway_fleet.Daemon]
-    runners: list[telling_runner.ReportingRunner]
+    runners: list[reporting_runner.ReportingRunner]
     replies: list[serving_scene.Reply] = dataclasses.field(default_factory=list)
 
     async def send_load(self, per_daemon_s: float, duration_s: float) -> None:
@@ -73,7 +73,7 @@
     """Run a fleet until each runner has served a request."""
     platform = gateway_fleet.Platform()
     platform.put_catalog(1)
-    fleet_runners = [telling_runner.ReportingRunner() for _ in range(runners)]
+    fleet_runners = [reporting_runner.ReportingRunner() for _ in range(runners)]
     async with trio.open_nursery() as nursery:
         fleet = TellingFleet(platform, [], fleet_runners)
         for number, one in enumerate(fleet_runners):
--- a/tests/test_promises/test_runner_rest.py
+++ b/tests/test_promises/test_runner_rest.py
@@ -19,7 +19,7 @@
 from tests import telling_fleet
 
 if TYPE_CHECKING:
-    from martenquay_standins.ports import telling_runner
+    from martenquay_standins.ports import reporting_runner
 
 _REST_S = 3.0
 _RESTS = (b"retry-after: 3",)
@@ -89,7 +89,7 @@
         self.run_fleet(scenario)
 
 
-def _count_most(runner: telling_runner.ReportingRunner) -> int:
+def _count_most(runner: reporting_runner.ReportingRunner) -> int:
     """Return the most requests that came while one time was to be kept."""
     refused = [one.at for one in runner.arrivals if one.is_refused]
     return max(
