--- a/packages/standins/src/martenquay_standins/ports/reporting_runner.py
+++ b/packages/standins/src/martenquay_standins/ports/reporting_runner.py
@@ -54,10 +54,10 @@
         task_status.started()
         await trio.serve_listeners(self._serve, listeners)
 
-    def count_most(self, window_s: float, from_at: float) -> int:
+    def find_peak_count(self, window_s: float, from_at: float) -> int:
         """Return the most requests in any window since `from_at`."""
         times = [one.at for one in self.arrivals if one.at >= from_at]
-        return windows.count_most(times, window_s)
+        return windows.find_peak_count(times, window_s)
 
     async def _serve(self, stream: trio.SocketStream) -> None:
         try:
--- a/packages/standins/src/martenquay_standins/windows.py
+++ b/packages/standins/src/martenquay_standins/windows.py
@@ -7,10 +7,10 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-__all__ = ["count_most"]
+__all__ = ["find_peak_count"]
 
 
-def count_most(times: Sequence[float], window_s: float) -> int:
+def find_peak_count(times: Sequence[float], window_s: float) -> int:
     """Return the largest number of events within any window of `window_s`.
 
     Args:
--- a/tests/limit_days.py
+++ b/tests/limit_days.py
@@ -342,8 +342,8 @@
         ]
         learnt_s = self._half_informed_s
         return Played(
-            most=windows.count_most(bound, WINDOW_S),
-            most_of_all=windows.count_most(all_times, WINDOW_S),
+            most=windows.find_peak_count(bound, WINDOW_S),
+            most_of_all=windows.find_peak_count(all_times, WINDOW_S),
             got_per_s=len(all_times) / (self._lifted_s - since),
             learnt_s=self._day.after_s if learnt_s is None else learnt_s,
         )
--- a/tests/test_promises/test_runner_limit.py
+++ b/tests/test_promises/test_runner_limit.py
@@ -35,7 +35,7 @@
             limited.lines = (b"server-limit: 1",)
             since = trio.current_time()
             await fleet.send_load(_PER_DAEMON_S, _CONTACT_S + 3 * _WINDOW_S)
-            most = limited.count_most(_WINDOW_S, since + _CONTACT_S)
+            most = limited.find_peak_count(_WINDOW_S, since + _CONTACT_S)
             self.assertLessEqual(most, _MOST)
             # It is not given up either.
             self.assertGreater(most, 0)
