--- a/packages/standins/src/martenquay_standins/ports/runner.py
+++ b/packages/standins/src/martenquay_standins/ports/runner.py
@@ -74,7 +74,7 @@
         for stream in self._open_streams:
             _reset(stream)
 
-    def break_off(self) -> None:
+    def close_held_connections(self) -> None:
         """Close the connections that scripts hold open."""
         for hold in self._hold_scopes:
             hold.cancel()
@@ -136,7 +136,7 @@
         await trio.aclose_forcefully(stream)
 
     async def _hold(self, stream: trio.SocketStream) -> None:
-        """Wait until the client closes or `break_off` is called."""
+        """Wait for a close by the client or by `close_held_connections`."""
         with trio.CancelScope() as hold:
             self._hold_scopes.add(hold)
             while await stream.receive_some(_RECEIVE_BYTES):
--- a/tests/test_forwarding/test_disconnects.py
+++ b/tests/test_forwarding/test_disconnects.py
@@ -152,7 +152,7 @@
                 first = world.scene.runners[0]
                 await first.heard.wait()
                 second = await world.add_runner(disconnects.GOOD)
-                first.break_off()
+                first.close_held_connections()
                 await world.connects.hung.wait()
                 await world.leave(caller, world.connects.ended)
             self.assert_told(world, "connecting", connects=2)
--- a/tests/test_forwarding/test_disconnects_answers.py
+++ b/tests/test_forwarding/test_disconnects_answers.py
@@ -117,7 +117,7 @@
             first = world.scene.runners[0]
             await disconnects.read_until(caller, b"token 1")
             runner = await world.add_runner(second)
-            first.break_off()
+            first.close_held_connections()
             await runner.heard.wait()
             if stage == "streaming":
                 await disconnects.read_until(caller, b"token 2")
@@ -145,7 +145,7 @@
             caller = await world.call()
             await disconnects.read_until(caller, b"token 1")
             second = await world.add_runner(disconnects.GOOD)
-            world.scene.runners[0].break_off()
+            world.scene.runners[0].close_held_connections()
             await world.connects.hung.wait()
             await world.leave(caller, world.connects.ended)
             self.assert_told(world, "connecting", connects=2)
@@ -159,7 +159,7 @@
             caller = await world.call()
             await disconnects.read_until(caller, b"token 1")
             second = await world.add_runner(disconnects.GOOD)
-            world.scene.runners[0].break_off()
+            world.scene.runners[0].close_held_connections()
             await world.leave(caller)
             self.assertEqual(1, len(world.log.lines))
             self.assertEqual([b""] * len(second.requests), second.requests)
