--- a/packages/standins/src/martenquay_standins/ports/log.py
+++ b/packages/standins/src/martenquay_standins/ports/log.py
@@ -26,7 +26,7 @@
         is_silent: Every call times out with an unknown effect.
         lost_answers: Number of appends to apply and report as unknown.
         late_appends: Number of appends to report as unknown and to apply only
-            when `MemoryLog.do_late` is called.
+            when `MemoryLog.apply_late_appends` is called.
         append_s: Delay before an append is applied.
     """
 
@@ -147,7 +147,7 @@
         stored.first = stored.end
         stored.records.clear()
 
-    def do_late(self) -> None:
+    def apply_late_appends(self) -> None:
         """Apply the delayed appends whose `expected_end` still matches."""
         late, self._delayed_appends = self._delayed_appends, []
         for append in late:
--- a/tests/test_duties/test_lease.py
+++ b/tests/test_duties/test_lease.py
@@ -224,7 +224,7 @@
                 sent_at = trio.current_time()
                 store.faults.is_down = True
                 await trio.sleep(2.0)
-                store.do_late()
+                store.apply_late_appends()
                 store.faults.is_down = False
                 store.faults.late_appends = 1000
                 while one.is_held():
