--- a/packages/standins/src/martenquay_standins/chaos/faults.py
+++ b/packages/standins/src/martenquay_standins/chaos/faults.py
@@ -13,14 +13,14 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-__all__ = ["FaultMaker"]
+__all__ = ["FaultInjector"]
 
 _FAULT_S = 0.8
 _RECLAIM_NOTICE_S = 0.3
 _MAX_PAUSE_S = 0.3
 
 
-class FaultMaker:
+class FaultInjector:
     """Injects faults one at a time, each ended before the next one begins.
 
     Attributes:
--- a/packages/standins/src/martenquay_standins/chaos/run.py
+++ b/packages/standins/src/martenquay_standins/chaos/run.py
@@ -95,7 +95,9 @@
     async def perform(self) -> ChaosReport:
         """Start the fleet, run the workload under faults, check the history."""
         await self._start()
-        maker = faults.FaultMaker(self._world, self._daemons, self._plan.seed)
+        maker = faults.FaultInjector(
+            self._world, self._daemons, self._plan.seed
+        )
         async with trio.open_nursery() as nursery:
             for partner in self._world.plans:
                 for _ in range(self._plan.callers):
