--- a/packages/standins/src/martenquay_standins/chaos/faults.py
+++ b/packages/standins/src/martenquay_standins/chaos/faults.py
@@ -40,7 +40,7 @@
         self._random = random.Random(seed)
         self._start_count = 0
 
-    async def make_faults(self, count: int) -> None:
+    async def inject_faults(self, count: int) -> None:
         """Inject `count` faults one after the other, with pauses."""
         kinds: list[Callable[[], Awaitable[None]]] = [
             self._kill_daemon,
--- a/packages/standins/src/martenquay_standins/chaos/run.py
+++ b/packages/standins/src/martenquay_standins/chaos/run.py
@@ -106,7 +106,7 @@
                 nursery.start_soon(self._run_deferrable_caller, partner)
                 nursery.start_soon(self._run_operator, partner)
                 nursery.start_soon(self._run_observer, partner)
-            await maker.make_faults(self._plan.faults)
+            await maker.inject_faults(self._plan.faults)
             nursery.cancel_scope.cancel()
         await self._collect_final_state()
         for app in self._services:
