--- a/packages/standins/src/martenquay_standins/chaos/programs.py
+++ b/packages/standins/src/martenquay_standins/chaos/programs.py
@@ -61,7 +61,7 @@
         if self.process.poll() is None:
             self.process.send_signal(number)
 
-    def send_early_or_late(self, number: signal.Signals) -> None:
+    def send_and_record(self, number: signal.Signals) -> None:
         """Send a signal and record whether the program was still starting."""
         if self.process.poll() is not None:
             return
--- a/tests/test_platform/test_soak_stops.py
+++ b/tests/test_platform/test_soak_stops.py
@@ -127,7 +127,7 @@
                 "signal.signal(signal.SIGHUP, signal.SIG_IGN)",
                 "time.sleep(60)",
             )
-            program.send_early_or_late(signal.SIGCONT)
+            program.send_and_record(signal.SIGCONT)
             program.send(signal.SIGKILL)
             await program.process.wait()
             self.assertFalse(program.is_excused())
@@ -146,9 +146,9 @@
                 _REST,
             )
             await self._read_word(program)
-            program.send_early_or_late(signal.SIGHUP)
+            program.send_and_record(signal.SIGHUP)
             await self._read_word(program)
-            program.send_early_or_late(signal.SIGHUP)
+            program.send_and_record(signal.SIGHUP)
             self.assertEqual(-1, await program.process.wait())
             self.assertFalse(program.is_excused())
 
