--- a/packages/standins/src/martenquay_standins/chaos/programs.py
+++ b/packages/standins/src/martenquay_standins/chaos/programs.py
@@ -75,7 +75,7 @@
         self.signals.append(f"{number.name}+{age_s:.3f}")
         self.send(number)
 
-    def is_excused(self) -> bool:
+    def was_killed_at_startup(self) -> bool:
         """Return whether a signal sent during startup has killed it."""
         status = self.process.poll()
         return status is not None and -status in self._startup_signals
--- a/tests/test_platform/test_soak_stops.py
+++ b/tests/test_platform/test_soak_stops.py
@@ -116,7 +116,7 @@
         async def run() -> None:
             program = await self._start("import time; time.sleep(60)")
             self.assertEqual([], await self._stop(program))
-            self.assertTrue(program.is_excused())
+            self.assertTrue(program.was_killed_at_startup())
 
         self._run(run)
 
@@ -130,7 +130,7 @@
             program.send_and_record(signal.SIGCONT)
             program.send(signal.SIGKILL)
             await program.process.wait()
-            self.assertFalse(program.is_excused())
+            self.assertFalse(program.was_killed_at_startup())
 
         self._run(run)
 
@@ -150,6 +150,6 @@
             await self._read_word(program)
             program.send_and_record(signal.SIGHUP)
             self.assertEqual(-1, await program.process.wait())
-            self.assertFalse(program.is_excused())
+            self.assertFalse(program.was_killed_at_startup())
 
         self._run(run)
