--- a/packages/standins/src/martenquay_standins/chaos/run.py
+++ b/packages/standins/src/martenquay_standins/chaos/run.py
@@ -95,7 +95,7 @@
     async def perform(self) -> ChaosReport:
         """Start the fleet, run the workload under faults, check the history."""
         await self._start()
-        maker = faults.FaultInjector(
+        injector = faults.FaultInjector(
             self._world, self._daemons, self._plan.seed
         )
         async with trio.open_nursery() as nursery:
@@ -106,13 +106,13 @@
                 nursery.start_soon(self._run_deferrable_caller, partner)
                 nursery.start_soon(self._run_operator, partner)
                 nursery.start_soon(self._run_observer, partner)
-            await maker.inject_faults(self._plan.faults)
+            await injector.inject_faults(self._plan.faults)
             nursery.cancel_scope.cancel()
         await self._collect_final_state()
         for app in self._services:
             self._history.runs.update(app.runs)
         breaches = history.find_breaches(self._history)
-        return ChaosReport(self._history, breaches, maker.done)
+        return ChaosReport(self._history, breaches, injector.done)
 
     async def _start(self) -> None:
         await self._world.start_platform()
