--- a/packages/standins/src/martenquay_standins/__init__.py
+++ b/packages/standins/src/martenquay_standins/__init__.py
@@ -1,1 +1,1 @@
-"""Fake platform services, model engines and backend servers for tests."""
+"""Stand-ins for tests: fake platform services, engines and backend servers."""
--- a/packages/standins/src/martenquay_standins/web.py
+++ b/packages/standins/src/martenquay_standins/web.py
@@ -1,4 +1,4 @@
-"""Base class of the fake HTTP servers, with fault injection."""
+"""Base class of the stand-ins: fake HTTP servers with fault injection."""
 
 from __future__ import annotations
 
