--- a/packages/standins/src/martenquay_standins/cloud.py
+++ b/packages/standins/src/martenquay_standins/cloud.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's cloud API."""
+"""Fake cloud API that starts and stops runner instances."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
     from martenquay_standins import instances as instance_list
 
-    # Starts what the instance is to run and returns its address.
+    # Starts the server of an instance, given its name; returns its address.
     Launch = Callable[[str, cloud.InstanceOrder], Awaitable[str]]
 
 __all__ = ["CloudStandIn"]
@@ -23,11 +23,11 @@
 
 @dataclasses.dataclass
 class CloudFaults(web.Faults):
-    """Faults of the cloud besides the common ones.
+    """Faults of the cloud API besides the common ones.
 
     Attributes:
-        refused_zones: Zones in which no instance starts.
-        refused_classes: Classes of which no instance starts.
+        refused_zones: Availability zones in which starts are refused.
+        refused_classes: Machine classes of which starts are refused.
     """
 
     refused_zones: list[str] = dataclasses.field(default_factory=list)
@@ -35,7 +35,7 @@
 
 
 class CloudStandIn(web.StandIn):
-    """Start and stop instances and put them on the list.
+    """Starts and stops instances and keeps the instance list current.
 
     Attributes:
         started: Names of started instances by order id.
@@ -50,12 +50,12 @@
         super().__init__()
         self.faults: CloudFaults = CloudFaults()
         self.started: dict[str, str] = {}
-        self._list = listed
+        self._instance_list = listed
         self._launch = launch
         self._prices = prices
 
     async def handle(self, request: web.Request) -> None:
-        """Serve starts, stops and prices."""
+        """Serve `/instances` (start and stop) and `/prices`."""
         if await self.refuse_when_down(request):
             return
         match request.method, request.path:
@@ -65,7 +65,7 @@
                 await self._start(request)
             case "DELETE", path:
                 name = path.removeprefix("/instances/")
-                self._list.remove(name)
+                self._instance_list.remove(name)
                 await web.reply_json(request.send, True)
             case _:
                 await web.reply_json(request.send, {"error": "unknown"}, 404)
@@ -73,7 +73,7 @@
     async def _start(self, request: web.Request) -> None:
         order = msgspec.json.decode(request.body, type=cloud.InstanceOrder)
         if order.order_id not in self.started:
-            if self._refuses(order):
+            if self._is_refused(order):
                 await web.reply_json(request.send, {"error": "refused"}, 409)
                 return
             await self._launch_instance(order)
@@ -82,7 +82,7 @@
         started = cloud.Started(self.started[order.order_id])
         await web.reply_json(request.send, started)
 
-    def _refuses(self, order: cloud.InstanceOrder) -> bool:
+    def _is_refused(self, order: cloud.InstanceOrder) -> bool:
         return (
             order.zone in self.faults.refused_zones
             or order.machine_class.value in self.faults.refused_classes
@@ -92,7 +92,7 @@
         name = f"{order.pool}-{order.zone}-{len(self.started)}"
         self.started[order.order_id] = name
         address = await self._launch(name, order)
-        self._list.put(
+        self._instance_list.put(
             instances.Instance(
                 name=name,
                 kind=instances.InstanceKind.RUNNER,
--- a/packages/standins/src/martenquay_standins/engine.py
+++ b/packages/standins/src/martenquay_standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand in for a model engine: batching, prefix cache, streams, faults."""
+"""Fake model engine with batching, prefix cache, streams and faults."""
 
 from __future__ import annotations
 
@@ -42,13 +42,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class EngineShape:
-    """How big and fast an engine is.
+    """Capacity and speed of an engine.
 
     Attributes:
-        slots: Requests worked on at once.
-        prefill_tokens_s: Prompt tokens read a second, uncached ones only.
-        token_s: Seconds between two tokens of one request.
-        cache_blocks: How many prefix blocks the cache holds.
+        slots: Requests processed at the same time.
+        prefill_tokens_s: Uncached prompt tokens processed per second.
+        token_s: Time between two output tokens of one request.
+        cache_blocks: Capacity of the prefix cache in blocks.
     """
 
     slots: int = 8
@@ -62,14 +62,14 @@
     """Faults of an engine besides the common ones.
 
     Attributes:
-        break_after: Break each stream after this many tokens; -1 for never.
+        break_after: Reset each stream after this many tokens; -1 for never.
         repeat_tokens: Send every token event twice.
-        swap_tokens: Send each pair of token events in the wrong order.
-        foreign_tokens: Mix in events of another request.
-        event_gap: Leave out every n-th cache event; 0 for none.
-        event_lag_s: Seconds by which cache events are behind.
-        load_lag_s: Seconds by which the load report is behind.
-        odd_load: Answer a load report that is none.
+        swap_tokens: Swap the two events of each pair of token events.
+        foreign_tokens: Insert events of another request and an old attempt.
+        event_gap: Omit every n-th cache event; 0 for none.
+        event_lag_s: Delay of cache events.
+        load_lag_s: Age of the reported load.
+        odd_load: Answer with a malformed load report.
     """
 
     break_after: int = -1
@@ -83,13 +83,13 @@
 
 
 def make_token(prompt: str, index: int) -> str:
-    """Return the token that any engine generates at this place."""
+    """Return the token at an index of the answer, the same on any engine."""
     seed = sum(prompt.encode()) + 31 * len(prompt) + 7 * index
     return _VOCABULARY[(seed * 2654435761 >> 7) % len(_VOCABULARY)] + " "
 
 
-class _Slots:
-    """Let a bounded number in, the most urgent first."""
+class _PrioritySemaphore:
+    """Semaphore that admits waiters by priority, the lowest number first."""
 
     def __init__(self, count: int) -> None:
         self.free = count
@@ -101,7 +101,7 @@
     def queued(self) -> int:
         return len(self._waiting)
 
-    async def enter(self, priority: int) -> None:
+    async def acquire(self, priority: int) -> None:
         if self.free == 0:
             event = trio.Event()
             entry = (priority, next(self._ids), event)
@@ -109,24 +109,24 @@
             try:
                 await event.wait()
             except trio.Cancelled:
-                self._give_up(entry)
+                self._abandon_wait(entry)
                 raise
         else:
             self.free -= 1
         self.running += 1
 
-    def leave(self) -> None:
+    def release(self) -> None:
         self.running -= 1
-        self._hand_on()
+        self._release_slot()
 
-    def _give_up(self, entry: tuple[int, int, trio.Event]) -> None:
+    def _abandon_wait(self, entry: tuple[int, int, trio.Event]) -> None:
         if entry in self._waiting:
             self._waiting.remove(entry)
             heapq.heapify(self._waiting)
         else:
-            self._hand_on()
+            self._release_slot()
 
-    def _hand_on(self) -> None:
+    def _release_slot(self) -> None:
         if self._waiting:
             heapq.heappop(self._waiting)[2].set()
         else:
@@ -134,13 +134,13 @@
 
 
 class EngineStandIn(web.StandIn):
-    """Generate deterministic tokens.
+    """Engine whose tokens depend only on the prompt and their index.
 
     Attributes:
-        runs: How often each request was started here.
-        prompt_tokens: Prompt tokens read in all.
-        computed_tokens: Those of them that the cache did not hold.
-        reports: How often it was asked for its load.
+        runs: Number of starts by request id.
+        prompt_tokens: Prompt tokens of all requests.
+        computed_tokens: Those of them that were not in the prefix cache.
+        reports: Number of load reports sent.
     """
 
     def __init__(self, shape: EngineShape) -> None:
@@ -151,7 +151,7 @@
         self.prompt_tokens = 0
         self.computed_tokens = 0
         self._shape = shape
-        self._slots = _Slots(shape.slots)
+        self._slots = _PrioritySemaphore(shape.slots)
         self._cache: collections.OrderedDict[int, None] = (
             collections.OrderedDict()
         )
@@ -159,10 +159,10 @@
         self._event_end = progress.Progress(0)
         self._loads: list[tuple[float, orders.Load]] = []
         self._streams: dict[str, trio.CancelScope] = {}
-        self._token = 0
+        self._fencing_token = 0
 
     async def handle(self, request: web.Request) -> None:
-        """Serve the engine's calls."""
+        """Serve the engine API, and `/runs` for tests."""
         if request.path == "/runs":
             await web.reply_json(request.send, self._describe())
             return
@@ -177,16 +177,16 @@
             case "/v1/kv/export":
                 await self._export(request)
             case "/v1/kv/import":
-                self._remember(request.read_json()["blocks"])
+                self._cache_chain(request.read_json()["blocks"])
                 await web.reply_json(request.send, {})
             case "/v1/events":
                 await self._read_events(request)
             case "/v1/blocks":
                 await self._list_blocks(request)
             case "/v1/load":
-                await self._tell_load(request)
+                await self._send_load(request)
             case "/v1/orders":
-                await self._take_order(request)
+                await self._apply_order(request)
             case _:
                 await web.reply_json(request.send, {"error": "unknown"}, 404)
 
@@ -198,13 +198,13 @@
         )
         with trio.CancelScope() as scope:
             self._streams[order.request_id] = scope
-            await self._slots.enter(order.priority)
-            self._note_load()
+            await self._slots.acquire(order.priority)
+            self._record_load()
             try:
                 await self._stream(request, order)
             finally:
-                self._slots.leave()
-                self._note_load()
+                self._slots.release()
+                self._record_load()
         self._streams.pop(order.request_id, None)
         await request.send({"type": "http.response.body", "body": b""})
 
@@ -212,7 +212,7 @@
         self, request: web.Request, order: orders.GenerateOrder
     ) -> None:
         cached = await self._prefill(order)
-        await _send_line(
+        await _send_event(
             request,
             orders.StreamStarted(
                 order.request_id, order.attempt, cached, order.count_tokens()
@@ -221,10 +221,12 @@
         sent = 0
         async for event in self._iterate_tokens(order):
             if self.faults.down or sent == self.faults.break_after:
-                raise ConnectionResetError("told to break the stream")
-            await _send_line(request, event)
+                raise ConnectionResetError(
+                    "stream reset by the fault break_after"
+                )
+            await _send_event(request, event)
             sent += 1
-        await _send_line(
+        await _send_event(
             request,
             orders.StreamFinished(
                 order.request_id, order.attempt, order.max_tokens
@@ -242,7 +244,7 @@
         self.prompt_tokens += total
         self.computed_tokens += total - cached
         await trio.sleep((total - cached) / self._shape.prefill_tokens_s)
-        self._remember(chain)
+        self._cache_chain(chain)
         return cached
 
     async def _iterate_tokens(
@@ -257,13 +259,13 @@
             )
             if self.faults.swap_tokens and len(held) < 2:
                 continue
-            for event in self._disturb(held):
+            for event in self._apply_token_faults(held):
                 yield event
             held = []
         for event in held:
             yield event
 
-    def _disturb(
+    def _apply_token_faults(
         self, events: list[orders.TokenEvent]
     ) -> list[orders.TokenEvent]:
         shown = list(reversed(events))
@@ -291,7 +293,7 @@
         ]
         await web.reply_json(request.send, {"blocks": held})
 
-    def _remember(self, chain: list[int]) -> None:
+    def _cache_chain(self, chain: list[int]) -> None:
         added = [block for block in chain if block not in self._cache]
         for block in chain:
             self._cache[block] = None
@@ -323,29 +325,33 @@
             request.send, orders.BlockList(len(self._events), list(self._cache))
         )
 
-    async def _tell_load(self, request: web.Request) -> None:
-        odd = {"running": "many"}
-        report = odd if self.faults.odd_load else self._report_load()
+    async def _send_load(self, request: web.Request) -> None:
+        malformed = {"running": "many"}
+        report = (
+            malformed if self.faults.odd_load else self._find_visible_load()
+        )
         self.reports += 1
         await web.reply_json(request.send, report)
 
-    def _note_load(self) -> None:
+    def _record_load(self) -> None:
         load = orders.Load(self._slots.running, self._slots.queued)
         self._loads.append((trio.current_time(), load))
         del self._loads[:-1000]
 
-    def _report_load(self) -> orders.Load:
+    def _find_visible_load(self) -> orders.Load:
         until = trio.current_time() - self.faults.load_lag_s
         seen = [load for time, load in self._loads if time <= until]
         return seen[-1] if seen else orders.Load(0, 0)
 
-    async def _take_order(self, request: web.Request) -> None:
+    async def _apply_order(self, request: web.Request) -> None:
         fields = request.read_json()
-        if fields["token"] < self._token:
-            await web.reply_json(request.send, {"token": self._token}, 409)
+        if fields["token"] < self._fencing_token:
+            await web.reply_json(
+                request.send, {"token": self._fencing_token}, 409
+            )
             return
-        self._token = fields["token"]
-        await web.reply_json(request.send, {"token": self._token})
+        self._fencing_token = fields["token"]
+        await web.reply_json(request.send, {"token": self._fencing_token})
 
     def _describe(self) -> dict[str, Any]:
         return {
@@ -355,7 +361,7 @@
         }
 
 
-async def _send_line(request: web.Request, event: orders.StreamEvent) -> None:
+async def _send_event(request: web.Request, event: orders.StreamEvent) -> None:
     line = msgspec.json.encode(event) + b"\n"
     await request.send(
         {"type": "http.response.body", "body": line, "more_body": True}
--- a/proofs/configuration.py
+++ b/proofs/configuration.py
@@ -1,13 +1,12 @@
-"""Specify snapshots and truncation: a daemon's state never reverts.
+"""Model of snapshots and log truncation: configuration never rolls back.
 
-Three changes to one object stand in the log, which forgets from the front. A
-daemon folds records without a gap, or takes a snapshot if it can fold every
-record after it. Snapshots may be published late by a daemon that is behind,
-and a daemon may start anew with nothing. A state is right if its value is the
-one that folding all records up to its offset gives.
+A log holds up to three changes and is truncated from the front. A daemon
+applies records without a gap, or loads a snapshot that is newer than its state.
+A daemon that lags may publish an old snapshot, and a daemon may restart empty.
+A state is correct if its value results from all records up to its offset.
 
-The broken variants take an older snapshot over a newer state, fold over a
-gap, and trust a snapshot's offset without its value.
+Each injected bug must be found: loading an older snapshot, applying records
+across a gap, publishing a snapshot with a wrong offset.
 """
 
 from __future__ import annotations
@@ -17,14 +16,14 @@
 
 import z3
 
-__all__ = ["Breakage", "ConfigSpecification", "holds_always"]
+__all__ = ["InjectedBug", "ConfigSpecification", "satisfies_invariant"]
 
-RECORDS = 3
+RECORD_COUNT = 3
 READERS = (0, 1)
 
 
-class Breakage(enum.Enum):
-    """A way in which the protocol may be broken."""
+class InjectedBug(enum.Enum):
+    """Protocol bugs that the checker must find."""
 
     NONE = "none"
     TAKE_OLDER_SNAPSHOT = "take an older snapshot"
@@ -33,17 +32,17 @@
 
 
 class ConfigSpecification:
-    """The fold with snapshots on a log that forgets.
+    """Transition system of two daemons, a truncated log and one snapshot.
 
-    A value is a bit set of the records folded in, so that a record left out
-    shows: after offset n the right value has the lowest n bits set.
+    A value is the bit set of the applied records, which reveals a missing
+    one: at offset n the correct value has the lowest n bits set.
     """
 
-    def __init__(self, breakage: Breakage = Breakage.NONE) -> None:
-        self._breakage = breakage
+    def __init__(self, bug: InjectedBug = InjectedBug.NONE) -> None:
+        self._bug = bug
 
     def make_state(self, step: int) -> dict[str, Any]:
-        """Return the variables of a state."""
+        """Return new variables for the state after `step` transitions."""
         state: dict[str, Any] = {
             "start": z3.Int(f"start_{step}"),
             "end": z3.Int(f"end_{step}"),
@@ -53,29 +52,31 @@
         for reader in READERS:
             state[f"applied{reader}"] = z3.Int(f"applied{reader}_{step}")
             state[f"value{reader}"] = z3.Int(f"value{reader}_{step}")
-            # The highest offset this process has had in force.
+            # The highest offset that this process has applied.
             state[f"highest{reader}"] = z3.Int(f"highest{reader}_{step}")
         return state
 
-    def start(self, state: dict[str, Any]) -> Any:
-        """Return the condition on the first state."""
+    def is_initial(self, state: dict[str, Any]) -> Any:
+        """Return the condition of an empty log and empty daemons."""
         zero = [name for name in state if name != "start"]
         return z3.And(state["start"] == 1, *[state[name] == 0 for name in zero])
 
-    def step(self, before: dict[str, Any], after: dict[str, Any]) -> Any:
-        """Return the condition on two states in a row."""
-        actions = [_keep(before, after, {})]
+    def is_transition(
+        self, before: dict[str, Any], after: dict[str, Any]
+    ) -> Any:
+        """Return the condition that the log or a daemon acts, or nothing."""
+        actions = [_update(before, after, {})]
         actions.append(
             z3.And(
-                before["end"] < RECORDS,
-                _keep(before, after, {"end": before["end"] + 1}),
+                before["end"] < RECORD_COUNT,
+                _update(before, after, {"end": before["end"] + 1}),
             )
         )
-        # The log forgets its oldest record.
+        # The log is truncated by its oldest record.
         actions.append(
             z3.And(
                 before["start"] <= before["end"],
-                _keep(before, after, {"start": before["start"] + 1}),
+                _update(before, after, {"start": before["start"] + 1}),
             )
         )
         for reader in READERS:
@@ -83,11 +84,13 @@
         return z3.Or(actions)
 
     def is_safe(self, state: dict[str, Any]) -> Any:
-        """Return: each value is right for its offset, and none went back."""
+        """Return the condition that values are correct and never roll back."""
         conditions = []
         for reader in READERS:
             applied = state[f"applied{reader}"]
-            conditions.append(state[f"value{reader}"] == _right_value(applied))
+            conditions.append(
+                state[f"value{reader}"] == _expected_value(applied)
+            )
             conditions.append(applied >= state[f"highest{reader}"])
         return z3.And(conditions)
 
@@ -99,97 +102,105 @@
         next_offset = before[applied] + 1
         folded = {
             applied: next_offset,
-            value: before[value] + _bit(next_offset),
-            highest: _larger(before[highest], next_offset),
+            value: before[value] + _record_bit(next_offset),
+            highest: _maximum(before[highest], next_offset),
         }
         no_gap = before["start"] <= next_offset
         fold = z3.And(
-            next_offset <= before["end"], no_gap, _keep(before, after, folded)
+            next_offset <= before["end"], no_gap, _update(before, after, folded)
         )
-        taken = {
+        snapshot_state = {
             applied: before["snap_offset"],
             value: before["snap_value"],
-            highest: _larger(before[highest], before["snap_offset"]),
+            highest: _maximum(before[highest], before["snap_offset"]),
         }
         newer = before["snap_offset"] > before[applied]
-        take = z3.And(newer, _keep(before, after, taken))
-        publish = _keep(
+        take_snapshot = z3.And(newer, _update(before, after, snapshot_state))
+        publish = _update(
             before,
             after,
             {"snap_offset": before[applied], "snap_value": before[value]},
         )
-        # A process that starts anew has had nothing in force.
-        restart = _keep(before, after, {applied: 0, value: 0, highest: 0})
-        broken = self._list_broken(before, after, reader, taken)
-        return [fold, take, publish, restart, *broken]
+        # A new process has applied nothing, so its highest offset is 0 too.
+        restart = _update(before, after, {applied: 0, value: 0, highest: 0})
+        broken = self._list_bug_actions(before, after, reader, snapshot_state)
+        return [fold, take_snapshot, publish, restart, *broken]
 
-    def _list_broken(
+    def _list_bug_actions(
         self,
         before: dict[str, Any],
         after: dict[str, Any],
         reader: int,
-        taken: dict[str, Any],
+        snapshot_state: dict[str, Any],
     ) -> list[Any]:
         applied, value = f"applied{reader}", f"value{reader}"
-        match self._breakage:
-            case Breakage.TAKE_OLDER_SNAPSHOT:
-                return [_keep(before, after, taken)]
-            case Breakage.FOLD_OVER_GAP:
-                jump = _larger(before["start"], before[applied] + 1)
-                folded = {applied: jump, value: before[value] + _bit(jump)}
+        match self._bug:
+            case InjectedBug.TAKE_OLDER_SNAPSHOT:
+                return [_update(before, after, snapshot_state)]
+            case InjectedBug.FOLD_OVER_GAP:
+                offset_after_gap = _maximum(
+                    before["start"], before[applied] + 1
+                )
+                folded = {
+                    applied: offset_after_gap,
+                    value: before[value] + _record_bit(offset_after_gap),
+                }
                 return [
-                    z3.And(jump <= before["end"], _keep(before, after, folded))
+                    z3.And(
+                        offset_after_gap <= before["end"],
+                        _update(before, after, folded),
+                    )
                 ]
-            case Breakage.PUBLISH_FALSE_OFFSET:
+            case InjectedBug.PUBLISH_FALSE_OFFSET:
                 published = {
                     "snap_offset": before["end"],
                     "snap_value": before[value],
                 }
-                return [_keep(before, after, published)]
+                return [_update(before, after, published)]
             case _:
                 return []
 
 
-def holds_always(state: dict[str, Any]) -> Any:
-    """Return the inductive invariant."""
+def satisfies_invariant(state: dict[str, Any]) -> Any:
+    """Return the inductive invariant of the specification."""
     conditions = [
         state["start"] >= 1,
         state["end"] >= 0,
-        state["end"] <= RECORDS,
+        state["end"] <= RECORD_COUNT,
         state["snap_offset"] >= 0,
         state["snap_offset"] <= state["end"],
-        state["snap_value"] == _right_value(state["snap_offset"]),
+        state["snap_value"] == _expected_value(state["snap_offset"]),
     ]
     for reader in READERS:
         applied = state[f"applied{reader}"]
         conditions += [
             applied >= 0,
             applied <= state["end"],
-            state[f"value{reader}"] == _right_value(applied),
+            state[f"value{reader}"] == _expected_value(applied),
             state[f"highest{reader}"] <= applied,
         ]
     return z3.And(conditions)
 
 
-def _right_value(offset: Any) -> Any:
+def _expected_value(offset: Any) -> Any:
     value: Any = z3.IntVal(0)
-    for number in range(1, RECORDS + 1):
+    for number in range(1, RECORD_COUNT + 1):
         value = z3.If(offset == number, 2**number - 1, value)
     return value
 
 
-def _bit(offset: Any) -> Any:
+def _record_bit(offset: Any) -> Any:
     value: Any = z3.IntVal(0)
-    for number in range(1, RECORDS + 1):
+    for number in range(1, RECORD_COUNT + 1):
         value = z3.If(offset == number, 2 ** (number - 1), value)
     return value
 
 
-def _larger(first: Any, second: Any) -> Any:
+def _maximum(first: Any, second: Any) -> Any:
     return z3.If(first > second, first, second)
 
 
-def _keep(
+def _update(
     before: dict[str, Any], after: dict[str, Any], changes: dict[str, Any]
 ) -> Any:
     return z3.And(
--- a/tests/test_platform/test_soak_stops.py
+++ b/tests/test_platform/test_soak_stops.py
@@ -116,7 +116,7 @@
         async def run() -> None:
             program = await self._start("import time; time.sleep(60)")
             self.assertEqual([], await self._stop(program))
-            self.assertTrue(program.is_excused())
+            self.assertTrue(program.was_killed_at_startup())
 
         self._run(run)
 
@@ -127,10 +127,10 @@
                 "signal.signal(signal.SIGHUP, signal.SIG_IGN)",
                 "time.sleep(60)",
             )
-            program.send_early_or_late(signal.SIGCONT)
+            program.send_and_record(signal.SIGCONT)
             program.send(signal.SIGKILL)
             await program.process.wait()
-            self.assertFalse(program.is_excused())
+            self.assertFalse(program.was_killed_at_startup())
 
         self._run(run)
 
@@ -146,10 +146,10 @@
                 _SLEEP,
             )
             await self._read_line(program)
-            program.send_early_or_late(signal.SIGHUP)
+            program.send_and_record(signal.SIGHUP)
             await self._read_line(program)
-            program.send_early_or_late(signal.SIGHUP)
+            program.send_and_record(signal.SIGHUP)
             self.assertEqual(-1, await program.process.wait())
-            self.assertFalse(program.is_excused())
+            self.assertFalse(program.was_killed_at_startup())
 
         self._run(run)
--- a/tests/test_promises/test_runner_limit.py
+++ b/tests/test_promises/test_runner_limit.py
@@ -30,7 +30,9 @@
             limited.lines = (b"server-limit: 1",)
             since = trio.current_time()
             await fleet.send_load(_PER_DAEMON_S, _PROPAGATION_S + 3 * _WINDOW_S)
-            max_count = limited.count_most(_WINDOW_S, since + _PROPAGATION_S)
+            max_count = limited.find_peak_count(
+                _WINDOW_S, since + _PROPAGATION_S
+            )
             self.assertLessEqual(max_count, _MAX_REQUESTS)
             # A limited runner must still get requests.
             self.assertGreater(max_count, 0)
--- a/tests/test_promises/test_runner_rest.py
+++ b/tests/test_promises/test_runner_rest.py
@@ -9,7 +9,7 @@
 from tests import telling_fleet
 
 if TYPE_CHECKING:
-    from martenquay_standins.ports import telling_runner
+    from martenquay_standins.ports import reporting_runner
 
 _BACKOFF_S = 3.0
 _REFUSAL = (b"retry-after: 3",)
@@ -83,7 +83,7 @@
         self.run_fleet(scenario)
 
 
-def _count_max_refused(runner: telling_runner.TellingRunner) -> int:
+def _count_max_refused(runner: reporting_runner.ReportingRunner) -> int:
     """Return the largest number of refusals within one backoff."""
     refused = [one.at for one in runner.arrivals if one.is_refused]
     return max(
--- a/tests/test_proofs/test_claims.py
+++ b/tests/test_proofs/test_claims.py
@@ -1,4 +1,4 @@
-"""The claim protocol is checked, and tied to the code's own fold."""
+"""Checks the model of the claim protocol and that ClaimTable agrees with it."""
 
 from __future__ import annotations
 
@@ -18,16 +18,18 @@
         found = checker.search_violation(claims.ClaimSpecification(), _DEPTH)
         self.assertEqual(checker.Verdict.HOLDS, found.verdict, found.trace)
 
-    def test_each_broken_variant_is_refuted(self):
-        for breakage in list(claims.Breakage)[1:]:
-            broken = claims.ClaimSpecification(breakage)
-            found = checker.search_violation(broken, _DEPTH)
-            self.assertEqual(checker.Verdict.VIOLATED, found.verdict, breakage)
+    def test_each_injected_bug_is_found(self):
+        for bug in list(claims.InjectedBug)[1:]:
+            buggy = claims.ClaimSpecification(bug)
+            found = checker.search_violation(buggy, _DEPTH)
+            self.assertEqual(checker.Verdict.VIOLATED, found.verdict, bug)
             self.assertGreater(len(found.trace), 1)
 
 
-class ClaimFoldTest(testtools.TestCase):
-    def test_the_code_folds_every_short_log_as_the_specification_does(self):
+class ClaimTableTest(testtools.TestCase):
+    def test_the_claim_table_grants_the_key_as_the_model_does_for_short_logs(
+        self,
+    ):
         specification = claims.ClaimSpecification()
         records_by_code = {
             1: records.Claim("key", "a0", "d0", "x"),
@@ -35,9 +37,9 @@
             3: records.Release("key", "a0"),
             4: records.Release("key", "a1"),
         }
-        logs = itertools.product(range(5), repeat=claims.PLACES)
+        logs = itertools.product(range(5), repeat=claims.LOG_LENGTH)
         for log in logs:
-            # Places fill from the front; a release comes once.
+            # The log has no empty position before its end.
             written = list(itertools.takewhile(bool, log))
             if any(log[len(written) :]):
                 continue
@@ -53,7 +55,8 @@
 
     def _find_holder(self, specification, log) -> str:
         state = {
-            f"log{place}": z3.IntVal(code) for place, code in enumerate(log)
+            f"log{position}": z3.IntVal(code)
+            for position, code in enumerate(log)
         }
         for daemon in claims.DAEMONS:
             if z3.is_true(z3.simplify(specification.holds(state, daemon))):
