--- a/packages/daemon/src/martenquay_daemon/claims/manager.py
+++ b/packages/daemon/src/martenquay_daemon/claims/manager.py
@@ -154,10 +154,10 @@
         """Append a release or an outcome that a peer reports."""
         record = records.decode(message.record)
         if record is None:
-            return messages.Unavailable("the claim record cannot be decoded")
+            return messages.Unavailable("the record cannot be read")
         if await self._ensure_followed(message.shard).append(record):
             return messages.Acknowledged()
-        return messages.Unavailable("the log did not accept the claim record")
+        return messages.Unavailable("the log did not answer")
 
     def _ensure_followed(self, number: int) -> shard.ClaimShard:
         claim_shard = self._shards.get(number)
--- a/packages/daemon/src/martenquay_daemon/configuration/store.py
+++ b/packages/daemon/src/martenquay_daemon/configuration/store.py
@@ -53,7 +53,7 @@
         self.applied.advance(offset)
         verdict = judgement.verdict.value if judgement else "not signed"
         _LOG.write(
-            f"Processed configuration record {offset}: {verdict}.",
+            f"Record {offset}: {verdict}.",
             offset=offset,
         )
         return judgement
--- a/packages/daemon/src/martenquay_daemon/deferrable/manager.py
+++ b/packages/daemon/src/martenquay_daemon/deferrable/manager.py
@@ -128,10 +128,7 @@
                 return Error(_create_log_down_failure())
             case _:
                 code = results.ResultCode.UNKNOWN_ANSWER_LOST
-                message = (
-                    "the request may have been accepted; "
-                    f"ask for ticket {ticket}"
-                )
+                message = f"it may have been accepted; ask for ticket {ticket}"
                 return Error(results.Failure(code, message, _LOG_RETRY_AFTER_S))
 
     async def fetch(self, ticket: str) -> TicketState:
@@ -192,6 +189,6 @@
 def _create_log_down_failure() -> results.Failure:
     return results.Failure(
         results.ResultCode.NOT_RUN_LOG_DOWN,
-        "the log that stores deferrable requests does not answer",
+        "the log, which has to keep the request, does not answer",
         _LOG_RETRY_AFTER_S,
     )
--- a/packages/daemon/src/martenquay_daemon/discovery/catalog_store.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/catalog_store.py
@@ -111,7 +111,7 @@
         self.raw = raw
         self._packed = b""
         _LOG.write(
-            f"Catalog version {content.version} is in force.",
+            f"Version {content.version} is in force.",
             version=content.version,
             previous=previous,
             learnt_from=source,
--- a/packages/daemon/src/martenquay_daemon/discovery/runner_directory.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/runner_directory.py
@@ -160,7 +160,7 @@
         )
         if previous is None:
             _LOG.write(
-                f"Discovered runner {runner.id}.",
+                f"Runner {runner.id} is known.",
                 runner=runner.id,
                 service=runner.service,
                 zone=runner.zone,
--- a/packages/daemon/src/martenquay_daemon/dispatch/model.py
+++ b/packages/daemon/src/martenquay_daemon/dispatch/model.py
@@ -362,7 +362,7 @@
     if usage.attempts == 0:
         return results.Failure(
             results.ResultCode.NOT_RUN_DEADLINE,
-            "the deadline passed before a runner accepted the request",
+            "the deadline passed before a runner was found",
             1.0,
         )
     return results.Failure(
@@ -376,6 +376,6 @@
 ) -> results.Failure:
     return results.Failure(
         results.ResultCode.NOT_RUN_NO_RUNNER,
-        f"pool {request.pool} has no available runner",
+        f"pool {request.pool} has no runner that may get work",
         _NO_RUNNER_RETRY_AFTER_S,
     )
--- a/packages/daemon/src/martenquay_daemon/dispatch/service.py
+++ b/packages/daemon/src/martenquay_daemon/dispatch/service.py
@@ -256,7 +256,7 @@
                 case _:
                     continue
         code = results.ResultCode.UNKNOWN_HOLDER_LOST
-        message = f"daemon {reply.holder} holds the key and sent no outcome"
+        message = f"daemon {reply.holder} held the key and gave no outcome"
         return Error(results.Failure(code, message))
 
     async def _send(
@@ -313,7 +313,7 @@
         self, call: ServiceCall, runner: instances.Instance
     ) -> None:
         ahead = self._loads.count_ahead(runner.name)
-        reason = f"{ahead} requests ahead, fewest in pool {call.pool}"
+        reason = f"{ahead} ahead, fewest in {call.pool}"
         _LOG.write(
             f"Routed call {call.request_id} to runner {runner.name} in "
             f"{runner.zone}: {reason}.",
@@ -376,7 +376,7 @@
 def _read_stored_answer(reply: messages.SettleReply) -> _CallResult:
     if reply.status == _STATUS_WITHOUT_ANSWER:
         code = results.ResultCode.UNKNOWN_ANSWER_LOST
-        message = "the call with this key was made, but its answer is lost"
+        message = "the call was made under this key and its answer is lost"
         return Error(results.Failure(code, message))
     return Ok(ServiceAnswer(reply.status, reply.content_type, reply.body))
 
@@ -384,7 +384,7 @@
 def _create_no_runner_failure(call: ServiceCall) -> results.Failure:
     return results.Failure(
         results.ResultCode.NOT_RUN_NO_RUNNER,
-        f"no runner of pool {call.pool} accepted the call",
+        f"no runner of pool {call.pool} took the call",
         _RETRY_AFTER_S,
     )
 
@@ -394,14 +394,14 @@
 ) -> results.Failure:
     return results.Failure(
         results.ResultCode.UNKNOWN_ANSWER_LOST,
-        f"runner {runner.name} sent no complete answer to {call.request_id}",
+        f"runner {runner.name} gave no answer to {call.request_id}",
     )
 
 
 def _create_log_down_failure() -> results.Failure:
     return results.Failure(
         results.ResultCode.NOT_RUN_LOG_DOWN,
-        "the log that stores idempotency keys does not answer",
+        "the log, which has to keep the key, does not answer",
         _RETRY_AFTER_S,
     )
 
@@ -409,7 +409,7 @@
 def _create_key_reused_failure() -> results.Failure:
     return results.Failure(
         results.ResultCode.KEY_REUSED,
-        "the idempotency key was used for a different request",
+        "the key came before with another request",
     )
 
 
--- a/packages/daemon/src/martenquay_daemon/limits/admission.py
+++ b/packages/daemon/src/martenquay_daemon/limits/admission.py
@@ -199,7 +199,7 @@
         if not waiting.admitted.is_set():
             self._abandon(ask, pool, waiting)
             code = results.ResultCode.NOT_RUN_DEADLINE
-            message = "request was not admitted before its deadline"
+            message = "no runner was free before the deadline"
             retry_after_s = self._estimate_wait(pool)
             return Error(results.Failure(code, message, retry_after_s))
         return Ok(Permit(ask, trio.current_time() - now))
@@ -239,7 +239,7 @@
         )
         missing_s = bucket.take(now, ask.token_rate, ask.cost)
         if missing_s > 0:
-            message = f"team {ask.team} exceeds its token rate"
+            message = f"team {ask.team} is over its token rate"
             return results.Failure(code, message, _clamp_retry_after(missing_s))
         return None
 
--- a/packages/daemon/src/martenquay_daemon/rollouts/plan.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/plan.py
@@ -65,9 +65,9 @@
     if elapsed_fraction < _CANARY_FRACTION:
         return registry.Phase.CANARY, ""
     if progress.verdict.is_doubtful:
-        return registry.Phase.ROLLED_BACK, f"doubtful: {progress.verdict.why}"
+        return registry.Phase.ROLLED_BACK, f"in doubt: {progress.verdict.why}"
     if not progress.has_new:
-        return registry.Phase.ROLLED_BACK, "no runner of the new version serves"
+        return registry.Phase.ROLLED_BACK, "no runner of it serves"
     if not progress.has_old:
         return registry.Phase.COMPLETED, "no runner of another version serves"
     if (
@@ -89,11 +89,11 @@
     if progress.old_requests == 0 and progress.has_new:
         return (
             registry.Phase.COMPLETED,
-            "old runners have no requests left",
+            "the old runners have ended all they had",
         )
     if elapsed_fraction < _COMPLETION_FRACTION:
         return registry.Phase.SWITCHING, ""
     return (
         registry.Phase.COMPLETED,
-        f"{progress.old_requests} requests left at old runners at the deadline",
+        f"{progress.old_requests} requests at old runners when time was over",
     )
