--- a/tests/test_daemon/test_members.py
+++ b/tests/test_daemon/test_members.py
@@ -24,7 +24,7 @@
 )
 
 
-def _build_table(member: str = "entry-1") -> table.MemberTable:
+def _build(member: str = "entry-1") -> table.MemberTable:
     return table.MemberTable(builders.build_member(member=member), 3)
 
 
@@ -36,12 +36,12 @@
         updates=_UPDATES, order=strategies.randoms(use_true_random=False)
     )
     def test_order_and_repetition_do_not_matter(self, updates, order):
-        first, second = _build_table(), _build_table()
+        first, second = _build(), _build()
         for update in updates:
             first.merge(update)
-        repeated = updates * 2
-        order.shuffle(repeated)
-        for update in repeated:
+        again = updates * 2
+        order.shuffle(again)
+        for update in again:
             second.merge(update)
         for update in updates:
             known = first.find(update.member)
@@ -50,7 +50,7 @@
 
 class MemberTableTest(testtools.TestCase):
     def test_a_silent_daemon_is_suspected_then_dead_then_may_return(self):
-        members = _build_table()
+        members = _build()
         other = builders.build_member(member="entry-2")
         members.merge(other)
         members.suspect("entry-2")
@@ -63,28 +63,28 @@
         self.assertFalse(members.is_gone("entry-2"))
 
     def test_a_daemon_refutes_a_report_of_its_own_death(self):
-        members = _build_table()
+        members = _build()
         dead = builders.build_member(member="entry-1", state=_State.DEAD)
         self.assertTrue(members.merge(dead))
         self.assertEqual(1, members.me.incarnation)
         self.assertEqual(_State.ALIVE, members.me.state)
 
     def test_a_leaving_daemon_that_refutes_stays_leaving(self):
-        members = _build_table()
+        members = _build()
         members.announce_leaving()
         dead = builders.build_member(member="entry-1", state=_State.DEAD)
         members.merge(dead)
         self.assertEqual(_State.LEAVING, members.me.state)
 
     def test_a_daemon_reported_dead_gets_the_report_to_refute(self):
-        members = _build_table()
+        members = _build()
         dead = builders.build_member(member="entry-2", state=_State.DEAD)
         members.merge(dead)
         self.assertEqual([dead], members.list_reports_to_refute("entry-2"))
         self.assertEqual([], members.list_reports_to_refute("entry-9"))
 
     def test_changes_are_listed_oldest_first_in_successive_pages(self):
-        members = _build_table()
+        members = _build()
         for number in range(2, 8):
             members.merge(builders.build_member(member=f"entry-{number}"))
         seen: list[str] = []
@@ -97,7 +97,7 @@
         self.assertEqual([f"entry-{n}" for n in range(1, 8)], seen)
 
     def test_a_runner_that_is_leaving_is_announced_once(self):
-        members = _build_table()
+        members = _build()
         leaving: list[str] = []
         members.listen_for_leaving(leaving.append)
         for _ in range(2):
--- a/tests/test_discovery/test_entry_copies.py
+++ b/tests/test_discovery/test_entry_copies.py
@@ -14,7 +14,7 @@
 
 _DAEMONS = 3
 _RUNNERS = 2
-_MAX_STEPS = 40
+_STEPS = 40
 
 
 @dataclasses.dataclass(frozen=True)
@@ -39,7 +39,7 @@
     *("read", "read", "copy", "copy", "copy"),
     *("lose", "lose", "restart", "pass"),
 )
-_STEP_LISTS = strategies.lists(
+_DRAWN = strategies.lists(
     strategies.builds(
         _Step,
         strategies.sampled_from(_KINDS),
@@ -48,11 +48,11 @@
         strategies.sampled_from((0.0, 0.1, 1.1, 2.3, 4.0)),
     ),
     min_size=4,
-    max_size=_MAX_STEPS,
+    max_size=_STEPS,
 )
 
 
-async def _perform(world: entry_world.EntryWorld, step: _Step) -> None:
+async def _do(world: entry_world.EntryWorld, step: _Step) -> None:
     daemon = world.daemons[step.who]
     runner = step.who % _RUNNERS
     match step.kind:
@@ -130,14 +130,14 @@
         derandomize=True,
         database=None,
     )
-    @hypothesis.given(steps=_STEP_LISTS)
-    def test_a_copy_is_complete_up_to_its_stated_age(
+    @hypothesis.given(steps=_DRAWN)
+    def test_no_daemon_knows_less_than_its_age_says(
         self, steps: list[_Step]
     ) -> None:
         async def scenario() -> None:
             world = entry_world.EntryWorld(_DAEMONS)
             for step in steps:
-                await _perform(world, step)
+                await _do(world, step)
                 for number, daemon in enumerate(world.daemons):
                     wrong = world.list_wrong(daemon)
                     self.assertEqual([], wrong, f"daemon {number}")
