--- a/packages/daemon/src/martenquay_daemon/allowances/gate.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/gate.py
@@ -26,7 +26,7 @@
     """The daemons that hold quota for others."""
 
     def holds_quota_here(self) -> bool:
-        """Return whether this daemon holds the quota that it needs."""
+        """Return whether this daemon spends quota of its own, without a hub."""
 
     async def ask(
         self, team: str, request: terms.AdmissionRequest
@@ -62,7 +62,12 @@
     async def acquire(
         self, team: catalog.Team, request: terms.AdmissionRequest
     ) -> terms.AdmissionDecision:
-        """Spend quota for a request that a caller sent to this daemon."""
+        """Spend quota for a request that a caller sent to this daemon.
+
+        If this daemon holds no quota, a quota hub decides. Otherwise, or if no
+        hub answers, the local ledger does; quota that it lacks but others hold
+        is asked of a daemon that holds enough, or awaited as a transfer.
+        """
         if team.rate <= 0:
             return terms.AdmissionDecision(0.0)
         if not self._holders.holds_quota_here():
--- a/packages/daemon/src/martenquay_daemon/allowances/quota_bucket.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/quota_bucket.py
@@ -8,7 +8,7 @@
 
 __all__ = ["QuotaBucket", "QuotaLot"]
 
-# Expiry times are rounded down to this part of a lifetime, so that a bucket
+# Steps per lifetime to which expiry times are rounded down, so that a bucket
 # holds a bounded number of entries and no unit expires too late.
 _EXPIRY_STEPS = 16
 
@@ -27,7 +27,7 @@
 
 
 class QuotaBucket:
-    """One team's units at one daemon, with their expiry and its debt.
+    """One team's units of quota at one daemon, with their expiry times.
 
     Attributes:
         life_s: How long a refilled unit may be spent.
@@ -55,7 +55,7 @@
     def add_refill(
         self, now: float, start: float, end: float, rate: float
     ) -> None:
-        """Add the units of a rate per second between two times."""
+        """Add what a rate in units per second refills between two times."""
         start = max(start, now - self.life_s)
         while start < end:
             slice_end = min(end, start + self._step_s)
@@ -64,7 +64,12 @@
             start = slice_end
 
     def add(self, now: float, lot: QuotaLot) -> float:
-        """Add units, which pay the debt first; return 0 if they expired."""
+        """Add units, which pay the debt first.
+
+        Returns:
+            The units added, those that paid debt included; 0 if they have
+            expired.
+        """
         step = math.floor(lot.expires_at / self._step_s)
         if step * self._step_s <= now or lot.units <= 0:
             return 0.0
--- a/packages/daemon/src/martenquay_daemon/allowances/quota_ledger.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/quota_ledger.py
@@ -44,7 +44,8 @@
 
     Attributes:
         heard: The number of the receiver's last message that the sender had
-            processed; remaining lifetimes count from when it was sent.
+            processed; the receiver counts the remaining lifetimes from when
+            it sent that message.
         lots: Units and their remaining lifetime in seconds, by team.
     """
 
@@ -102,7 +103,8 @@
         demand_at: When the average was last updated.
         shortage: Units that waiting requests lack.
         refilled: Units refilled since transfers were last computed.
-        promised: Units that refused callers were told to retry for.
+        promised: Units that refused callers are expected to retry for, less
+            what was refilled since.
     """
 
     policy: _RefillPolicy
@@ -156,7 +158,7 @@
         Args:
             bounds: The tolerated excess over the allowances.
             shares: The shares of the refill rates that this daemon may use.
-            notify_soon: Sends this daemon's balances early.
+            notify_soon: Called to send this daemon's balances early.
         """
         self.bounds = bounds
         self.shares = shares
@@ -178,7 +180,7 @@
         Args:
             team: The team whose quota is spent.
             request: What the request asks for.
-            is_again: The request was counted as demand before.
+            is_again: Whether the request is already counted as demand.
         """
         account = self._refill(team)
         if not is_again:
@@ -200,7 +202,12 @@
         return min(_MAX_RETRY_S, max(_MIN_RETRY_S, wait_s))
 
     def note_shortage(self, team: catalog.Team, units: float) -> None:
-        """Add to the shortage; negative units end a request's wait."""
+        """Add to the units that waiting requests lack.
+
+        Args:
+            team: The team whose quota is short.
+            units: The units; negative when a request stops waiting.
+        """
         account = self._refill(team)
         account.shortage = max(0.0, account.shortage + units)
         if units > 0:
--- a/packages/daemon/src/martenquay_daemon/allowances/refill_shares.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/refill_shares.py
@@ -22,8 +22,8 @@
 ]
 
 # Longer than the age of the report that a delegation counts from plus one lost
-# digest, so that a renewal arrives in time. The shares that a lost daemon held
-# stay unused for this long.
+# digest, so that a renewal arrives in time. Shares that were delegated to a
+# failed daemon stay unused for up to this long.
 DELEGATION_S = 1.8
 # Longer than any unit lives: older spans refill nothing.
 _HISTORY_S = 10.0
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ShareDelegation:
-    """A share that its owner leaves to another daemon for a limited time.
+    """An instance's share that another daemon may use for a limited time.
 
     Attributes:
         receiver: The process that may use it.
@@ -85,8 +85,9 @@
     Attributes:
         receiver: The process that may use the share.
         share: Ratio of each team's rate.
-        starts_at: When it begins, which is after a former receiver's ended.
-        until: When it ends.
+        starts_at: When it begins, in trio's time; not before the delegation to
+            the previous receiver ends.
+        until: When it ends, in trio's time.
     """
 
     receiver: str = ""
@@ -128,7 +129,10 @@
         window_s: float,
         find_sole_since: Callable[[], float] = lambda: -math.inf,
     ) -> None:
-        """Start counting time at the start of the process.
+        """Create the shares without delegations.
+
+        The own share is unusable until any delegation by this instance's former
+        process has ended.
 
         Args:
             read_share: Returns this instance's share.
@@ -324,7 +328,7 @@
         )
 
     def _find_own_span(self, now: float) -> ShareSpan:
-        """Return when the own share was usable since the last call."""
+        """Return when the own share was usable since the last `advance`."""
         own = self._read_own_share()
         # While the share changed, other instances may have used the difference.
         share = (
@@ -354,7 +358,7 @@
 def _sum_spans(
     sources: list[ShareSpan], start: float, end: float
 ) -> Iterator[ShareSpan]:
-    """Return consecutive spans with the sum of the shares in each."""
+    """Yield consecutive spans with the sum of the shares in each."""
     clipped = [
         ShareSpan(max(start, span.start), min(end, span.end), span.share)
         for span in sources
--- a/packages/daemon/src/martenquay_daemon/allowances/terms.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/terms.py
@@ -24,8 +24,8 @@
 _DELIVERY_DELAY_S = 0.25
 # Part of the slack that may be overdrawn.
 _OVERDRAFT_RATIO = 0.9
-# Refill rate over the team's own rate. A higher rate shortens the lifetime of
-# units, and with it the bursts that the quota covers.
+# Ratio of the refill rate to the team's own rate. A higher ratio shortens the
+# lifetime of units, and with it the bursts that the quota covers.
 _STEADY_RATE_RATIO = 1.05
 _MAX_UNIT_LIFE_S = 4.0
 _MIN_UNIT_LIFE_S = 0.4
@@ -80,7 +80,8 @@
         units: The quota that it costs.
         reserve: Its distance from the highest priority; the larger, the more
             quota it leaves to other requests.
-        is_late: It is a caller's retry and can no longer meet its deadline.
+        is_late: Whether it is a caller's retry that can no longer meet its
+            deadline.
         max_wait_s: How long it may wait for refill shares to arrive.
     """
 
--- a/packages/daemon/src/martenquay_daemon/backpressure/drain_reports.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/drain_reports.py
@@ -21,7 +21,8 @@
 # Outlasts the draining process; a later process with the same id has another
 # start time.
 _RETENTION_S = 3600.0
-# After this time the log has the runner's entry or the runner has ended.
+# Reports are gossiped for this long; by then the log has the runner's entry or
+# the runner has ended.
 _GOSSIP_S = 30.0
 _MAX_GOSSIPED_RUNNERS = 32
 _MAX_RUNNERS = 4000
@@ -82,7 +83,7 @@
         }
 
     def is_draining(self, runner: runners.Runner) -> bool:
-        """Tell whether this process of the runner has reported draining."""
+        """Return whether this process of the runner has reported draining."""
         report = self._reports.get(runner.id)
         if report is None:
             return False
@@ -91,7 +92,7 @@
         return report.born_ms >= runner.born_ms
 
     def _record(self, runner_id: str, born_ms: int | None, source: str) -> bool:
-        """Record a report; tell whether it is new."""
+        """Record a report; return whether it is new."""
         known = self._reports.get(runner_id)
         if known is not None and not _is_later(born_ms, known.born_ms):
             return False
--- a/packages/daemon/src/martenquay_daemon/backpressure/limit_reports.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/limit_reports.py
@@ -40,9 +40,10 @@
 def merge_report(
     known: LimitReport | None, report: LimitReport
 ) -> LimitReport | None:
-    """Return the newest report; None if the runner has never reported a limit.
+    """Return the report to keep; None if the process has reported no limit.
 
     Answers may overtake each other, so the send times of their requests decide.
+    A request sent before the known report arrived can only lower the limit.
     """
     if known is not None and _is_newer_process(known, report):
         return known
@@ -78,7 +79,7 @@
 def merge_gossiped_report(
     known: LimitReport | None, report: LimitReport
 ) -> LimitReport | None:
-    """Return the newest report, given one gossiped by another daemon."""
+    """Return the report to keep, given one gossiped by another daemon."""
     if (
         known is not None
         and known.limit_per_s == report.limit_per_s
--- a/packages/daemon/src/martenquay_daemon/backpressure/runner_admission.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/runner_admission.py
@@ -89,7 +89,8 @@
         self, candidates: Iterable[runners.Runner]
     ) -> list[runners.Runner]:
         """Return the runners that accept a request of this daemon now."""
-        # Checking each of hundreds of runners would delay each request.
+        # Runners without a report skip the checks, which would be slow for all
+        # runners of a large service.
         reported = self._list_reporting_ids()
         return [
             runner
@@ -123,10 +124,14 @@
     def find_retry_s(
         self, candidates: Sequence[runners.Runner]
     ) -> float | None:
-        """Return the seconds until a runner accepts a request; None if never.
+        """Return the seconds until a runner accepts a request.
 
         A caller may retry at any daemon, so under a rate limit the first send
         slot of any daemon counts.
+
+        Returns:
+            Seconds; 0 if a runner has reported nothing, None if no wait ends,
+            as when all runners are draining.
         """
         reported = self._list_reporting_ids()
         if any(runner.id not in reported for runner in candidates):
--- a/packages/daemon/src/martenquay_daemon/backpressure/runner_limits.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/runner_limits.py
@@ -23,7 +23,8 @@
 __all__ = ["RunnerLimits"]
 
 _LOG = logs.create_log("backpressure")
-# Drops limits that no answer confirms, or an idle runner would keep its limit.
+# A limit that no answer confirms is dropped after this time; otherwise an idle
+# runner would keep its limit.
 _LIMIT_RETENTION_S = 600.0
 # Outlasts late answers from before the limit was lifted.
 _LIFT_RETENTION_S = 30.0
@@ -139,7 +140,7 @@
         return None if known is None else known.report.limit_per_s
 
     def is_limited(self, runner: runners.Runner) -> bool:
-        """Tell whether a runner is under a rate limit."""
+        """Return whether a runner is under a rate limit."""
         return self._find_active_limit(runner) is not None
 
     def find_wait_s(self, runner: runners.Runner) -> float:
@@ -188,10 +189,13 @@
         return known
 
     def _refresh_lift(self, runner: runners.Runner, sent_at: float) -> bool:
-        """Process an answer without a limit; tell whether that is no change.
+        """Process an answer without a limit if the runner had none before.
 
         After a limit is lifted, such answers renew the report for a while: a
         daemon that learned of the limit late would ignore the first one as old.
+
+        Returns:
+            Whether the answer was processed; False if it may lift a limit.
         """
         known = self._states.get(runner.id)
         if known is None:
@@ -221,7 +225,7 @@
         *,
         is_own: bool,
     ) -> bool:
-        """Store a report; tell whether it changes the limit."""
+        """Store a report; return whether it changes the limit."""
         if report is None:
             self._states.pop(runner_id, None)
             return False
--- a/packages/daemon/src/martenquay_daemon/backpressure/send_order.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/send_order.py
@@ -33,7 +33,8 @@
     def find_rank(self, runner: runners.Runner) -> send_shares.SenderRank:
         """Return this daemon's rank among the senders to a runner."""
         if self._roster.find_own_share() <= 0:
-            # Daemons that have not read of this one still use its rank.
+            # Not in the roster yet, this daemon ranks last: the others divide
+            # all ranks before it among themselves.
             others = self._roster.list_instances() - {self._instance}
             return send_shares.SenderRank(len(others), len(others) + 1)
         if (
--- a/packages/daemon/src/martenquay_daemon/backpressure/send_shares.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/send_shares.py
@@ -18,8 +18,8 @@
 _MIN_HOLDERS = 2
 # Without requests nobody would learn that a runner with limit 0 has recovered.
 _MIN_LIMIT_PER_S = 0.1
-# Holders count as silent if no report of the runner came for this long; reports
-# take up to two seconds to reach all of a large fleet.
+# Holders count as silent if no report of the runner came for this many send
+# intervals, and for longer than reports take to reach all of a large fleet.
 _SILENT_INTERVALS = 3
 _MIN_SILENCE_S = 5.0
 # Below the limit, as daemons may compute overlapping slots from reports of
--- a/packages/daemon/src/martenquay_daemon/engines/loads.py
+++ b/packages/daemon/src/martenquay_daemon/engines/loads.py
@@ -14,7 +14,7 @@
 __all__ = ["LoadLedger", "RunnerLoad", "Running"]
 
 # Half of the digest interval plus the delay over a hub; without it, prompts
-# read meanwhile would count as load.
+# processed meanwhile would count as load.
 _MEAN_GOSSIP_AGE_S = 0.25
 
 
--- a/packages/daemon/src/martenquay_daemon/engines/model.py
+++ b/packages/daemon/src/martenquay_daemon/engines/model.py
@@ -13,8 +13,8 @@
 _DECAY_TIME_S = 20.0
 # Fewer results of all daemons don't justify ordering runners.
 _MIN_LEARNT_RESULTS = 30.0
-# This many results of one urgency are kept. Under overload no usable results
-# come, and an estimate that decayed then would stop scale-up.
+# Sums don't decay below the weight of this many results. Under overload no
+# usable results come, and an estimate that decayed then would stop scale-up.
 _MIN_KEPT_RESULTS = 10.0
 # The prior counts like this many results whose prompts differ by this many
 # tokens. It is slower than most engines, so that prompts are spread out.
--- a/packages/daemon/src/martenquay_daemon/engines/placer.py
+++ b/packages/daemon/src/martenquay_daemon/engines/placer.py
@@ -20,8 +20,9 @@
 __all__ = ["Placement", "Placer", "PlacerWeights"]
 
 
-# Random candidates beside the home of the prompt. Loads are gossiped with a
-# delay, so comparing all runners would send all daemons to the same idle one.
+# Random candidates beside the prompt's home, the runner that its shared prefix
+# hashes to. Loads are gossiped with a delay, so comparing all runners would
+# send the requests of all daemons to the same idle one.
 _RANDOM_CANDIDATES = 2
 # An uncached token counts like this many queued ones, as its prefill also
 # delays the requests that come later.
@@ -46,10 +47,10 @@
     """Weights of the terms of the estimate, in seconds.
 
     Attributes:
-        slot_s: Delay by each running request, which shares the engine's steps.
+        slot_s: Delay per running request, as requests share the engine's steps.
         other_zone_s: Round trip to another zone.
-        silent_zone_s: Penalty for a zone from which no daemon is heard; longer
-            than a connection timeout.
+        silent_zone_s: Penalty for a zone from which no daemon's messages
+            arrive; longer than a connection timeout.
     """
 
     slot_s: float = 0.004
@@ -129,6 +130,9 @@
             call: The request.
             excluded: Ids of runners that must not be chosen.
             target_s: Target time to the first event in seconds.
+
+        Returns:
+            The runner and its estimate; None if no usable runner is left.
         """
         usable = [
             runner
--- a/packages/daemon/src/martenquay_daemon/gateway_parts.py
+++ b/packages/daemon/src/martenquay_daemon/gateway_parts.py
@@ -65,9 +65,9 @@
 __all__ = ["GatewayParts", "create_parts"]
 
 _MS_PER_S = 1000
-# Entries are read again before use at an age this far below the drain bound:
-# time for the read, for trying another runner when one refuses the connection,
-# and for retransmissions.
+# Runners' entries are read again before use at an age this far below the drain
+# bound, which leaves time for the read, for trying another runner when one
+# refuses the connection, and for retransmissions.
 _DRAIN_MARGIN_S = 1.0
 # Must exceed the read interval of a small fleet; otherwise requests would wait
 # for reads.
@@ -75,7 +75,7 @@
 
 
 class GatewayParts:
-    """Parts of a daemon, connected.
+    """Parts of a daemon, connected to each other.
 
     Attributes:
         instance: Name of the entry instance.
--- a/packages/daemon/src/martenquay_daemon/limits/admission.py
+++ b/packages/daemon/src/martenquay_daemon/limits/admission.py
@@ -140,7 +140,7 @@
         self.foreground += change
 
     def measure_foreground(self, now: float) -> float:
-        """Return the decaying mean or the current count, if that is higher."""
+        """Return the higher of the decaying mean and the current count."""
         kept = math.exp(-(now - self._mean_at) / _FOREGROUND_DECAY_S)
         self._mean_at = now
         self._foreground_mean = (
--- a/packages/daemon/src/martenquay_daemon/limits/ejection.py
+++ b/packages/daemon/src/martenquay_daemon/limits/ejection.py
@@ -46,7 +46,7 @@
         """Record a failed connection attempt and eject the runner at once."""
         health = self._health.setdefault(runner, _RunnerHealth())
         self._eject(runner, health)
-        # A connection attempt is cheap, so the time doubles no further.
+        # A connection attempt is cheap, so the ejection time doesn't grow.
         health.next_ejection_s = _MIN_EJECTION_S
 
     def forget(self, runner: str) -> None:
@@ -65,15 +65,15 @@
         )
 
     def is_ejected(self, runner: str) -> bool:
-        """Tell whether the runner is ejected now."""
+        """Return whether the runner is ejected now."""
         health = self._health.get(runner)
         return health is not None and trio.current_time() < health.ejected_until
 
     def filter_usable(self, runners: list[str]) -> list[str]:
         """Return the runners that are not ejected.
 
-        If more than half of them are, all are returned, as the cause is then
-        unlikely to be the single runner.
+        If too many are ejected, all are returned, as the cause is then unlikely
+        to be the runners themselves.
         """
         usable = [name for name in runners if not self.is_ejected(name)]
         if len(usable) < len(runners) * (1 - _MAX_EJECTED_FRACTION):
--- a/packages/daemon/src/martenquay_daemon/limits/retries.py
+++ b/packages/daemon/src/martenquay_daemon/limits/retries.py
@@ -24,7 +24,7 @@
         self.balance = min(self.balance + self._retries_per_call, _MAX_BALANCE)
 
     def take_retry(self) -> bool:
-        """Spend one retry if allowed; tell whether it was."""
+        """Spend one retry if allowed; return whether it was."""
         if self.balance < 1.0:
             return False
         self.balance -= 1.0
--- a/packages/daemon/src/martenquay_daemon/quarantine/contents.py
+++ b/packages/daemon/src/martenquay_daemon/quarantine/contents.py
@@ -10,15 +10,15 @@
 
 __all__ = ["digest_content"]
 
-# Long enough that no two contents collide: a harmless one would be refused.
+# A collision would quarantine a harmless content.
 _DIGEST_BYTES = 16
 
 
 def digest_content(call: calls.Call, team: catalog.Team | None) -> str:
     """Return the hex digest of a request's content.
 
-    It covers the team, method, host, path with query, and body. Other headers,
-    such as ids, deadlines and keys, differ between retries.
+    It covers the team, method, host, path with query, and body, but no other
+    headers: ids, deadlines and keys differ between retries.
 
     Args:
         call: The request with its whole body.
--- a/packages/daemon/src/martenquay_daemon/quarantine/crash_table.py
+++ b/packages/daemon/src/martenquay_daemon/quarantine/crash_table.py
@@ -11,21 +11,22 @@
 
 __all__ = ["QUARANTINE_ROUNDS", "CrashRecord", "CrashTable"]
 
-# A content is quarantined after this many crashes one after the other. Harmless
-# requests can see two, when they are retried on a runner that crashes next.
+# A content is quarantined after this many rounds of crashes; crashes with the
+# same number are one round. A harmless content can be part of two rounds, when
+# it is retried on the runner that crashes next.
 QUARANTINE_ROUNDS = 3
 # A content that reaches several daemons at once crashes several runners in one
 # round. Waiting for a third round would cost too many runners, but one round
 # alone may be an outage of a host or zone.
 _QUARANTINE_CRASHES = 4
 _MIN_ROUNDS = 2
-# Doubled with each further crash, because each trial costs a runner and all
-# requests on it.
+# Doubled with each further round, because each trial of the content ends a
+# runner and all requests on it.
 _QUARANTINE_S = 3600.0
 _MAX_QUARANTINE_S = 86_400.0
 # Contents without a crash for this long are dropped.
 _EXPIRY_S = 2 * _MAX_QUARANTINE_S
-# Room for the contents of the last 30 crashes of runners with 128 slots.
+# One crash adds a content for each request at the runner.
 _MAX_CONTENTS = 4096
 
 
@@ -52,18 +53,18 @@
 
     Attributes:
         crashes: Its crash records.
-        last_crash_at: When this daemon learned of the last one.
+        last_crash_at: When this daemon learned of the last one, by its clock.
     """
 
     crashes: set[CrashRecord]
     last_crash_at: float
 
     def count_rounds(self) -> int:
-        """Return how many crashes came one after the other."""
+        """Return the number of rounds; crashes of one number are one round."""
         return len({crash.number for crash in self.crashes})
 
     def is_at_fault(self) -> bool:
-        """Return whether the content is the cause of the crashes."""
+        """Return whether the content is taken for the cause of the crashes."""
         rounds = self.count_rounds()
         is_wide = len(self.crashes) >= _QUARANTINE_CRASHES
         return rounds >= QUARANTINE_ROUNDS or (
@@ -183,9 +184,9 @@
             self.on_dropped(dropped)
 
     def _choose_dropped(self) -> str:
-        """Return the oldest content that is not found at fault, if any.
+        """Return the oldest content not at fault, or else the oldest of all.
 
-        A content at fault that is dropped crashes several runners again.
+        A content at fault, once dropped, could crash several runners again.
         """
         for content, known in self._contents.items():
             if not known.is_at_fault():
--- a/packages/daemon/src/martenquay_daemon/quarantine/evidence.py
+++ b/packages/daemon/src/martenquay_daemon/quarantine/evidence.py
@@ -6,12 +6,12 @@
 
 __all__ = ["has_ended"]
 
-# Callers wait meanwhile.
+# Short, as the caller waits for the check.
 _CONNECT_TIMEOUT_S = 0.1
 
 
 async def has_ended(address: str) -> bool:
-    """Return whether a runner's machine refuses connections to it.
+    """Return whether a runner has ended: its host refuses connections to it.
 
     After a broken response, a runner that still accepts connections has sent
     an invalid response or lost one connection, but has not crashed. A timeout
--- a/packages/daemon/src/martenquay_daemon/quarantine/manager.py
+++ b/packages/daemon/src/martenquay_daemon/quarantine/manager.py
@@ -20,17 +20,18 @@
 _LOG = logs.create_log("quarantine")
 _FIRST_RETRY_S = 0.2
 _MAX_RETRY_S = 1.0
-# Records in one call.
+# Records in one append to the log.
 _MAX_BATCH = 500
-# Least time between two lines on invalid records, whose writer may not stop.
+# Least time between two log lines on invalid records, which a faulty writer may
+# repeat without end.
 _INVALID_LINE_INTERVAL_S = 10.0
 
 
 class QuarantineManager:
     """Applies crash records of the log, and writes those found here to it.
 
-    Daemons that were partitioned or have restarted read the same records as the
-    others. It implements `keyed_follower.RecordSink`.
+    Through the log, daemons that were partitioned or have restarted get the
+    same records as the others. It implements `keyed_follower.RecordSink`.
 
     Attributes:
         on_crash: Called for each crash that this daemon finds.
@@ -53,7 +54,7 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether no content has crash records; digests are not needed then."""
+        """Whether no content has crash records; none need be digested then."""
         return not self._table
 
     def find_quarantine_s(self, content: str) -> float | None:
--- a/packages/daemon/src/martenquay_daemon/routing/placement.py
+++ b/packages/daemon/src/martenquay_daemon/routing/placement.py
@@ -29,7 +29,7 @@
 # Blocks of a prompt that decide its home. More would give prompts with a common
 # prefix different homes.
 _HOME_BLOCKS = 4
-# Runners of other partners with more busy slots are left to their owners.
+# Lent runners with a larger fraction of busy slots are left to their owners.
 _MAX_LENT_BUSY_FRACTION = 0.5
 _MAX_LENT_BUSY_FRACTION_DEFERRABLE = 0.25
 
@@ -60,7 +60,8 @@
     Attributes:
         partner: Partner that owns the pool.
         pool: Name of the pool.
-        chain: Hashes of the prompt's blocks.
+        chain: Hashes of the prompt's full blocks; each also covers all blocks
+            before.
         prompt_tokens: Number of prompt tokens.
         excluded: Runners on which this request has failed.
         is_deferrable: Whether it may wait; it then uses only lent runners that
--- a/packages/daemon/src/martenquay_daemon/routing/prefixes.py
+++ b/packages/daemon/src/martenquay_daemon/routing/prefixes.py
@@ -19,7 +19,8 @@
 
     def __init__(self, max_blocks: int = _DEFAULT_MAX_BLOCKS) -> None:
         self._max_blocks = max_blocks
-        # Holders in order of insertion, so that the oldest is evicted first.
+        # Holders by block, the least recently noted block first, as it is
+        # evicted first.
         self._holders: OrderedDict[int, tuple[str, ...]] = OrderedDict()
 
     def __len__(self) -> int:
