--- a/bench/fleet_cost.py
+++ b/bench/fleet_cost.py
@@ -23,7 +23,7 @@
 _RUNNERS = {8: 9, 80: 45, 400: 790}
 _AT_ONCE = 6
 _SILENT_S = 2.0
-_FACTS = hub.HubFacts(3, 900, 120, 40, 12, messages.NO_RUNNER_REPORTS)
+_HUB_STATE = hub.HubState(3, 900, 120, 40, 12, messages.NO_RUNNER_REPORTS)
 
 
 @dataclasses.dataclass(frozen=True)
@@ -54,7 +54,7 @@
         zone="zone-0",
         address=f"10.0.{member // 250}.{member % 250}:7600",
         number=number,
-        loan=messages.DelegationEntry(
+        delegation=messages.DelegationEntry(
             "entry-0.aabbccdd", number, 0.0025, 0, 1800
         ),
         members_end=900,
@@ -79,7 +79,7 @@
             hub=f"entry-9{number}.aabbccdd",
             members_end=900,
         )
-        table.take(summary, loads, 0.0)
+        table.apply_summary(summary, loads, 0.0)
 
 
 def _measure_zone(size: int) -> _Cost:
@@ -93,23 +93,25 @@
     takes = []
     for number in range(1, _ROUNDS + 1):
         for member in range(1, members):
-            one.take(_build_digest(number, member, runners), 0.0)
+            one.apply_digest(_build_digest(number, member, runners), 0.0)
         own = _build_digest(number, 0, runners)
         one.set_own_digest(own, 0.0)
         started = time.process_time()
         exchange = messages.encode_message(
-            one.create_exchange(_FACTS, 0.0, _SILENT_S)
+            one.create_exchange(_HUB_STATE, 0.0, _SILENT_S)
         )
         raws = [
             messages.encode_message(report)
-            for report in one.create_reports(_FACTS, 0.0, _SILENT_S).values()
+            for report in one.create_reports(
+                _HUB_STATE, 0.0, _SILENT_S
+            ).values()
         ]
         times.append(time.process_time() - started)
         started = time.process_time()
         report = messages.decode_message(raws[0])
         assert isinstance(report, messages.FleetReport)
         for summary in report.zones:
-            zones.ZoneTable().take(summary, {}, 0.0)
+            zones.ZoneTable().apply_summary(summary, {}, 0.0)
         takes.append(time.process_time() - started)
     return _Cost(
         digest_bytes=len(messages.encode_message(messages.DigestMessage(own))),
@@ -122,13 +124,13 @@
 
 def _describe(size: int) -> list[str]:
     cost = _measure_zone(size)
-    if size <= topology.FULL_MESH + 1:
+    if size <= topology.MAX_MESH_PEERS + 1:
         intervals = timing.MESH_INTERVALS
         told = cost.digest_bytes * (size - 1) / intervals.digest_s
         sent = f"{told / 1000:.1f}"
         return [str(size), str(cost.digest_bytes), "-", sent, sent, *"----"]
     intervals = timing.ZONE_INTERVALS
-    report_s = intervals.find_report_s(cost.report_bytes)
+    report_s = intervals.find_report_interval(cost.report_bytes)
     members = size // _ZONES
     hubs = 2
     told = cost.digest_bytes * hubs / intervals.digest_s
--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -17,8 +17,8 @@
     Mutation(
         "unmarked refusals are no promise",
         f"{DAEMON}/forwarding/attempt.py",
-        "_PROMISES = frozenset({408, 421, 429, 503})",
-        "_PROMISES = frozenset()",
+        "_NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})",
+        "_NOT_RUN_STATUSES = frozenset()",
         f"{_FORWARDER}.AtMostOnceTest",
     ),
     Mutation(
@@ -60,7 +60,7 @@
     Mutation(
         "resumption names the last event",
         f"{DAEMON}/forwarding/attempt.py",
-        "resume_after=current.last_event,",
+        "resume_after=current.last_event_id,",
         "resume_after=None,",
         f"{_FORWARDER}_streams.StreamTest",
     ),
@@ -74,7 +74,8 @@
     Mutation(
         "silent runners are asked",
         f"{DAEMON}/forwarding/silence.py",
-        "        if is_gone and connection.heard_at == heard_at:",
+        "        if is_unreachable and connection.last_activity_at == "
+        "last_activity_at:",
         "        if False:",
         f"{_FORWARDER}_streams.StreamTest",
     ),
@@ -89,17 +90,18 @@
     Mutation(
         "a caller's close is seen behind what it sent ahead",
         f"{DAEMON}/forwarding/caller_connection.py",
-        "        await departure.wait_until_left(self._stream.socket)\n"
+        "        await disconnects.wait_until_disconnected("
+        "self._stream.socket)\n"
         "        scope.cancel()\n",
         "",
-        "tests.test_forwarding.test_departure_answers.WaitingTest",
+        "tests.test_forwarding.test_disconnects_answers.WaitingTest",
     ),
     Mutation(
         "nothing is sent for a caller that is gone",
         f"{DAEMON}/forwarding/exchange.py",
-        "        if self.writer.has_left:\n",
+        "        if self.writer.has_disconnected:\n",
         "        if False:\n",
-        "tests.test_forwarding.test_departure",
+        "tests.test_forwarding.test_disconnects",
     ),
     Mutation(
         "calls that were given up are reset",
@@ -119,15 +121,15 @@
     Mutation(
         "lapsed entries may come back",
         f"{DAEMON}/discovery/runner_directory.py",
-        "_RETURN_S = 2.2",
-        "_RETURN_S = 0.0",
+        "_REREGISTRATION_GRACE_S = 2.2",
+        "_REREGISTRATION_GRACE_S = 0.0",
         "tests.test_discovery.test_runner_directory",
     ),
     Mutation(
         "a lost call is no outage",
         f"{DAEMON}/discovery/contact.py",
-        "_OUTAGE_S = 2.0",
-        "_OUTAGE_S = 0.0",
+        "_MIN_OUTAGE_S = 2.0",
+        "_MIN_OUTAGE_S = 0.0",
         "tests.test_discovery.test_runner_directory",
     ),
     Mutation(
@@ -163,8 +165,8 @@
     Mutation(
         "a loan ends counted from the report that it names",
         f"{DAEMON}/allowances/refill_shares.py",
-        "end = reported_at + loan.ends_s",
-        "end = now + loan.ends_s",
+        "end = reported_at + delegation.ends_s",
+        "end = now + delegation.ends_s",
         _RIGHTS,
     ),
     Mutation(
@@ -221,29 +223,29 @@
     Mutation(
         "silent links are asked",
         f"{CORE}/peers/sockets.py",
-        "    inner.setsockopt(zmq.HEARTBEAT_IVL, ask_ms)\n",
+        "    raw_socket.setsockopt(zmq.HEARTBEAT_IVL, heartbeat_interval_ms)\n",
         "",
         "tests.test_core.test_silent_peers",
     ),
     Mutation(
         "one silent call casts doubt on other connections",
         f"{CORE}/util/http.py",
-        "            self._keeper.replace(generation)\n",
+        "            self._pools.replace(generation)\n",
         "",
         _SILENT_STORE,
     ),
     Mutation(
         "silent long polls are cut",
         "platform/src/martenquay_platform/log.py",
-        "            self._client.cut_silent()\n",
+        "            self._client.cancel_stale_calls()\n",
         "            pass\n",
         _SILENT_STORE,
     ),
     Mutation(
         "silent appends leave time to renew the lease",
         "platform/src/martenquay_platform/log.py",
-        "_CONDITIONAL_S = 0.8",
-        "_CONDITIONAL_S = 1.5",
+        "_CONDITIONAL_APPEND_TIMEOUT_S = 0.8",
+        "_CONDITIONAL_APPEND_TIMEOUT_S = 1.5",
         _SILENT_STORE,
     ),
     Mutation(
@@ -256,15 +258,15 @@
     Mutation(
         "silent callers that take nothing are given up",
         f"{DAEMON}/forwarding/caller_connection.py",
-        "_PIECE_S = 5.0",
-        "_PIECE_S = 3600.0",
+        "_SEND_TIMEOUT_S = 5.0",
+        "_SEND_TIMEOUT_S = 3600.0",
         "tests.test_forwarding.test_caller_connection",
     ),
     Mutation(
         "the third crash is the last",
-        f"{DAEMON}/quarantine/strikes.py",
-        "MOST_ROUNDS = 3",
-        "MOST_ROUNDS = 99",
+        f"{DAEMON}/quarantine/crash_table.py",
+        "QUARANTINE_ROUNDS = 3",
+        "QUARANTINE_ROUNDS = 99",
         "tests.test_promises.test_crashing_request",
     ),
     Mutation(
@@ -276,10 +278,10 @@
     ),
     Mutation(
         "an answer takes strikes back",
-        f"{DAEMON}/forwarding/content_guard.py",
-        "if current.strikes_seen:",
+        f"{DAEMON}/forwarding/quarantine_filter.py",
+        "if current.latest_crash_seen:",
         "if False:",
-        "tests.test_forwarding.test_content_guard",
+        "tests.test_forwarding.test_quarantine_filter",
     ),
     Mutation(
         "a limit has few holders",
--- a/bench/routing/sites.py
+++ b/bench/routing/sites.py
@@ -14,7 +14,7 @@
 from martenquay_core.peers import messages
 from martenquay_core.platform import instances
 from martenquay_core.util import blocks
-from martenquay_daemon.callers import gate, teams
+from martenquay_daemon.callers import route_directory, teams
 from martenquay_daemon.configuration import store
 from martenquay_daemon.dispatch import model, registry, request_progress
 from martenquay_daemon.limits import admission, ejection, retries
@@ -60,7 +60,7 @@
     def __init__(self) -> None:
         self.times: list[float] = []
 
-    async def take(self, text: str) -> None:
+    async def write_token(self, text: str) -> None:
         """Note the next token."""
         del text
         self.times.append(trio.current_time())
@@ -92,7 +92,9 @@
         self.index = prefixes.PrefixIndex()
         ejector = ejection.Ejector()
         self._config = config
-        self._gate = gate.Gate(partner, config, self.runners, self.members)
+        self._gate = route_directory.RouteDirectory(
+            partner, config, self.runners, self.members
+        )
         self.admission = admission.Admission(self._gate.find_capacity)
         placer: Any = placement.Placer(
             zone, self.runners, self.loads, self.index, ejector, rng
--- a/packages/client/src/martenquay_client/connection.py
+++ b/packages/client/src/martenquay_client/connection.py
@@ -1,4 +1,4 @@
-"""Send statements to a daemon and bring back typed replies."""
+"""Send statements to a daemon's operator API and decode its replies."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 __all__ = ["Connection", "Reply", "StatementOptions"]
 
 _TIMEOUT_S = 30.0
-_OK = 200
+_STATUS_OK = 200
 
 
 @dataclasses.dataclass(frozen=True)
 class StatementOptions:
-    """How a statement is to be carried out.
+    """Options sent along with a command.
 
     Attributes:
-        change_id: Names a change, so that it can be sent again.
-        wait: Wait until a change is in force in every zone.
+        change_id: Idempotency key of the change; empty for none.
+        wait: The daemon replies once the change is in force in every zone.
     """
 
     change_id: str = ""
@@ -35,11 +35,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Reply:
-    """What a daemon answered.
+    """Successful reply of a daemon.
 
     Attributes:
-        content: The decoded answer.
-        is_query: It answers a query and has rows.
+        content: The decoded JSON object.
+        is_query: The statement was a query; `content` has rows.
     """
 
     content: dict[str, Any]
@@ -47,7 +47,7 @@
 
 
 class Connection:
-    """Talk to one daemon as one operator."""
+    """Operator API of one daemon, used with one credential."""
 
     def __init__(
         self, client: http.HttpClient, address: str, credential: str
@@ -62,29 +62,35 @@
     async def send(
         self, text: str, options: StatementOptions
     ) -> Result[Reply, results.Failure]:
-        """Send one statement; its words are checked here first."""
+        """Parse a statement locally, then send it to the daemon.
+
+        Returns:
+            The reply, or a failure with SYNTAX_ERROR if nothing was sent,
+            CHANGE_UNKNOWN if a change may have been made, or the code that
+            the daemon answered.
+        """
         parsed = parser.parse_statement(text)
         if parsed.is_error():
             code = results.ResultCode.SYNTAX_ERROR
             message = parsed.error.point_at(text)
             return Error(results.Failure(code, message))
         is_query = isinstance(parsed.ok, statements.Show | statements.Why)
-        order: dict[str, Any] = {"text": text}
+        payload: dict[str, Any] = {"text": text}
         if not is_query:
-            order["change_id"] = options.change_id
-            order["wait"] = options.wait
+            payload["change_id"] = options.change_id
+            payload["wait"] = options.wait
         path = "query" if is_query else "command"
         answer = await self._client.call(
             "POST",
             f"http://{self._address}/v1/{path}",
             headers=self._headers,
-            body=msgspec.json.encode(order),
+            body=msgspec.json.encode(payload),
             timeout_s=_TIMEOUT_S,
         )
-        return _read_answer(answer, is_query, options)
+        return _decode_answer(answer, is_query, options)
 
 
-def _read_answer(
+def _decode_answer(
     answer: Result[http.Answer, http.CallFailure],
     is_query: bool,
     options: StatementOptions,
@@ -92,8 +98,8 @@
     if answer.is_error():
         if answer.error.sent and not is_query:
             code = results.ResultCode.CHANGE_UNKNOWN
-            again = f" with --change_id={options.change_id}"
-            message = f"the answer was lost; send the command again{again}"
+            flag_hint = f" with --change_id={options.change_id}"
+            message = f"the answer was lost; send the command again{flag_hint}"
         else:
             code = results.ResultCode.DAEMON_UNREACHABLE
             message = answer.error.message
@@ -104,7 +110,7 @@
         code = results.ResultCode.DAEMON_UNREACHABLE
         message = f"status {answer.ok.status}, not an answer of a daemon"
         return Error(results.Failure(code, message))
-    if answer.ok.status != _OK:
+    if answer.ok.status != _STATUS_OK:
         code = results.ResultCode(content["code"])
         return Error(results.Failure(code, content["message"]))
     return Ok(Reply(content, is_query))
--- a/packages/client/src/martenquay_client/trace.py
+++ b/packages/client/src/martenquay_client/trace.py
@@ -1,4 +1,4 @@
-"""Find what daemons logged of one request, in files of their log lines."""
+"""Find the log lines of one request in the log files of daemons."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 __all__ = ["TraceLine", "find_lines", "render_line"]
 
-# Fields that each line has, or that the rendered line begins with.
-_COMMON = frozenset(
+# Fields of every log line; render_line prints the others as name=value.
+_STANDARD_FIELDS = frozenset(
     {
         "message_type",
         "request",
@@ -31,11 +31,11 @@
     """One log line.
 
     Attributes:
-        at: Seconds since 1970, by the clock of its daemon.
-        source: The daemon's instance.
-        part: The part of the daemon that wrote it.
-        text: The sentence.
-        fields: What decided, and the outcome.
+        at: Unix time in seconds, by the clock of the daemon.
+        source: The instance name of the daemon.
+        part: The component of the daemon that logged it.
+        text: The message.
+        fields: The other fields, such as the status and the runner.
     """
 
     at: float
@@ -46,12 +46,12 @@
 
 
 def find_lines(request: str, paths: list[str]) -> list[TraceLine]:
-    """Return all lines of a request, oldest first.
+    """Return all log lines of a request, oldest first.
 
     Args:
         request: The request's id.
-        paths: Files of log lines; what stands before a line's first brace,
-            such as the time of a collector, is passed over.
+        paths: Log files; a prefix before the JSON object of a line, such as
+            a log collector's timestamp, is skipped.
 
     Raises:
         OSError: A file cannot be read.
@@ -59,44 +59,46 @@
     found = [
         line
         for path in paths
-        for line in _iterate_lines(pathlib.Path(path), request)
+        for line in _iterate_request_lines(pathlib.Path(path), request)
     ]
     return sorted(found, key=lambda line: line.at)
 
 
 def render_line(line: TraceLine, start: float) -> str:
-    """Return a line for a person; times count from `start`."""
+    """Return a line as text, its time in ms since `start` (Unix time in s)."""
     fields = " ".join(
         f"{name}={value}"
         for name, value in line.fields.items()
         if value is not None
     )
-    after_ms = (line.at - start) * 1000
+    delta_ms = (line.at - start) * 1000
     return (
-        f"{after_ms:9.1f} ms  {line.source}  {line.part}: {line.text}  {fields}"
+        f"{delta_ms:9.1f} ms  {line.source}  {line.part}: {line.text}  {fields}"
     )
 
 
-def _iterate_lines(path: pathlib.Path, request: str) -> Iterator[TraceLine]:
+def _iterate_request_lines(
+    path: pathlib.Path, request: str
+) -> Iterator[TraceLine]:
     with path.open(encoding="utf-8", errors="replace") as lines:
-        for raw in lines:
-            start = raw.find("{")
-            if start < 0 or request not in raw:
+        for raw_line in lines:
+            start = raw_line.find("{")
+            if start < 0 or request not in raw_line:
                 continue
             try:
-                content = json.loads(raw[start:])
+                content = json.loads(raw_line[start:])
             except json.JSONDecodeError:
-                # Other programs' output may stand in the same file.
+                # The file may also hold the output of other programs.
                 continue
             if content.get("request") == request:
-                yield _create_line(content)
+                yield _parse_line(content)
 
 
-def _create_line(content: dict[str, Any]) -> TraceLine:
+def _parse_line(content: dict[str, Any]) -> TraceLine:
     return TraceLine(
         at=float(content.get("timestamp", 0.0)),
         source=str(content.get("source", "")),
         part=str(content.get("message_type", "")),
         text=str(content.get("text", "")),
-        fields={k: v for k, v in content.items() if k not in _COMMON},
+        fields={k: v for k, v in content.items() if k not in _STANDARD_FIELDS},
     )
--- a/packages/core/src/martenquay_core/language/parser.py
+++ b/packages/core/src/martenquay_core/language/parser.py
@@ -1,4 +1,4 @@
-"""Parse one statement and point at the word that is wrong."""
+"""Parse a statement of the operators' language, with error positions."""
 
 from __future__ import annotations
 
@@ -34,10 +34,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class SyntaxFailure:
-    """Say where a statement goes wrong.
+    """Syntax error in a statement.
 
     Attributes:
-        column: The place of the wrong word, from 1.
+        column: Column of the invalid word, from 1.
         message: What is wrong and what is allowed.
     """
 
@@ -45,7 +45,7 @@
     message: str
 
     def point_at(self, text: str) -> str:
-        """Return the statement with a mark below the wrong word."""
+        """Return the statement with a caret below the invalid word."""
         return f"{text}\n{' ' * (self.column - 1)}^ {self.message}"
 
 
@@ -56,7 +56,10 @@
 
 
 class _Builder(lark.Transformer):
-    """Turn the parse tree into typed statements."""
+    """Transforms the parse tree into statements.
+
+    lark calls the method that has the name of a grammar rule.
+    """
 
     def show(self, parts: list[Any]) -> statements.Show:
         noun, name, conditions = parts
@@ -75,14 +78,14 @@
     def create(self, parts: list[Any]) -> statements.Create:
         kind, name, *assignments = parts
         _check_fields(kind, assignments)
-        plain = tuple(assignment for _, assignment in assignments)
-        return statements.Create(str(kind), name, plain)
+        fields = tuple(assignment for _, assignment in assignments)
+        return statements.Create(str(kind), name, fields)
 
     def change(self, parts: list[Any]) -> statements.Set:
         kind, name, *assignments, version = parts
         _check_fields(kind, assignments)
-        plain = tuple(assignment for _, assignment in assignments)
-        return statements.Set(str(kind), name, plain, version)
+        fields = tuple(assignment for _, assignment in assignments)
+        return statements.Set(str(kind), name, fields, version)
 
     def drop(self, parts: list[Any]) -> statements.Drop:
         kind, name, version = parts
@@ -125,13 +128,13 @@
 def parse_statement(
     text: str,
 ) -> Result[statements.Statement, SyntaxFailure]:
-    """Return the statement that the text holds, or where it goes wrong."""
+    """Parse a statement; return it, or the first syntax error."""
     try:
         return Ok(_Builder().transform(_PARSER.parse(text)))
     except lark.exceptions.VisitError as error:
-        wrong = error.orig_exc
-        if isinstance(wrong, _WrongWordError):
-            return Error(SyntaxFailure(wrong.column, wrong.message))
+        cause = error.orig_exc
+        if isinstance(cause, _WrongWordError):
+            return Error(SyntaxFailure(cause.column, cause.message))
         raise
     except lark.exceptions.UnexpectedEOF:
         return Error(SyntaxFailure(len(text) + 1, "the statement ends early"))
@@ -140,7 +143,7 @@
 
 
 def _locate(text: str, error: lark.exceptions.UnexpectedInput) -> SyntaxFailure:
-    names = sorted(_name_terminal(name) for name in _expected(error))
+    names = sorted(_name_terminal(name) for name in _list_expected(error))
     message = "expected " + " or ".join(dict.fromkeys(names))
     token = getattr(error, "token", None)
     if token is not None and token.type == "$END":
@@ -148,12 +151,12 @@
     return SyntaxFailure(max(error.column, 1), message)
 
 
-def _expected(error: lark.exceptions.UnexpectedInput) -> set[str]:
+def _list_expected(error: lark.exceptions.UnexpectedInput) -> set[str]:
     return set(getattr(error, "accepts", None) or getattr(error, "allowed", ()))
 
 
 def _name_terminal(name: str) -> str:
-    friendly = {
+    descriptions = {
         "NAME": "a name",
         "$END": "the end",
         "INT": "a whole number",
@@ -164,7 +167,7 @@
         "EQUAL": "'='",
         "IDENTIFIER": "a request id",
     }
-    return friendly.get(name, name.lower())
+    return descriptions.get(name, name.lower())
 
 
 def _check_word(word: lark.Token, allowed: tuple[str, ...]) -> None:
--- a/packages/daemon/src/martenquay_daemon/allowances/quota_ledger.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/quota_ledger.py
@@ -1,18 +1,4 @@
-"""Keep each team's allowance by units that exist once.
-
-Each part of a team's rate is minted by one daemon at a time (`rights`), and
-all parts add up to no more than the rate. A unit may be spent for a short time
-after it was minted and then ends, wherever it is. A daemon that has more than
-it is asked for hands units to others: it takes them out of its own first, and a
-unit keeps its end. So all that is spent within a window was minted in it or one
-lifetime before it, whatever daemons believe of each other: messages that are
-late or lost, cuts, kills and freezes can only lose units.
-
-Estimates decide how units are shared out, never how many there are. When every
-daemon took what all had spent from what the others told, two sides of a cut or
-a join took each other for slower than they were, and a greedy team got up to
-12% more than is tolerated on 15 of 52 days with trouble.
-"""
+"""Spend, refill and transfer the teams' quota at one daemon."""
 
 from __future__ import annotations
 
@@ -32,73 +18,70 @@
 
 __all__ = ["QuotaLedger", "QuotaTransfer", "create_quota_ledger"]
 
-# Over this time the demand at a daemon is measured.
-_DEMAND_MEMORY_S = 1.0
-# Plain calls, which cost next to nothing, may use up the whole of what may be
-# owed; each step of less urgency leaves this part of it and of the units.
-_RESERVE = 0.1
-_MOST_RESERVE = 0.3
-# A caller that is told to come back sooner only meets the same refusal.
-_LEAST_WAIT_S = 0.1
-# Promises to more refused callers than come back within this time are not
-# worth telling apart.
-_LONGEST_WAIT_S = 4.0
-# What a refused caller is told while it is not known what comes here: a part
-# is lent or counted again within this time.
-_UNKNOWN_WAIT_S = 0.5
-# What was told longer ago is no ground for gifts: its receiver is cut off.
-_FRESH_S = 1.2
-# A request that cannot be on time any more leaves this part of the units for
-# those that can.
-_LATE_PART = 0.5
-# Below this part of its part of the units, a daemon tells the others soon.
-_LOW = 0.3
+# Time constant of the moving average of demand.
+_DEMAND_DECAY_S = 1.0
+# Per step of lower priority, this part of the overdraft is kept for requests of
+# higher priority.
+_RESERVE_STEP_RATIO = 0.1
+_MAX_RESERVE_RATIO = 0.3
+_MIN_RETRY_S = 0.1
+_MAX_RETRY_S = 4.0
+# Retry delay while this daemon has no refill share.
+_DEFAULT_RETRY_S = 0.5
+# Older balances are ignored: their daemon may be unreachable, and units that
+# are transferred to it would be lost.
+_BALANCE_MAX_AGE_S = 1.2
+# While quota is scarce, late requests leave this part of the capacity to
+# requests that can still meet their deadline.
+_ON_TIME_RESERVE_RATIO = 0.5
+# Below this part of its capacity, a daemon sends its balance early.
+_LOW_LEVEL_RATIO = 0.3
 
 
 @dataclasses.dataclass(frozen=True)
 class QuotaTransfer:
-    """Units for one daemon.
+    """Quota that one daemon sends to another.
 
     Attributes:
-        heard: The number of the receiver's last message that the giver had
-            when it gave; lifetimes count from when that one was sent.
-        parcels: Units and how much longer they may be spent, in seconds, by
-            team.
+        heard: The number of the receiver's last message that the sender had
+            processed; the receiver counts the remaining lifetimes from when
+            it sent that message.
+        lots: Units and their remaining lifetime in seconds, by team.
     """
 
     heard: int
-    parcels: dict[str, list[tuple[float, float]]]
+    lots: dict[str, list[tuple[float, float]]]
 
 
 @dataclasses.dataclass
-class _Other:
-    """What another daemon has told.
+class _Peer:
+    """The last balances of another daemon.
 
     Attributes:
-        heard: The number of its last message.
-        heard_at: In trio's time.
-        address: Where it can be asked.
-        holdings: By team.
-        given: Units given to it since, by team.
-        taken: Units that requests were sent to it for since, by team.
+        last_number: The number of its last message.
+        received_at: When that message arrived, in trio's time.
+        address: Where it accepts requests for quota.
+        balances: Its balances by team.
+        transferred: Units transferred to it since, by team.
+        redirected: Units that redirected requests took there since, by team.
     """
 
-    heard: int
-    heard_at: float
+    last_number: int
+    received_at: float
     address: str
-    holdings: dict[str, sharing.QuotaBalance]
-    given: dict[str, float] = dataclasses.field(default_factory=dict)
-    taken: dict[str, float] = dataclasses.field(default_factory=dict)
+    balances: dict[str, sharing.QuotaBalance]
+    transferred: dict[str, float] = dataclasses.field(default_factory=dict)
+    redirected: dict[str, float] = dataclasses.field(default_factory=dict)
 
 
 @dataclasses.dataclass(frozen=True)
-class _Pace:
-    """What a team's rate and the bounds come to.
+class _RefillPolicy:
+    """A team's refill rate and unit lifetime.
 
     Attributes:
-        team: It was reckoned for.
-        bounds: It was reckoned from.
-        rate: Units a second that all daemons together mint.
+        team: The team that the policy was computed for.
+        bounds: The bounds that it was computed from.
+        rate: Units per second that all daemons together refill.
         life_s: How long a unit may be spent.
     """
 
@@ -110,386 +93,416 @@
 
 @dataclasses.dataclass
 class _Account:
-    """One team's units at this daemon.
+    """One team's quota at this daemon.
 
     Attributes:
-        pace: How units are minted.
-        pile: What may be spent here.
-        minted_at: Up to when units are minted, in trio's time.
-        asked: Units a second that callers asked for, lately.
-        asked_at: When that was last brought up to date.
-        needed: Units that requests which wait here lack.
-        minted: Units that were minted since some were given away.
-        promised: Units that refused callers were told to come back for.
+        policy: The refill rate and unit lifetime.
+        bucket: The units that may be spent here.
+        refilled_at: The time up to which the bucket is refilled.
+        demand: Moving average of the units requested per second.
+        demand_at: When the average was last updated.
+        shortage: Units that waiting requests lack.
+        refilled: Units refilled since transfers were last computed.
+        promised: Units that refused callers are expected to retry for, less
+            what was refilled since.
     """
 
-    pace: _Pace
-    pile: quota_bucket.QuotaBucket
-    minted_at: float
-    asked: float = 0.0
-    asked_at: float = 0.0
-    needed: float = 0.0
-    minted: float = 0.0
+    policy: _RefillPolicy
+    bucket: quota_bucket.QuotaBucket
+    refilled_at: float
+    demand: float = 0.0
+    demand_at: float = 0.0
+    shortage: float = 0.0
+    refilled: float = 0.0
     promised: float = 0.0
 
-    def find_asked(self, now: float) -> float:
-        """Return the units a second that callers ask for."""
-        kept = math.exp((self.asked_at - now) / _DEMAND_MEMORY_S)
-        return kept * self.asked
+    def find_demand(self, now: float) -> float:
+        """Return the units per second that callers request."""
+        decay = math.exp((self.demand_at - now) / _DEMAND_DECAY_S)
+        return decay * self.demand
 
-    def hold(self, now: float, overdraft: float) -> sharing.QuotaBalance:
-        """Return what there is, for others and for reckoning with them."""
-        asked = self.find_asked(now)
+    def create_balance(
+        self, now: float, overdraft: float
+    ) -> sharing.QuotaBalance:
+        """Return the team's balance at this daemon."""
+        demand = self.find_demand(now)
         return sharing.QuotaBalance(
-            self.pile.level, asked, self.needed, overdraft
+            self.bucket.level, demand, self.shortage, overdraft
         )
 
 
 class QuotaLedger:
-    """The teams' units at one daemon.
+    """The teams' quota at one daemon.
+
+    Every unit is held by exactly one daemon and expires a fixed time after it
+    was refilled, also when it is transferred. What is spent within a window was
+    therefore refilled in it or one lifetime before, or is overdraft, however
+    late or incomplete the balances are that daemons know of each other. Lost
+    messages, partitions and kills can lose units but never duplicate them.
 
     Attributes:
-        bounds: What is tolerated; may be replaced.
-        rights: What this daemon may mint.
-        news: Set when units have come from others; then another one is made.
+        bounds: The tolerated excess over the allowances; may be replaced.
+        shares: The shares of the refill rates that this daemon may use.
+        quota_received: Set when a transfer has arrived, then replaced by a
+            new event.
     """
 
     def __init__(
         self,
         bounds: terms.ToleranceBounds,
-        mint_rights: refill_shares.RefillShares,
+        shares: refill_shares.RefillShares,
         notify_soon: Callable[[], None],
     ) -> None:
-        """Begin without units.
+        """Create a ledger without quota.
 
         Args:
-            bounds: What is tolerated.
-            mint_rights: What this daemon may mint.
-            notify_soon: Has this daemon's units told to others soon.
+            bounds: The tolerated excess over the allowances.
+            shares: The shares of the refill rates that this daemon may use.
+            notify_soon: Called to send this daemon's balances early.
         """
         self.bounds = bounds
-        self.rights = mint_rights
-        self.news = trio.Event()
-        self._hurry = notify_soon
+        self.shares = shares
+        self.quota_received = trio.Event()
+        self._notify_soon = notify_soon
         self._started_at = trio.current_time()
         self._accounts: dict[str, _Account] = {}
-        self._others: dict[str, _Other] = {}
+        self._peers: dict[str, _Peer] = {}
 
     def try_spend(
         self,
         team: catalog.Team,
-        wish: terms.AdmissionRequest,
+        request: terms.AdmissionRequest,
         *,
         is_again: bool = False,
     ) -> terms.Verdict:
-        """Spend units if they are there.
+        """Spend quota if enough is held here.
 
         Args:
-            team: Who spends.
-            wish: What for.
-            is_again: The request has waited for units.
+            team: The team whose quota is spent.
+            request: What the request asks for.
+            is_again: Whether the request is already counted as demand.
         """
         account = self._refill(team)
         if not is_again:
-            self._note_asked(account, wish.units)
-        return self._decide(team, account, wish)
+            self._record_demand(account, request.units)
+        return self._decide(team, account, request)
 
-    def refuse(self, team: catalog.Team, units: float) -> float:
-        """Return when a caller that is refused should come back, in seconds.
+    def schedule_retry(self, team: catalog.Team, units: float) -> float:
+        """Return after how many seconds a refused caller should retry.
 
-        Callers that are refused together are called back one after the
-        other; all at once they would mostly be refused again.
+        Delays grow with the units promised to earlier callers; with equal
+        delays they would retry together and mostly be refused again.
         """
         account = self._refill(team)
         account.promised += units
-        rate = account.pace.rate * self.rights.find_usable_share()
+        rate = account.policy.rate * self.shares.find_usable_share()
         if rate <= 0:
-            return _UNKNOWN_WAIT_S
-        wait_s = (account.promised - account.pile.level) / rate
-        return min(_LONGEST_WAIT_S, max(_LEAST_WAIT_S, wait_s))
+            return _DEFAULT_RETRY_S
+        wait_s = (account.promised - account.bucket.level) / rate
+        return min(_MAX_RETRY_S, max(_MIN_RETRY_S, wait_s))
 
     def note_shortage(self, team: catalog.Team, units: float) -> None:
-        """Note that a request waits for units; less than 0 if no more."""
+        """Add to the units that waiting requests lack.
+
+        Args:
+            team: The team whose quota is short.
+            units: The units; negative when a request stops waiting.
+        """
         account = self._refill(team)
-        account.needed = max(0.0, account.needed + units)
+        account.shortage = max(0.0, account.shortage + units)
         if units > 0:
-            self._hurry()
+            self._notify_soon()
 
     def refill(self, teams: Iterable[catalog.Team]) -> None:
-        """Bring the units of all teams up to now."""
+        """Refill the quota of all teams up to now."""
         for team in teams:
             if team.rate > 0:
                 self._refill(team)
 
     def describe(self, team: str) -> terms.QuotaStatus:
-        """Return what decides on a team's next request, for the log."""
+        """Return a team's quota figures for the log."""
         account = self._accounts.get(team)
         if account is None:
             return terms.QuotaStatus()
         return terms.QuotaStatus(
-            account.pile.total,
-            account.pile.debt,
-            self.rights.find_usable_share(),
-            account.find_asked(trio.current_time()),
+            account.bucket.total,
+            account.bucket.debt,
+            self.shares.find_usable_share(),
+            account.find_demand(trio.current_time()),
         )
 
-    def list_holdings(self) -> dict[str, sharing.QuotaBalance]:
-        """Return what this daemon has, by team."""
+    def list_balances(self) -> dict[str, sharing.QuotaBalance]:
+        """Return this daemon's balances by team."""
         now = trio.current_time()
         return {
-            team: account.hold(now, self._find_most_owed(account))
+            team: account.create_balance(now, self._find_max_overdraft(account))
             for team, account in self._accounts.items()
         }
 
     def create_transfers(
         self, teams: Iterable[catalog.Team]
     ) -> dict[str, QuotaTransfer]:
-        """Take out what others lack more; return it by receiver."""
-        gifts: dict[str, QuotaTransfer] = {}
+        """Withdraw quota that other daemons need more; return it by daemon."""
+        transfers: dict[str, QuotaTransfer] = {}
         now = trio.current_time()
         for team in teams:
             if team.rate <= 0:
                 continue
             account = self._refill(team)
-            for member, units in self._find_gifts(team, account).items():
-                other = self._others[member]
-                parcels = account.pile.take_away(now, units)
-                other.given[team.name] = other.given.get(team.name, 0.0) + units
-                gift = gifts.setdefault(member, QuotaTransfer(other.heard, {}))
-                gift.parcels[team.name] = [
-                    (parcel.units, parcel.ends_at - now) for parcel in parcels
+            for member, units in self._find_transfers(team, account).items():
+                peer = self._peers[member]
+                lots = account.bucket.withdraw(now, units)
+                peer.transferred[team.name] = (
+                    peer.transferred.get(team.name, 0.0) + units
+                )
+                transfer = transfers.setdefault(
+                    member, QuotaTransfer(peer.last_number, {})
+                )
+                transfer.lots[team.name] = [
+                    (lot.units, lot.expires_at - now) for lot in lots
                 ]
-        return gifts
+        return transfers
 
     def apply_balances(
         self,
         member: str,
         number: int,
-        holdings: dict[str, sharing.QuotaBalance],
+        balances: dict[str, sharing.QuotaBalance],
         address: str = "",
     ) -> None:
-        """Take what another daemon has told of its units."""
-        known = self._others.get(member)
-        if known is not None and number <= known.heard:
+        """Record another daemon's balances; older messages are ignored."""
+        known = self._peers.get(member)
+        if known is not None and number <= known.last_number:
             return
-        self._others[member] = _Other(
-            number, trio.current_time(), address, holdings
+        self._peers[member] = _Peer(
+            number, trio.current_time(), address, balances
         )
-        if any(self._is_to_give(team) for team in holdings):
-            self._hurry()
+        if any(self._can_transfer(team) for team in balances):
+            self._notify_soon()
 
-    def accept_transfer(self, gift: QuotaTransfer, told_at: float) -> None:
-        """Take units that another daemon has given.
+    def accept_transfer(self, transfer: QuotaTransfer, sent_at: float) -> None:
+        """Add quota that another daemon has sent.
 
         Args:
-            gift: The units.
-            told_at: When the message was sent that the gift answers, in
-                trio's time. The gift was made later, so units do not live
-                longer by their way, however long that took.
+            transfer: The quota.
+            sent_at: When this daemon sent the message that the transfer names
+                in `heard`, in trio's time. The transfer was created later, so
+                counting from this time never extends a unit's lifetime.
         """
         now = trio.current_time()
-        for team, parcels in gift.parcels.items():
+        for team, lots in transfer.lots.items():
             account = self._accounts.get(team)
             if account is None:
                 continue
-            account.pile.expire(now)
-            for units, life_s in parcels:
-                account.pile.add(
-                    now, quota_bucket.QuotaLot(units, told_at + life_s)
+            account.bucket.expire(now)
+            for units, life_s in lots:
+                account.bucket.add(
+                    now, quota_bucket.QuotaLot(units, sent_at + life_s)
                 )
-        self.news.set()
-        self.news = trio.Event()
+        self.quota_received.set()
+        self.quota_received = trio.Event()
 
     def forget(self, member: str) -> None:
-        """Drop a daemon that is gone for good."""
-        self._others.pop(member, None)
+        """Drop the balances of a daemon that has left the fleet."""
+        self._peers.pop(member, None)
 
     def forget_all(self) -> None:
-        """Drop all others; those who come next are new."""
-        self._others.clear()
+        """Drop the balances of all other daemons."""
+        self._peers.clear()
 
     def _decide(
         self,
         team: catalog.Team,
         account: _Account,
-        wish: terms.AdmissionRequest,
+        request: terms.AdmissionRequest,
     ) -> terms.Verdict:
-        pile = account.pile
-        units = wish.units
-        if wish.is_late and self._is_short(account, units):
+        bucket = account.bucket
+        units = request.units
+        if request.is_late and self._is_kept_for_on_time(account, units):
             return terms.Refused()
-        kept = min(_MOST_RESERVE, _RESERVE * wish.reserve)
-        owed = (1 - kept) * self._find_most_owed(account)
-        # Whether a request passes hardly depends on its size, or the large
-        # ones would starve while small ones use up what comes.
-        has_some = wish.reserve == 0 or pile.level > 0
-        missing = units - pile.level - owed
-        if has_some and missing <= 0:
-            pile.spend(units)
-            self._note_low(team, account)
+        reserved = min(
+            _MAX_RESERVE_RATIO, _RESERVE_STEP_RATIO * request.reserve
+        )
+        overdraft = (1 - reserved) * self._find_max_overdraft(account)
+        # Any positive level admits a request, and the overdraft covers the
+        # rest of it; otherwise small requests would drain every refill and
+        # large ones would starve.
+        has_credit = request.reserve == 0 or bucket.level > 0
+        missing = units - bucket.level - overdraft
+        if has_credit and missing <= 0:
+            bucket.spend(units)
+            self._notify_if_low(team, account)
             return terms.Admitted()
-        missing = max(missing, 1.0 - pile.level)
-        if self._is_elsewhere(team, missing):
-            return terms.HeldElsewhere(missing, self._find_holder(team, units))
+        missing = max(missing, 1.0 - bucket.level)
+        if self._is_held_elsewhere(team, missing):
+            return terms.HeldElsewhere(
+                missing, self._choose_holder(team, units)
+            )
         return terms.Refused()
 
-    def _is_short(self, account: _Account, units: float) -> bool:
-        """Tell whether a request would take units from those on time."""
+    def _is_kept_for_on_time(self, account: _Account, units: float) -> bool:
+        """Return whether a late request would use quota kept for others."""
         now = trio.current_time()
-        comes = account.pace.rate * self.rights.find_usable_share()
-        if account.find_asked(now) <= comes:
+        refill_rate = account.policy.rate * self.shares.find_usable_share()
+        if account.find_demand(now) <= refill_rate:
             return False
-        full = self._find_full(account)
-        return account.pile.level - units < _LATE_PART * full
+        capacity = self._find_capacity(account)
+        return account.bucket.level - units < _ON_TIME_RESERVE_RATIO * capacity
 
-    def _find_holder(self, team: catalog.Team, units: float) -> str:
-        """Return where the request can be let in, or nothing.
+    def _choose_holder(self, team: catalog.Team, units: float) -> str:
+        """Return the address of a daemon that can admit a request, or "".
 
-        Asking there takes a few ms. Units that are handed over take 0.1 s and
-        more, and those that wait for them meanwhile take them from others.
+        Redirecting the request is faster than waiting for a transfer, which
+        other waiting requests could use up first.
         """
-        found = ""
-        most = 0.0
-        for member, one in self._list_others(team).items():
-            other = self._others[member]
-            level = one.level - other.taken.get(team.name, 0.0)
-            is_enough = level > 0 and level + one.overdraft >= units
-            if other.address and is_enough and level > most:
-                found, most = member, level
-        if not found:
+        chosen = ""
+        max_level = 0.0
+        for member, balance in self._list_peer_balances(team).items():
+            peer = self._peers[member]
+            level = balance.level - peer.redirected.get(team.name, 0.0)
+            is_enough = level > 0 and level + balance.overdraft >= units
+            if peer.address and is_enough and level > max_level:
+                chosen, max_level = member, level
+        if not chosen:
             return ""
-        other = self._others[found]
-        other.taken[team.name] = other.taken.get(team.name, 0.0) + units
-        return other.address
+        peer = self._peers[chosen]
+        peer.redirected[team.name] = peer.redirected.get(team.name, 0.0) + units
+        return peer.address
 
-    def _find_most_owed(self, account: _Account) -> float:
-        """Return what this daemon may owe.
+    def _find_max_overdraft(self, account: _Account) -> float:
+        """Return how far below 0 this daemon's level may go, in units.
 
-        The process before this one may have owed as much when it ended. Until
-        that has left the window this one owes no more than it has let end
-        unspent, which is as good as paying it.
+        On a share that this instance's former process may have overdrawn
+        within the window, the overdraft is limited to the units that have
+        expired unspent, which make up for it.
         """
-        most = self.bounds.find_max_overdraft()
-        held, fresh = self.rights.find_overdraft_shares()
-        return most * held + min(most * fresh, account.pile.unspent)
-
-    def _is_elsewhere(self, team: catalog.Team, missing: float) -> bool:
-        """Tell whether others have what is missing here."""
-        there = 0.0
-        for one in self._list_others(team).values():
-            if one.needed <= 0:
-                there += one.spendable
-        return there >= missing
-
-    def _note_low(self, team: catalog.Team, account: _Account) -> None:
-        full = self._find_full(account)
-        is_low = account.pile.level < _LOW * full
-        if is_low and self._is_elsewhere(team, full):
-            self._hurry()
-
-    def _find_full(self, account: _Account) -> float:
-        """Return the units that this daemon's part may come to."""
-        full = account.pace.rate * account.pace.life_s
-        return full * self.rights.find_usable_share()
-
-    def _is_to_give(self, team: str) -> bool:
-        """Tell whether another daemon waits for units that are here."""
+        max_overdraft = self.bounds.find_max_overdraft()
+        held, fresh = self.shares.find_overdraft_shares()
+        return max_overdraft * held + min(
+            max_overdraft * fresh, account.bucket.expired_units
+        )
+
+    def _is_held_elsewhere(self, team: catalog.Team, missing: float) -> bool:
+        """Return whether other daemons hold the missing units."""
+        available = 0.0
+        for balance in self._list_peer_balances(team).values():
+            if balance.needed <= 0:
+                available += balance.spendable
+        return available >= missing
+
+    def _notify_if_low(self, team: catalog.Team, account: _Account) -> None:
+        capacity = self._find_capacity(account)
+        is_low = account.bucket.level < _LOW_LEVEL_RATIO * capacity
+        if is_low and self._is_held_elsewhere(team, capacity):
+            self._notify_soon()
+
+    def _find_capacity(self, account: _Account) -> float:
+        """Return the most units that this daemon's share can refill."""
+        capacity = account.policy.rate * account.policy.life_s
+        return capacity * self.shares.find_usable_share()
+
+    def _can_transfer(self, team: str) -> bool:
+        """Return whether another daemon lacks quota that is held here."""
         account = self._accounts.get(team)
         if account is None:
             return False
-        if account.pile.level + self._find_most_owed(account) <= 0:
+        if account.bucket.level + self._find_max_overdraft(account) <= 0:
             return False
         return any(
-            other.holdings[team].needed > other.given.get(team, 0.0)
-            for other in self._others.values()
-            if team in other.holdings
+            peer.balances[team].needed > peer.transferred.get(team, 0.0)
+            for peer in self._peers.values()
+            if team in peer.balances
         )
 
-    def _find_gifts(
+    def _find_transfers(
         self, team: catalog.Team, account: _Account
     ) -> dict[str, float]:
-        own = account.hold(trio.current_time(), self._find_most_owed(account))
-        others = self._list_others(team)
-        rate = account.pace.rate
-        gifts = sharing.find_transfers(own, others, rate)
-        if not gifts:
-            gifts = sharing.find_scarcity_transfers(
-                own, others, account.minted, rate
+        own = account.create_balance(
+            trio.current_time(), self._find_max_overdraft(account)
+        )
+        others = self._list_peer_balances(team)
+        rate = account.policy.rate
+        transfers = sharing.find_transfers(own, others, rate)
+        if not transfers:
+            transfers = sharing.find_scarcity_transfers(
+                own, others, account.refilled, rate
             )
-        account.minted = 0.0
-        return gifts
+        account.refilled = 0.0
+        return transfers
 
-    def _list_others(
+    def _list_peer_balances(
         self, team: catalog.Team
     ) -> dict[str, sharing.QuotaBalance]:
-        """Return what others have, with what was given to them since."""
-        oldest = trio.current_time() - _FRESH_S
+        """Return other daemons' recent balances, with transfers since then."""
+        oldest = trio.current_time() - _BALANCE_MAX_AGE_S
         found = {}
-        for member, other in self._others.items():
-            holding = other.holdings.get(team.name)
-            if holding is None or other.heard_at < oldest:
+        for member, peer in self._peers.items():
+            balance = peer.balances.get(team.name)
+            if balance is None or peer.received_at < oldest:
                 continue
-            given = other.given.get(team.name, 0.0)
+            transferred = peer.transferred.get(team.name, 0.0)
             found[member] = sharing.QuotaBalance(
-                holding.level + given,
-                holding.asked,
-                max(0.0, holding.needed - given),
-                holding.overdraft,
+                balance.level + transferred,
+                balance.asked,
+                max(0.0, balance.needed - transferred),
+                balance.overdraft,
             )
         return found
 
     def _refill(self, team: catalog.Team) -> _Account:
-        now = self.rights.advance()
+        now = self.shares.advance()
         account = self._accounts.get(team.name)
         if account is None:
-            pace = self._find_pace(team)
+            policy = self._create_policy(team)
             account = _Account(
-                pace, quota_bucket.QuotaBucket(pace.life_s), self._started_at
+                policy,
+                quota_bucket.QuotaBucket(policy.life_s),
+                self._started_at,
             )
             self._accounts[team.name] = account
-        elif account.pace.team is not team or account.pace.bounds is not (
+        elif account.policy.team is not team or account.policy.bounds is not (
             self.bounds
         ):
-            self._change_pace(account, self._find_pace(team))
-        account.pile.expire(now)
-        minted = self._mint(account, now)
-        account.minted += minted
-        account.promised = max(0.0, account.promised - minted)
-        account.minted_at = now
+            self._apply_policy(account, self._create_policy(team))
+        account.bucket.expire(now)
+        refilled = self._add_refill(account, now)
+        account.refilled += refilled
+        account.promised = max(0.0, account.promised - refilled)
+        account.refilled_at = now
         return account
 
-    def _mint(self, account: _Account, now: float) -> float:
-        """Mint what has come since the last time; return how much."""
-        minted = 0.0
-        for span in self.rights.list_spans(account.minted_at):
-            rate = account.pace.rate * span.part
-            account.pile.mint(now, span.start, span.end, rate)
-            minted += rate * (span.end - span.start)
-        return minted
+    def _add_refill(self, account: _Account, now: float) -> float:
+        """Refill an account up to now; return the units added."""
+        refilled = 0.0
+        for span in self.shares.list_spans(account.refilled_at):
+            rate = account.policy.rate * span.share
+            account.bucket.add_refill(now, span.start, span.end, rate)
+            refilled += rate * (span.end - span.start)
+        return refilled
 
-    def _find_pace(self, team: catalog.Team) -> _Pace:
+    def _create_policy(self, team: catalog.Team) -> _RefillPolicy:
         bounds = self.bounds
         rate = bounds.find_refill_rate(team)
-        return _Pace(team, bounds, rate, bounds.find_life(team))
+        return _RefillPolicy(team, bounds, rate, bounds.find_unit_life(team))
 
-    def _change_pace(self, account: _Account, pace: _Pace) -> None:
-        """Go on by another rate or other bounds."""
-        if not math.isclose(account.pace.life_s, pace.life_s):
-            account.pile = account.pile.change_life(
-                trio.current_time(), pace.life_s
+    def _apply_policy(self, account: _Account, policy: _RefillPolicy) -> None:
+        """Change an account's refill rate and unit lifetime."""
+        if not math.isclose(account.policy.life_s, policy.life_s):
+            account.bucket = account.bucket.copy_with_life(
+                trio.current_time(), policy.life_s
             )
-        account.pace = pace
+        account.policy = policy
 
-    def _note_asked(self, account: _Account, units: float) -> None:
+    def _record_demand(self, account: _Account, units: float) -> None:
         now = trio.current_time()
-        account.asked = account.find_asked(now) + units / _DEMAND_MEMORY_S
-        account.asked_at = now
+        account.demand = account.find_demand(now) + units / _DEMAND_DECAY_S
+        account.demand_at = now
 
 
 def create_quota_ledger(
     bounds: terms.ToleranceBounds,
-    mint_rights: refill_shares.RefillShares,
+    shares: refill_shares.RefillShares,
     notify_soon: Callable[[], None],
 ) -> QuotaLedger:
-    """Return a ledger without units."""
-    return QuotaLedger(bounds, mint_rights, notify_soon)
+    """Return a ledger without quota."""
+    return QuotaLedger(bounds, shares, notify_soon)
--- a/packages/daemon/src/martenquay_daemon/allowances/refill_shares.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/refill_shares.py
@@ -1,11 +1,4 @@
-"""Know which part of each team's rate this daemon may mint, and when.
-
-Each instance has a part of all rates. In a large fleet that is less than one
-request takes, so a daemon lends its part to one that many lend to: for a short
-time, which is counted so that no delay makes it longer. While it is lent, its
-owner mints nothing. So at any moment each part is at one daemon at the most,
-whatever messages are lost or late and whoever is cut off, killed or frozen.
-"""
+"""Track which share of the refill rates this daemon may use, and when."""
 
 from __future__ import annotations
 
@@ -22,44 +15,45 @@
 
 __all__ = [
     "DELEGATION_S",
-    "ShareDelegation",
-    "RefillShares",
     "RateShare",
-    "Span",
+    "RefillShares",
+    "ShareDelegation",
+    "ShareSpan",
 ]
 
-# A part is lent for so long and lent again twice a second. It has to outlast
-# the report that the loan counts from (up to 0.8 s old) and one digest that is
-# lost. For as long nobody mints the parts that a lost daemon had borrowed.
+# Longer than the age of the report that a delegation counts from plus one lost
+# digest, so that a renewal arrives in time. Shares that were delegated to a
+# failed daemon stay unused for up to this long.
 DELEGATION_S = 1.8
-# No unit lives longer, so nobody mints for a time that is longer ago.
-_KEPT_S = 10.0
+# Longer than any unit lives: older spans refill nothing.
+_HISTORY_S = 10.0
 
 
 @dataclasses.dataclass(frozen=True)
 class RateShare:
-    """The part of an instance.
+    """An instance's share of the refill rates.
 
     Attributes:
-        part: Of each team's rate; those of all instances add up to 1.
-        since: Since when it is this daemon's, in trio's time.
+        share: Ratio of each team's rate; all instances' shares add up to 1.
+        since: Since when this instance has the share, in trio's time.
     """
 
-    part: float
+    share: float
     since: float
 
 
 @dataclasses.dataclass(frozen=True)
 class ShareDelegation:
-    """A part that its owner does not use for some time.
+    """An instance's share that another daemon may use for a limited time.
 
     Attributes:
-        receiver: The daemon that may use it, by its process.
+        receiver: The process that may use it.
         heard: The number of the receiver's last report that the owner had
-            when it lent; the loan's end counts from when that was sent.
-        part: Of each team's rate.
-        starts_s: From when on, counted from when it was lent.
-        ends_s: Until when, counted likewise.
+            processed; for the receiver, `ends_s` counts from when it sent
+            that report.
+        part: The share, as a ratio of each team's rate.
+        starts_s: When it begins, in seconds after it was delegated.
+        ends_s: When it ends, in seconds after it was delegated.
     """
 
     receiver: str
@@ -70,269 +64,315 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Span:
-    """A time with one part.
+class ShareSpan:
+    """A time span in which one share could be used.
 
     Attributes:
         start: In trio's time.
         end: In trio's time.
-        part: Of each team's rate.
+        share: Ratio of each team's rate.
     """
 
     start: float
     end: float
-    part: float
+    share: float
 
 
 @dataclasses.dataclass
-class _Lent:
+class _Delegated:
+    """This instance's last delegation.
+
+    Attributes:
+        receiver: The process that may use the share.
+        share: Ratio of each team's rate.
+        starts_at: When it begins, in trio's time; not before the delegation to
+            the previous receiver ends.
+        until: When it ends, in trio's time.
+    """
+
     receiver: str = ""
-    part: float = 0.0
-    # When the receiver's time begins, after the time of the one before it.
+    share: float = 0.0
     starts_at: float = -math.inf
     until: float = -math.inf
 
 
 @dataclasses.dataclass
-class _Borrowed:
-    """What one instance has lent to this daemon.
+class _Received:
+    """A share that another instance has delegated to this daemon.
 
     Attributes:
-        member: The instance's process that has lent it.
-        span: From when to when.
-        held_since: Since when nobody else has had it for a whole window.
+        member: The instance's process that delegated it.
+        span: When it may be used.
+        held_since: Since when no other daemon can have overdrawn on it.
     """
 
     member: str
-    span: Span
+    span: ShareSpan
     held_since: float
 
 
 class RefillShares:
-    """What this daemon may mint: its own part if not lent, and borrowed ones.
+    """The refill shares of this daemon: its own and those delegated to it.
+
+    In a large fleet an instance's share refills less quota than one request
+    costs, so instances delegate their shares to a quota hub for a limited time.
+    At any time each share is used by at most one daemon, also when messages are
+    lost or late and daemons are partitioned, killed or paused.
 
     Attributes:
-        window_s: The time over which teams' units are counted; may change.
+        window_s: The time over which a team's units are counted; may change.
     """
 
     def __init__(
         self,
-        find_own: Callable[[], RateShare],
+        read_share: Callable[[], RateShare],
         window_s: float,
         find_sole_since: Callable[[], float] = lambda: -math.inf,
     ) -> None:
-        """Begin at the start of the process.
+        """Create the shares without delegations.
+
+        The own share is unusable until any delegation by this instance's former
+        process has ended.
 
         Args:
-            find_own: Returns this instance's part.
-            window_s: The time over which teams' units are counted.
-            find_sole_since: Returns since when nobody uses a loan of the
-                process before this one any more, in trio's time; infinity
-                while that is not known.
+            read_share: Returns this instance's share.
+            window_s: The time over which a team's units are counted.
+            find_sole_since: Returns since when no hub uses a delegation by
+                this instance's former process, in trio's time; infinity while
+                unknown.
         """
         self.window_s = window_s
-        self._find_own = find_own
+        self._read_share = read_share
         self._find_sole_since = find_sole_since
         self._started_at = trio.current_time()
-        self._at = self._started_at
-        self._own = 0.0
-        # Until then the process before may have lent what is now this one's.
-        self._own_from = self._started_at + DELEGATION_S
-        self._lent = _Lent()
+        self._advanced_at = self._started_at
+        self._last_share = 0.0
+        # Until then a delegation by the former process may be in use.
+        self._usable_from = self._started_at + DELEGATION_S
+        self._delegated = _Delegated()
         self._larger_until = -math.inf
-        self._borrowed: dict[str, _Borrowed] = {}
-        self._former: dict[str, set[str]] = {}
-        self._spans: collections.deque[Span] = collections.deque()
+        self._received: dict[str, _Received] = {}
+        self._former_members: dict[str, set[str]] = {}
+        self._spans: collections.deque[ShareSpan] = collections.deque()
 
     def advance(self) -> float:
-        """Count the time up to now; return now."""
+        """Record the usable shares up to now; return now."""
         now = trio.current_time()
-        if now <= self._at:
+        if now <= self._advanced_at:
             return now
         own = self._find_own_span(now)
-        if not self._borrowed:
+        if not self._received:
             if own.start < own.end:
-                self._append(own)
+                self._append_span(own)
         else:
-            lent = [one.span for one in self._borrowed.values()]
-            for span in _flatten([own, *lent], self._at, now):
-                self._append(span)
-        self._at = now
-        while self._spans and self._spans[0].end < now - _KEPT_S:
+            received = [one.span for one in self._received.values()]
+            for span in _sum_spans([own, *received], self._advanced_at, now):
+                self._append_span(span)
+        self._advanced_at = now
+        while self._spans and self._spans[0].end < now - _HISTORY_S:
             self._spans.popleft()
         return now
 
-    def list_spans(self, since: float) -> Iterator[Span]:
-        """Return what may be minted for the time after `since`."""
+    def list_spans(self, since: float) -> Iterator[ShareSpan]:
+        """Return the usable shares after `since`, the earliest first."""
         found = []
         for span in reversed(self._spans):
             if span.end <= since:
                 break
             start = max(span.start, since)
-            found.append(Span(start, span.end, span.part))
+            found.append(ShareSpan(start, span.end, span.share))
         return reversed(found)
 
     def find_usable_share(self) -> float:
-        """Return the part that may be minted now."""
+        """Return the share that this daemon may use now."""
         now = trio.current_time()
-        return self._find_own_now(now) + sum(
-            one.span.part for one in self._list_active(now)
+        return self._find_own_usable_share(now) + sum(
+            received.span.share for received in self._list_usable(now)
         )
 
     def find_overdraft_shares(self) -> tuple[float, float]:
-        """Return the parts on which units may be owed.
+        """Return the shares on which quota may be overdrawn.
 
         Returns:
-            The part that nobody else can have owed on within the window, and
-            the part on which this daemon's instance may have before it
-            started.
+            The share on which no other daemon can have overdrawn within the
+            window, and the share on which this instance's former process may
+            have.
         """
         now = trio.current_time()
-        oldest = now - self.window_s
-        # Whom it was lent to may have owed on it.
-        own = self._find_own_now(now) if self._lent.until <= oldest else 0.0
+        window_start = now - self.window_s
+        # The receiver of an earlier delegation may have overdrawn on the share.
+        own = (
+            self._find_own_usable_share(now)
+            if self._delegated.until <= window_start
+            else 0.0
+        )
         held = sum(
-            one.span.part
-            for one in self._list_active(now)
-            if one.held_since <= oldest
+            received.span.share
+            for received in self._list_usable(now)
+            if received.held_since <= window_start
         )
-        if self._started_at <= oldest:
+        if self._started_at <= window_start:
             return held + own, 0.0
         return held, own
 
     def delegate(self, receiver: str, heard: int) -> ShareDelegation | None:
-        """Lend this instance's part, for a while from now.
+        """Delegate this instance's share for a limited time from now.
 
         Args:
             receiver: The process that may use it.
-            heard: The number of that one's last report.
+            heard: The number of the receiver's last report.
+
+        Returns:
+            The delegation; None if this instance has no share yet.
         """
         now = self.advance()
-        own = self._get_own()
-        if own.part <= 0 or now < max(own.since, self._own_from):
+        own = self._read_own_share()
+        if own.share <= 0 or now < max(own.since, self._usable_from):
             return None
-        last = self._lent
+        last = self._delegated
         starts_at = last.starts_at
         if last.receiver != receiver:
-            # What the one before may use is not to be used twice.
+            # Otherwise both receivers would use the share until then.
             starts_at = max(now, last.until)
-        if own.part < last.part:
+        if own.share < last.share:
             self._larger_until = last.until
-        self._lent = _Lent(receiver, own.part, starts_at, now + DELEGATION_S)
+        self._delegated = _Delegated(
+            receiver, own.share, starts_at, now + DELEGATION_S
+        )
         starts_s = max(0.0, starts_at - now)
         return ShareDelegation(
-            receiver, heard, own.part, starts_s, DELEGATION_S
+            receiver, heard, own.share, starts_s, DELEGATION_S
         )
 
     def has_larger_delegation(self) -> bool:
-        """Tell whether a loan is still good that was larger than the part."""
+        """Return whether a delegation of a larger share is still valid."""
         return trio.current_time() < self._larger_until
 
     def accept_delegation(
         self,
         instance: str,
         member: str,
-        loan: ShareDelegation,
+        delegation: ShareDelegation,
         reported_at: float,
     ) -> None:
-        """Take another instance's part for a while.
+        """Use another instance's share for a limited time.
 
         Args:
-            instance: Whose part it is.
-            member: The process that lent it.
-            loan: What it said.
-            reported_at: When the report that the loan names was sent, in
-                trio's time; the loan was made after that.
+            instance: The instance whose share it is.
+            member: Its process that delegated the share.
+            delegation: The delegation.
+            reported_at: When this daemon sent the report that the delegation
+                names in `heard`, in trio's time. The delegation was created
+                later, so counting from this time never extends it.
         """
-        if member in self._former.get(instance, ()):
-            # Sent before that process ended, and late.
+        if member in self._former_members.get(instance, ()):
+            # A late message of an ended process; the new one may use the share.
             return
         now = self.advance()
-        start = now + loan.starts_s
-        end = reported_at + loan.ends_s
+        start = now + delegation.starts_s
+        end = reported_at + delegation.ends_s
         if end <= start:
             return
-        known = self._borrowed.get(instance)
+        known = self._received.get(instance)
         if known is None:
             held_since = start
         else:
-            # Only who has had it through a whole window may owe on it, so in
-            # a shorter gap nobody else has.
+            # A daemon may overdraw only on a share that it held for a whole
+            # window, so none can have done so in a shorter gap.
             is_short = start - known.span.end < self.window_s
             held_since = known.held_since if is_short else start
-            if known.span.part == loan.part and start <= known.span.end:
+            if known.span.share == delegation.part and start <= known.span.end:
                 start = known.span.start
                 end = max(end, known.span.end)
-        span = Span(start, end, loan.part)
-        self._borrowed[instance] = _Borrowed(member, span, held_since)
+        span = ShareSpan(start, end, delegation.part)
+        self._received[instance] = _Received(member, span, held_since)
 
     def end_former_delegations(self, instance: str, member: str) -> None:
-        """End what an earlier process of an instance had lent.
+        """End delegations by an instance's processes other than `member`.
 
-        Its next one may use the part itself, or lend it to somebody else.
+        The new process may use the share or delegate it to another daemon.
         """
-        known = self._borrowed.get(instance)
+        known = self._received.get(instance)
         if known is None or known.member == member:
             return
-        self._former.setdefault(instance, set()).add(known.member)
+        self._former_members.setdefault(instance, set()).add(known.member)
         now = self.advance()
         if known.span.end > now:
             known.span = dataclasses.replace(known.span, end=now)
         known.member = member
 
-    def count_lenders(self) -> int:
-        """Return how many instances lend to this daemon now."""
-        return sum(1 for _ in self._list_active(trio.current_time()))
+    def count_delegators(self) -> int:
+        """Return how many instances delegate their share to this daemon."""
+        return sum(1 for _ in self._list_usable(trio.current_time()))
 
-    def _get_own(self) -> RateShare:
-        own = self._find_own()
-        if own.part > 0:
-            # Before the log has told of other daemons, it is not known
-            # whether any may have borrowed.
-            self._own_from = min(self._own_from, self._find_sole_since())
+    def _read_own_share(self) -> RateShare:
+        own = self._read_share()
+        if own.share > 0:
+            # Without a share this daemon has not read which others exist, so
+            # `find_sole_since` cannot rule out a delegation to one of them.
+            self._usable_from = min(self._usable_from, self._find_sole_since())
         return own
 
-    def _find_own_now(self, now: float) -> float:
-        own = self._get_own()
-        is_here = now >= max(self._lent.until, self._own_from, own.since)
-        return own.part if is_here else 0.0
+    def _find_own_usable_share(self, now: float) -> float:
+        own = self._read_own_share()
+        is_usable = now >= max(
+            self._delegated.until, self._usable_from, own.since
+        )
+        return own.share if is_usable else 0.0
 
-    def _list_active(self, now: float) -> Iterator[_Borrowed]:
+    def _list_usable(self, now: float) -> Iterator[_Received]:
         return (
-            one
-            for one in self._borrowed.values()
-            if one.span.start <= now < one.span.end
+            received
+            for received in self._received.values()
+            if received.span.start <= now < received.span.end
         )
 
-    def _find_own_span(self, now: float) -> Span:
-        """Return for when the own part may be minted since the last time."""
-        own = self._get_own()
-        # While the part grew or fell, others may have had the difference.
-        kept = min(self._own, own.part) if self._own > 0 else own.part
-        self._own = own.part
-        start = max(self._at, self._lent.until, self._own_from, own.since)
-        return Span(start, now, kept)
+    def _find_own_span(self, now: float) -> ShareSpan:
+        """Return when the own share was usable since the last `advance`."""
+        own = self._read_own_share()
+        # While the share changed, other instances may have used the difference.
+        share = (
+            min(self._last_share, own.share)
+            if self._last_share > 0
+            else own.share
+        )
+        self._last_share = own.share
+        start = max(
+            self._advanced_at,
+            self._delegated.until,
+            self._usable_from,
+            own.since,
+        )
+        return ShareSpan(start, now, share)
 
-    def _append(self, span: Span) -> None:
+    def _append_span(self, span: ShareSpan) -> None:
         if self._spans and self._spans[-1].end == span.start:
             last = self._spans[-1]
-            if math.isclose(last.part, span.part):
-                self._spans[-1] = Span(last.start, span.end, last.part)
+            if math.isclose(last.share, span.share):
+                self._spans[-1] = ShareSpan(last.start, span.end, last.share)
                 return
-        if span.part > 0:
+        if span.share > 0:
             self._spans.append(span)
 
 
-def _flatten(sources: list[Span], start: float, end: float) -> Iterator[Span]:
-    """Return spans one after the other whose parts are sums."""
-    cut = [
-        Span(max(start, one.start), min(end, one.end), one.part)
-        for one in sources
+def _sum_spans(
+    sources: list[ShareSpan], start: float, end: float
+) -> Iterator[ShareSpan]:
+    """Yield consecutive spans with the sum of the shares in each."""
+    clipped = [
+        ShareSpan(max(start, span.start), min(end, span.end), span.share)
+        for span in sources
+    ]
+    clipped = [
+        span for span in clipped if span.start < span.end and span.share > 0
     ]
-    cut = [one for one in cut if one.start < one.end and one.part > 0]
-    edges = sorted({start, end, *(e for s in cut for e in (s.start, s.end))})
+    edges = sorted(
+        {start, end, *(e for s in clipped for e in (s.start, s.end))}
+    )
     for left, right in itertools.pairwise(edges):
-        part = sum(
-            one.part for one in cut if one.start <= left and one.end >= right
+        share = sum(
+            span.share
+            for span in clipped
+            if span.start <= left and span.end >= right
         )
-        yield Span(left, right, part)
+        yield ShareSpan(left, right, share)
--- a/packages/daemon/src/martenquay_daemon/allowances/sharing.py
+++ b/packages/daemon/src/martenquay_daemon/allowances/sharing.py
@@ -1,10 +1,4 @@
-"""Decide which units a daemon hands to others.
-
-Units are worth most where they are asked for. Each daemon knows what the
-others had and were asked for when they last told; what it has beyond its part
-goes to those that have less than theirs. All reckon alike, so that what is
-given adds up to what is missing without anybody asking.
-"""
+"""Compute how much quota a daemon transfers to which others."""
 
 from __future__ import annotations
 
@@ -16,25 +10,26 @@
 
 __all__ = ["QuotaBalance", "find_scarcity_transfers", "find_transfers"]
 
-# Each daemon keeps a part of the units as if it were asked for so much of an
-# even part of the rate besides: the next request may come to any of them.
-_BASE_DEMAND = 0.3
-# Less than this part of an even share is not worth a message.
-_LEAST_GIFT = 0.05
-# A daemon that a request waits at is given no more than this part of what
-# another one has.
-_MOST_FOR_NEED = 0.8
+# Demand that is added to each daemon's own, as a ratio of an even share of the
+# refill rate. Without it a daemon without demand would hold nothing for its
+# next request.
+_BASE_DEMAND_RATIO = 0.3
+# Transfers below this ratio of an even share are not sent.
+_MIN_TRANSFER_RATIO = 0.05
+# The most that is transferred for requests that wait at other daemons, as a
+# ratio of what may be spent here.
+_MAX_SHORTAGE_RATIO = 0.8
 
 
 @dataclasses.dataclass(frozen=True)
 class QuotaBalance:
-    """What a daemon has of one team's units.
+    """One team's quota at a daemon.
 
     Attributes:
-        level: Units that it may spend; less than 0 if it owes some.
-        asked: Units a second that callers ask it for, lately.
-        needed: Units that it lacks for a request that waits there.
-        overdraft: How far below 0 its level may come.
+        level: Units that may be spent; negative if overdrawn.
+        asked: Units per second that callers request.
+        needed: Units that waiting requests lack.
+        overdraft: How far below 0 the level may go, in units.
     """
 
     level: float
@@ -44,100 +39,118 @@
 
     @property
     def spendable(self) -> float:
-        """What it may spend, or give for a request that waits."""
+        """Units that may be spent or transferred, overdraft included."""
         return max(0.0, self.level + self.overdraft)
 
 
 def find_transfers(
     own: QuotaBalance, others: Mapping[str, QuotaBalance], rate: float
 ) -> dict[str, float]:
-    """Return the units to be given away, by receiver.
+    """Return the units to transfer, by receiver.
+
+    Every daemon computes its part of what the others lack from the same
+    balances, so that together they transfer as much as is missing.
 
     Args:
-        own: What this daemon has.
-        others: What the others have, by name.
-        rate: Units a second that come to all daemons together.
+        own: This daemon's balance.
+        others: The other daemons' balances, by daemon.
+        rate: Units per second that all daemons together refill.
     """
     if not others:
         return {}
-    for_need = _find_for_need(own, others)
-    rest = dataclasses.replace(own, level=own.level - sum(for_need.values()))
-    gifts = _find_excess(rest, others, rate) if rest.level > 0 else {}
-    for name, units in for_need.items():
-        gifts[name] = gifts.get(name, 0.0) + units
-    return gifts
+    to_waiting = _find_shortage_transfers(own, others)
+    rest = dataclasses.replace(own, level=own.level - sum(to_waiting.values()))
+    transfers = (
+        _find_balancing_transfers(rest, others, rate) if rest.level > 0 else {}
+    )
+    for name, units in to_waiting.items():
+        transfers[name] = transfers.get(name, 0.0) + units
+    return transfers
 
 
 def find_scarcity_transfers(
     own: QuotaBalance,
     others: Mapping[str, QuotaBalance],
-    minted: float,
+    refilled: float,
     rate: float,
 ) -> dict[str, float]:
-    """Return what is passed on of what was minted while units are scarce.
+    """Return the units to transfer, by receiver, while demand exceeds refills.
 
-    Then nobody has more than it is asked for, and what there is says nothing
-    of who is asked for most: a zone with one daemon and a quarter of the
-    callers would get a sixth of the units.
+    Levels are near 0 at all daemons then and do not show where demand is
+    highest, so daemons of below-average demand pass part of their refills to
+    those above the average.
 
     Args:
-        own: What this daemon has.
-        others: What the others have, by name.
-        minted: Units that this daemon minted since it last gave.
-        rate: Units a second that come to all daemons together.
+        own: This daemon's balance.
+        others: The other daemons' balances, by daemon.
+        refilled: Units that this daemon refilled since the last transfers.
+        rate: Units per second that all daemons together refill.
     """
-    asked = own.asked + sum(one.asked for one in others.values())
-    even = asked / (1 + len(others))
-    if asked <= rate or own.asked >= even:
+    demand = own.asked + sum(balance.asked for balance in others.values())
+    mean = demand / (1 + len(others))
+    if demand <= rate or own.asked >= mean:
         return {}
-    more = {
-        name: one.asked - even
-        for name, one in others.items()
-        if one.asked > even
+    above_mean = {
+        name: balance.asked - mean
+        for name, balance in others.items()
+        if balance.asked > mean
     }
-    passed = min(minted * (1 - own.asked / even), own.spendable)
-    total = sum(more.values())
-    if passed <= 0 or total <= 0:
+    forwarded = min(refilled * (1 - own.asked / mean), own.spendable)
+    total = sum(above_mean.values())
+    if forwarded <= 0 or total <= 0:
         return {}
-    return {name: passed * units / total for name, units in more.items()}
+    return {
+        name: forwarded * units / total for name, units in above_mean.items()
+    }
 
 
-def _find_for_need(
+def _find_shortage_transfers(
     own: QuotaBalance, others: Mapping[str, QuotaBalance]
 ) -> dict[str, float]:
-    """Return what goes to waiting requests, each daemon a part of it."""
-    needs = {name: one.needed for name, one in others.items() if one.needed > 0}
-    if not needs:
+    """Return this daemon's part of the units that waiting requests lack."""
+    shortages = {
+        name: balance.needed
+        for name, balance in others.items()
+        if balance.needed > 0
+    }
+    if not shortages:
         return {}
-    there = own.spendable + sum(
-        one.spendable for one in others.values() if one.needed <= 0
+    available = own.spendable + sum(
+        balance.spendable for balance in others.values() if balance.needed <= 0
     )
     if own.spendable <= 0 or own.needed > 0:
         return {}
-    total = sum(needs.values())
-    given = min(_MOST_FOR_NEED, total / there) * own.spendable
-    return {name: given * units / total for name, units in needs.items()}
+    total = sum(shortages.values())
+    transferred = min(_MAX_SHORTAGE_RATIO, total / available) * own.spendable
+    return {
+        name: transferred * units / total for name, units in shortages.items()
+    }
 
 
-def _find_excess(
+def _find_balancing_transfers(
     own: QuotaBalance, others: Mapping[str, QuotaBalance], rate: float
 ) -> dict[str, float]:
-    """Return what evens out holdings by what they are asked for."""
+    """Return the units that make levels proportional to demand."""
     count = 1 + len(others)
-    base = _BASE_DEMAND * rate / count
-    weight = sum(one.asked + base for one in (own, *others.values()))
-    total = own.level + sum(one.level for one in others.values())
-    if total <= 0 or weight <= 0:
+    base_demand = _BASE_DEMAND_RATIO * rate / count
+    total_weight = sum(
+        balance.asked + base_demand for balance in (own, *others.values())
+    )
+    total = own.level + sum(balance.level for balance in others.values())
+    if total <= 0 or total_weight <= 0:
         return {}
-    excess = own.level - total * (own.asked + base) / weight
-    missing = {
-        name: total * (one.asked + base) / weight - one.level
-        for name, one in others.items()
+    surplus = own.level - total * (own.asked + base_demand) / total_weight
+    deficits = {
+        name: total * (balance.asked + base_demand) / total_weight
+        - balance.level
+        for name, balance in others.items()
     }
-    missing = {name: units for name, units in missing.items() if units > 0}
-    if excess <= 0 or not missing:
+    deficits = {name: units for name, units in deficits.items() if units > 0}
+    if surplus <= 0 or not deficits:
         return {}
-    part = min(1.0, excess / sum(missing.values()))
-    least = _LEAST_GIFT * total / count
-    gifts = {name: part * units for name, units in missing.items()}
-    return {name: units for name, units in gifts.items() if units >= least}
+    ratio = min(1.0, surplus / sum(deficits.values()))
+    min_units = _MIN_TRANSFER_RATIO * total / count
+    transfers = {name: ratio * units for name, units in deficits.items()}
+    return {
+        name: units for name, units in transfers.items() if units >= min_units
+    }
--- a/packages/daemon/src/martenquay_daemon/backpressure/runner_admission.py
+++ b/packages/daemon/src/martenquay_daemon/backpressure/runner_admission.py
@@ -75,13 +75,13 @@
         self._limits.note_answer(runner, reported, sent_at)
         if reported.is_leaving:
             self._drains.note_answer(runner)
-        if reported.is_rest_unreadable:
+        if reported.is_retry_after_unreadable:
             _LOG.write(
                 f"Runner {runner.id} sent a backoff time that is not a number.",
                 runner=runner.id,
             )
-        if reported.rest_s is not None:
-            self._backoffs.note_rejection(runner, reported.rest_s)
+        if reported.retry_after_s is not None:
+            self._backoffs.note_rejection(runner, reported.retry_after_s)
         elif not head.did_not_run:
             self._backoffs.note_answer(runner, sent_at)
 
@@ -89,7 +89,8 @@
         self, candidates: Iterable[runners.Runner]
     ) -> list[runners.Runner]:
         """Return the runners that accept a request of this daemon now."""
-        # Checking each of hundreds of runners would delay each request.
+        # Runners without a report skip the checks, which would be slow for all
+        # runners of a large service.
         reported = self._list_reporting_ids()
         return [
             runner
@@ -123,10 +124,14 @@
     def find_retry_s(
         self, candidates: Sequence[runners.Runner]
     ) -> float | None:
-        """Return the seconds until a runner accepts a request; None if never.
+        """Return the seconds until a runner accepts a request.
 
         A caller may retry at any daemon, so under a rate limit the first send
         slot of any daemon counts.
+
+        Returns:
+            Seconds; 0 if a runner has reported nothing, None if no wait ends,
+            as when all runners are draining.
         """
         reported = self._list_reporting_ids()
         if any(runner.id not in reported for runner in candidates):
--- a/packages/daemon/src/martenquay_daemon/callers/chat.py
+++ b/packages/daemon/src/martenquay_daemon/callers/chat.py
@@ -1,4 +1,4 @@
-"""Read chat requests and write answers in the shape model clients speak."""
+"""Chat completions API: parse requests, encode answers and streams."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 __all__ = [
     "ChatRequest",
-    "CollectingSink",
+    "DiscardingSink",
     "StreamingSink",
-    "read_chat",
-    "render_answer",
+    "encode_completion",
+    "parse_chat_request",
 ]
 
 _MAX_TOKENS = 32_768
@@ -31,8 +31,8 @@
     """One message of a conversation.
 
     Attributes:
-        role: Who speaks.
-        content: What is said.
+        role: Author of the message.
+        content: Text of the message.
     """
 
     role: Literal["system", "user", "assistant"]
@@ -40,13 +40,13 @@
 
 
 class ChatRequest(pydantic.BaseModel):
-    """A chat completions request; fields that are not named are ignored.
+    """A chat completions request; unknown fields are ignored.
 
     Attributes:
-        model: The route's name.
+        model: Name of the route.
         messages: The conversation.
-        max_tokens: How many tokens to generate.
-        stream: Send tokens as they come.
+        max_tokens: The most tokens to generate.
+        stream: Send tokens as server-sent events.
     """
 
     model: str
@@ -59,21 +59,21 @@
         return "\n".join(f"{m.role}: {m.content}" for m in self.messages)
 
 
-def read_chat(body: bytes) -> Result[ChatRequest, results.Failure]:
-    """Return the request that a body holds, or what is wrong with it."""
+def parse_chat_request(body: bytes) -> Result[ChatRequest, results.Failure]:
+    """Parse a request body; a failure names the first invalid field."""
     try:
         return Ok(ChatRequest.model_validate_json(body))
     except pydantic.ValidationError as error:
         first = error.errors()[0]
-        place = ".".join(str(word) for word in first["loc"]) or "body"
+        field_path = ".".join(str(part) for part in first["loc"]) or "body"
         code = results.ResultCode.MALFORMED_REQUEST
-        return Error(results.Failure(code, f"{place}: {first['msg']}"))
+        return Error(results.Failure(code, f"{field_path}: {first['msg']}"))
 
 
-def render_answer(
+def encode_completion(
     request_id: str, route: str, usage: request_progress.Usage
 ) -> bytes:
-    """Return a whole answer."""
+    """Encode an answer that is not streamed as JSON."""
     text = "".join(usage.generated)
     message = {"role": "assistant", "content": text}
     return msgspec.json.encode(
@@ -90,18 +90,18 @@
     )
 
 
-class CollectingSink:
-    """Take tokens and do nothing: the usage holds them already."""
+class DiscardingSink:
+    """Discards tokens; the usage already collects them."""
 
-    async def take(self, text: str) -> None:
-        """Take the next token."""
+    async def write_token(self, text: str) -> None:
+        """Discard a token."""
 
 
 class StreamingSink:
-    """Send each token to the caller as a server-sent event.
+    """Sends each token to the caller as a server-sent event.
 
     Attributes:
-        is_open: The head of the answer has been sent.
+        is_open: The response head has been sent.
     """
 
     def __init__(
@@ -114,33 +114,36 @@
         self.is_open = False
         self._send = send
         self._headers = headers
-        # Only the token differs between events, so the rest is made once.
+        # Events differ only in their token, so the JSON around it is encoded
+        # once for each answer.
         head = {
             "id": request_id,
             "object": "chat.completion.chunk",
             "created": int(time.time()),
             "model": route,
         }
-        self._before = json.dumps(head)[:-1] + (
+        self._chunk_prefix = json.dumps(head)[:-1] + (
             ', "choices": [{"index": 0, "delta": {"content": '
         )
-        self._after = '}, "finish_reason": null}]}'
+        self._chunk_suffix = '}, "finish_reason": null}]}'
 
-    async def take(self, text: str) -> None:
+    async def write_token(self, text: str) -> None:
         """Send the next token."""
         if not self.is_open:
             await self._open()
-        await self._write(f"{self._before}{json.dumps(text)}{self._after}")
+        await self._write(
+            f"{self._chunk_prefix}{json.dumps(text)}{self._chunk_suffix}"
+        )
 
     async def finish(self) -> None:
-        """Send the last event of a whole answer."""
+        """Send the event that completes the stream."""
         if not self.is_open:
             await self._open()
         await self._write("[DONE]")
         await self._send({"type": "http.response.body", "body": b""})
 
     async def fail(self, failure: results.Failure) -> None:
-        """Send an explicit last event instead of the rest."""
+        """Send an error event in place of the remaining tokens."""
         content = json.dumps(
             {
                 "error": {
@@ -175,10 +178,10 @@
 
 
 def _describe_usage(usage: request_progress.Usage) -> dict[str, int]:
-    generated = len(usage.generated)
+    token_count = len(usage.generated)
     return {
         "prompt_tokens": usage.prompt_tokens,
-        "completion_tokens": generated,
-        "total_tokens": usage.prompt_tokens + generated,
+        "completion_tokens": token_count,
+        "total_tokens": usage.prompt_tokens + token_count,
         "recomputed_tokens": usage.recomputed,
     }
--- a/packages/daemon/src/martenquay_daemon/callers/exchange.py
+++ b/packages/daemon/src/martenquay_daemon/callers/exchange.py
@@ -1,4 +1,4 @@
-"""Hold one request of a caller and send it its one final answer."""
+"""One HTTP request of a caller with its id, body and final answer."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     from collections.abc import Awaitable, Callable
 
     from martenquay_core.settings import models
-    from martenquay_daemon.callers import gate
+    from martenquay_daemon.callers import route_directory
     from martenquay_daemon.util import metrics
 
 __all__ = ["ID_PATTERN", "Exchange"]
@@ -27,13 +27,13 @@
 
 
 class Exchange:
-    """One request and its answer.
+    """An HTTP request and the means to answer it.
 
     Attributes:
         scope: The ASGI scope.
-        send: Sends pieces of the answer.
+        send: The ASGI send callable.
         key: The caller's idempotency key, or None.
-        request_id: The caller's own id if it can be used, else a new one.
+        request_id: The caller's request id if it is valid, else a new one.
     """
 
     def __init__(
@@ -47,15 +47,17 @@
         self.scope = scope
         self.send = send
         self.key = serving.find_header(scope, b"idempotency-key")
-        given = serving.find_header(scope, b"x-request-id") or ""
-        is_usable = ID_PATTERN.match(given) is not None
-        self.request_id = given if is_usable else f"req-{secrets.token_hex(8)}"
+        caller_id = serving.find_header(scope, b"x-request-id") or ""
+        is_valid = ID_PATTERN.match(caller_id) is not None
+        self.request_id = (
+            caller_id if is_valid else f"req-{secrets.token_hex(8)}"
+        )
         self._receive = receive
         self._limits = limits
         self._metrics = counters
 
     async def read_body(self) -> Result[bytes, results.Failure]:
-        """Return the whole body within the limits of the settings."""
+        """Return the whole body, or a failure if it is too large or slow."""
         try:
             body = await serving.read_body(
                 self._receive,
@@ -75,47 +77,51 @@
     async def run_while_connected(
         self, work: Callable[..., Awaitable[None]], *args: object
     ) -> None:
-        """Run work and give it up when the caller leaves.
+        """Await `work(*args)`, cancelling it if the caller disconnects.
 
         Raises:
-            serving.CallerGoneError: The caller left.
+            serving.CallerGoneError: The caller disconnected.
         """
-        gone = False
+        has_left = False
 
         async def watch() -> None:
-            nonlocal gone
+            nonlocal has_left
             while (await self._receive())["type"] != "http.disconnect":
                 pass
-            gone = True
+            has_left = True
             nursery.cancel_scope.cancel()
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(watch)
             await work(*args)
             nursery.cancel_scope.cancel()
-        if gone:
+        if has_left:
             raise serving.CallerGoneError
 
     async def fail(
-        self, failure: results.Failure, known: gate.KnownRoute | None = None
+        self,
+        failure: results.Failure,
+        team_route: route_directory.TeamRoute | None = None,
     ) -> None:
         """Send a failure as the final answer."""
-        self.count(failure.code, known)
+        self.count(failure.code, team_route)
         _LOG.write(
-            f"Refused {self.request_id}: {failure.message}.",
+            f"Request {self.request_id} failed: {failure.message}.",
             request=self.request_id,
             code=failure.code.value,
         )
         await replies.send_failure(self.send, self.request_id, failure)
 
     def count(
-        self, code: results.ResultCode, known: gate.KnownRoute | None
+        self,
+        code: results.ResultCode,
+        team_route: route_directory.TeamRoute | None,
     ) -> None:
         """Count the answer by route, urgency and result."""
         self._metrics.requests.inc(
             {
-                "route": known.name if known else "",
-                "urgency": known.urgency.value if known else "",
+                "route": team_route.name if team_route else "",
+                "urgency": team_route.urgency.value if team_route else "",
                 "code": str(code.value),
             }
         )
--- a/packages/daemon/src/martenquay_daemon/configuration/changes.py
+++ b/packages/daemon/src/martenquay_daemon/configuration/changes.py
@@ -1,4 +1,4 @@
-"""Put an operator's change into the log and tell its verdict."""
+"""Append operators' configuration changes to the log."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
     from martenquay_daemon.configuration import store
     from martenquay_daemon.membership import links, table
 
-__all__ = ["ChangeDesk", "Spread"]
+__all__ = ["ChangeSubmitter", "PropagationStatus"]
 
 _LOG = logs.create_log("configuration")
-_READ_BACK_S = 5.0
+_VERDICT_TIMEOUT_S = 5.0
 
-_CODES = {
+_CODES_BY_VERDICT = {
     fold.Verdict.CONFLICT: results.ResultCode.CONFLICT,
     fold.Verdict.FORBIDDEN: results.ResultCode.FORBIDDEN,
     fold.Verdict.INVALID: results.ResultCode.INVALID_VALUE,
@@ -32,23 +32,23 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Spread:
-    """Where a change is in force.
+class PropagationStatus:
+    """Availability zones in which a change is in force.
 
     Attributes:
-        reported: Availability zones all of whose daemons report it.
-        missing: Zones that have not reported it, or have no daemon alive.
+        reported: Zones in which all daemons report it.
+        missing: Zones in which a daemon has not reported it, or none is alive.
     """
 
     reported: list[str]
     missing: list[str]
 
 
-class ChangeDesk:
-    """Take changes from operators.
+class ChangeSubmitter:
+    """Appends changes to the log and waits for their verdicts.
 
-    A change counts as accepted only once this daemon has read its own record
-    back and judged it, as every other daemon will.
+    The log's order decides between concurrent changes, so a change is accepted
+    only once this daemon has read its record back from the log and applied it.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         members: table.MemberTable,
         peers: links.PeerLinks,
         zones: list[str],
-        spread_s: float,
+        propagation_timeout_s: float,
     ) -> None:
         self._client = client
         self._config = config
@@ -67,23 +67,26 @@
         self._members = members
         self._peers = peers
         self._zones = zones
-        self._spread_s = spread_s
+        self._propagation_timeout_s = propagation_timeout_s
 
     async def submit(
         self, change: records.Change
     ) -> Result[fold.Judgement, results.Failure]:
         """Append a change and wait for its verdict.
 
-        The same change id sent again gives the first verdict again, so an
-        operator may repeat a change whose outcome is unknown.
+        Idempotent by change id: an operator may repeat a change whose outcome
+        is unknown, and gets the first verdict.
+
+        Returns:
+            The judgement if the change was accepted, else a failure.
         """
         known = self._find_judgement(change.change_id)
         if known is not None:
-            return _judge(known)
+            return _convert_judgement(known)
         payload = records.encode_change(change, self._signer)
         appended = await self._client.append(follower.CONFIG_STREAM, [payload])
         _LOG.write(
-            f"Operator {change.operator} asked to change {change.key}.",
+            f"Submitted operator {change.operator}'s change to {change.key}.",
             change=change.change_id,
             base=change.base_version,
         )
@@ -94,49 +97,55 @@
             code = results.ResultCode.CHANGE_NOT_MADE
             message = f"the log refused: {appended.error.message}"
             return Error(results.Failure(code, message, retry_after_s=2.0))
-        with trio.move_on_after(_READ_BACK_S):
-            return _judge(await self._read_back(change.change_id))
+        with trio.move_on_after(_VERDICT_TIMEOUT_S):
+            return _convert_judgement(
+                await self._wait_for_judgement(change.change_id)
+            )
         code = results.ResultCode.CHANGE_UNKNOWN
         message = f"no verdict yet; ask again with id {change.change_id}"
         return Error(results.Failure(code, message, retry_after_s=2.0))
 
-    async def wait_in_force(self, offset: int) -> Spread:
-        """Wait until every daemon reports the offset, or name missing zones.
+    async def wait_in_force(self, offset: int) -> PropagationStatus:
+        """Wait until every daemon has applied an offset, or for a time limit.
 
-        Each daemon is asked once and answers when it has the offset in force.
+        Each daemon is asked once and answers when it has applied the offset.
         """
         members = self._members.list_serving()
         reporting: set[str] = set()
 
         async def ask(member: messages.MemberUpdate) -> None:
-            if await self._wait_at(member.member, offset):
+            if await self._wait_applied_at(member.member, offset):
                 reporting.add(member.member)
 
-        with trio.move_on_after(self._spread_s):
+        with trio.move_on_after(self._propagation_timeout_s):
             async with trio.open_nursery() as nursery:
                 for member in members:
                     nursery.start_soon(ask, member)
-        served = {member.zone for member in members}
-        silent = {m.zone for m in members if m.member not in reporting}
-        whole = served - silent
-        return Spread(
-            [zone for zone in self._zones if zone in whole],
-            [zone for zone in self._zones if zone not in whole],
+        serving_zones = {member.zone for member in members}
+        unreported_zones = {
+            m.zone for m in members if m.member not in reporting
+        }
+        complete_zones = serving_zones - unreported_zones
+        return PropagationStatus(
+            [zone for zone in self._zones if zone in complete_zones],
+            [zone for zone in self._zones if zone not in complete_zones],
         )
 
-    async def _wait_at(self, member: str, offset: int) -> bool:
+    async def _wait_applied_at(self, member: str, offset: int) -> bool:
         if member == self._members.me.member:
             await self._config.applied.wait_for(offset)
             return True
-        message = messages.WaitApplied(offset, self._spread_s)
-        reply = await self._peers.request(member, message, self._spread_s)
+        message = messages.WaitApplied(offset, self._propagation_timeout_s)
+        reply = await self._peers.request(
+            member, message, self._propagation_timeout_s
+        )
         match reply:
             case Result(tag="ok", ok=messages.AppliedReply(applied=applied)):
                 return applied >= offset
             case _:
                 return False
 
-    async def _read_back(self, change_id: str) -> fold.Judgement:
+    async def _wait_for_judgement(self, change_id: str) -> fold.Judgement:
         while True:
             applied = self._config.applied.value
             known = self._find_judgement(change_id)
@@ -145,13 +154,15 @@
             await self._config.applied.wait_beyond(applied)
 
     def _find_judgement(self, change_id: str) -> fold.Judgement | None:
-        own = self._config.state.partners[self._signer.partner]
-        return own.judged.get(change_id)
+        partner_state = self._config.state.partners[self._signer.partner]
+        return partner_state.judged.get(change_id)
 
 
-def _judge(
+def _convert_judgement(
     judgement: fold.Judgement,
 ) -> Result[fold.Judgement, results.Failure]:
     if judgement.verdict is fold.Verdict.ACCEPTED:
         return Ok(judgement)
-    return Error(results.Failure(_CODES[judgement.verdict], judgement.reason))
+    return Error(
+        results.Failure(_CODES_BY_VERDICT[judgement.verdict], judgement.reason)
+    )
--- a/packages/daemon/src/martenquay_daemon/configuration/follower.py
+++ b/packages/daemon/src/martenquay_daemon/configuration/follower.py
@@ -1,4 +1,4 @@
-"""Follow the configuration: from the log, or else from peers."""
+"""Keep the configuration up to date from the log, or else from peers."""
 
 from __future__ import annotations
 
@@ -23,17 +23,19 @@
 _LOG = logs.create_log("configuration")
 CONFIG_STREAM = "config"
 SNAPSHOT_STREAM = "config-snapshots"
-_WAIT_S = 20.0
+_LONG_POLL_S = 20.0
 _PEER_TIMEOUT_S = 1.0
 _RETRY_S = 0.25
-_GRACE_S = 0.25
+# How long the log may be behind a peer before that one is asked.
+_LOG_DELAY_S = 0.25
 
 
 class ConfigFollower:
-    """Keep the store up to date.
+    """Reads configuration records and snapshots into the store.
 
     Attributes:
-        ready: Set once the store holds a configuration without a gap.
+        ready: Set once the store has all records up to the end of the log, or
+            up to the offset of a peer that answered.
     """
 
     def __init__(
@@ -54,7 +56,7 @@
         self._peers = peers
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Read until cancelled."""
         await self._read_snapshots()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._watch_peers)
@@ -62,9 +64,9 @@
 
     async def _follow_log(self) -> None:
         while True:
-            # Before the first page, and after a failure, an answer at once
-            # says more than one that waits for news.
-            wait_s = _WAIT_S if self.ready.is_set() else 0.0
+            # Before the first page and after a failure, a long poll would
+            # delay `ready` and the end of the outage by up to its wait.
+            wait_s = _LONG_POLL_S if self.ready.is_set() else 0.0
             if not self._health.is_up:
                 wait_s = 0.0
             page = await self._client.read(
@@ -78,20 +80,20 @@
                 continue
             self._health.note_answer()
             if self._config.can_continue(page.ok.start):
-                self._take_page(page.ok)
+                self._apply_page(page.ok)
             else:
                 await self._close_gap(page.ok.start)
 
     async def _watch_peers(self) -> None:
-        """Ask a peer that is ahead when the log itself says nothing.
+        """Fetch from peers that are ahead when the log gives no records.
 
-        A log that cannot be reached may look like one without news, so what
-        the peers have in force is the better sign.
+        A log that can't be reached may look like one without new records, so
+        the offsets that peers gossip are compared with the one in force here.
         """
         highest = self._members.highest_applied
         while True:
             await highest.wait_beyond(self._config.applied.value)
-            with trio.move_on_after(_GRACE_S):
+            with trio.move_on_after(_LOG_DELAY_S):
                 await self._config.applied.wait_for(highest.value)
                 continue
             applied = self._config.applied.value
@@ -99,7 +101,7 @@
             if self._config.applied.value == applied:
                 await trio.sleep(_RETRY_S)
 
-    def _take_page(self, page: log.LogPage) -> None:
+    def _apply_page(self, page: log.LogPage) -> None:
         for record in page.records:
             self._config.apply(record.offset, record.payload)
         self._members.announce_applied(self._config.applied.value)
@@ -107,14 +109,16 @@
             self.ready.set()
 
     async def _close_gap(self, start: int) -> None:
-        _LOG.write(f"Records before {start} are gone; looking for a snapshot.")
+        _LOG.write(
+            f"The log has no records before {start}; looking for a snapshot."
+        )
         await self._read_snapshots()
         if not self._config.can_continue(start):
             await self._ask_peers(self._list_peers())
             await trio.sleep(_RETRY_S)
 
     async def _read_snapshots(self) -> None:
-        """Read the snapshots that the log holds and take the newest."""
+        """Read the snapshots in the log; apply each partner's newest."""
         buffer = snapshot.SnapshotBuffer(self._verifier)
         offset = 1
         while True:
@@ -124,11 +128,11 @@
             for record in page.ok.records:
                 buffer.add(record.payload)
                 offset = record.offset + 1
-        self._config.take_snapshots(buffer)
-        self._keep_whole(buffer)
+        self._config.apply_snapshots(buffer)
+        self._keep_complete_snapshots(buffer)
 
     def _list_peers(self) -> list[str]:
-        """Return all other daemons, those of the own zone first."""
+        """Return all other serving daemons, this daemon's zone first."""
         me = self._members.me
         peers = sorted(
             self._members.list_serving(),
@@ -137,25 +141,25 @@
         return [peer.member for peer in peers if peer.member != me.member]
 
     async def _ask_peers(self, peers: list[str]) -> None:
-        """Ask one peer after the other until one answers."""
+        """Fetch the configuration from the first peer that answers."""
         for member in peers:
             message = messages.FetchConfig(self._config.applied.value + 1)
             reply = await self._peers.request(member, message, _PEER_TIMEOUT_S)
             match reply:
                 case Result(tag="ok", ok=messages.ConfigReply() as found):
-                    self._take_reply(member, found)
+                    self._apply_reply(member, found)
                     return
                 case _:
                     continue
 
-    def _take_reply(self, peer: str, reply: messages.ConfigReply) -> None:
+    def _apply_reply(self, peer: str, reply: messages.ConfigReply) -> None:
         before = self._config.applied.value
         if reply.chunks:
             buffer = snapshot.SnapshotBuffer(self._verifier)
             for chunk in reply.chunks:
                 buffer.add(chunk)
-            self._config.take_snapshots(buffer)
-            self._keep_whole(buffer)
+            self._config.apply_snapshots(buffer)
+            self._keep_complete_snapshots(buffer)
         first = reply.records[0][0] if reply.records else reply.applied + 1
         if not self._config.can_continue(first):
             return
@@ -166,11 +170,11 @@
             self.ready.set()
         if self._config.applied.value > before:
             _LOG.write(
-                f"Took the configuration up to {self._config.applied.value} "
-                f"from {peer}, for the log has not given it."
+                f"Applied the configuration up to {self._config.applied.value} "
+                f"from peer {peer}, as the log did not deliver it."
             )
 
-    def _keep_whole(self, buffer: snapshot.SnapshotBuffer) -> None:
+    def _keep_complete_snapshots(self, buffer: snapshot.SnapshotBuffer) -> None:
         for partner, chunks in buffer.whole_chunks().items():
             applied = buffer.best[partner].applied
             self._config.keep_chunks(partner, applied, chunks)
--- a/packages/daemon/src/martenquay_daemon/deferrable/manager.py
+++ b/packages/daemon/src/martenquay_daemon/deferrable/manager.py
@@ -24,17 +24,17 @@
 __all__ = ["DeferrableManager", "TicketState"]
 
 _LOG = logs.create_log("deferrable")
-_FETCH_S = 2.0
-_LOG_RETRY_S = 2.0
+_FETCH_TIMEOUT_S = 2.0
+_LOG_RETRY_AFTER_S = 2.0
 
 
 @dataclasses.dataclass(frozen=True)
 class TicketState:
-    """What is known of a ticket.
+    """State of the deferrable request with a given ticket.
 
     Attributes:
-        known: It was accepted.
-        answer: The answer, None while there is none or it cannot be read.
+        known: Whether the request was accepted.
+        answer: The answer, or None while it is missing or cannot be read.
     """
 
     known: bool
@@ -42,7 +42,12 @@
 
 
 class DeferrableManager:
-    """The deferrable requests of one partner, as one daemon knows them."""
+    """Accepts deferrable requests of one partner and looks up their answers.
+
+    Each request belongs to the shard of its ticket. A daemon can append to any
+    shard, but follows only those that the shard map assigns to it and those of
+    tickets that no other daemon could look up.
+    """
 
     def __init__(
         self,
@@ -51,50 +56,56 @@
         shard_map: shards.ShardMap,
         peers: links.PeerLinks,
         config_applied: progress.Progress,
-        spacing_s: float,
+        min_interval_s: float,
     ) -> None:
         self._client = client
         self._health = log_health
-        self._map = shard_map
+        self._shard_map = shard_map
         self._peers = peers
         self._config_applied = config_applied
-        self._spacing_s = spacing_s
+        self._min_interval_s = min_interval_s
         self._shards: dict[int, shard.WorkShard] = {}
         self._followed: set[int] = set()
         self._nursery: trio.Nursery | None = None
 
-    def start_in(self, nursery: trio.Nursery) -> None:
-        """Run the streams' tasks in a nursery."""
+    def set_nursery(self, nursery: trio.Nursery) -> None:
+        """Set the nursery that runs the tasks of the shards."""
         self._nursery = nursery
 
     def follow_own(self) -> None:
-        """Follow the streams that the membership gives this daemon."""
-        for number in self._map.list_own():
-            self._follow(number)
+        """Follow the shards that the shard map assigns to this daemon."""
+        for number in self._shard_map.list_own():
+            self._ensure_followed(number)
 
     def list_followed(self) -> list[tuple[int, shard.WorkShard]]:
-        """Return the streams that are followed here."""
+        """Return the followed shards with their numbers."""
         return [(number, self._shards[number]) for number in self._followed]
 
-    def list_open(self) -> list[table.Work]:
-        """Return the open requests of the streams followed here."""
+    def list_open(self) -> list[table.OpenRequest]:
+        """Return the unanswered requests of the followed shards."""
         return [
-            work
-            for _, own in self.list_followed()
-            for work in own.works.list_open()
+            request
+            for _, work_shard in self.list_followed()
+            for request in work_shard.requests.list_open()
         ]
 
     async def accept(
         self, ticket: str, team: str, route: str, body: bytes
     ) -> Result[str, results.Failure]:
-        """Put a request into the log; only then is it accepted."""
+        """Append a request to the log.
+
+        Returns:
+            The ticket once the request is stored, otherwise why it was not
+            accepted or may not have been.
+        """
         if not self._health.is_up:
-            return Error(_explain_log_down())
-        own = self._find_shard(self._map.find_shard(ticket))
-        written = await own.write_content(body)
+            return Error(_create_log_down_failure())
+        work_shard = self._get_shard(self._shard_map.find_shard(ticket))
+        written = await work_shard.write_content(body)
         if written.is_error():
-            # A body without its record is nothing.
-            return Error(_explain_log_down())
+            # Even if the body was appended: without an `Accepted` record that
+            # refers to it, the request does not exist.
+            return Error(_create_log_down_failure())
         record = records.Accepted(
             ticket=ticket,
             team=team,
@@ -104,75 +115,80 @@
             offset=written.ok.offset,
             count=written.ok.count,
         )
-        match await own.append(record):
+        match await work_shard.append(record):
             case Result(tag="ok"):
-                _LOG.write(f"Accepted {ticket} for {team}.", ticket=ticket)
+                _LOG.write(
+                    f"Accepted deferrable request {ticket} of team {team}.",
+                    ticket=ticket,
+                )
                 return Ok(ticket)
             case Result(
                 error=outcome.PlatformFailure(effect=outcome.Effect.NOT_DONE)
             ):
-                return Error(_explain_log_down())
+                return Error(_create_log_down_failure())
             case _:
                 code = results.ResultCode.UNKNOWN_ANSWER_LOST
                 message = f"it may have been accepted; ask for ticket {ticket}"
-                return Error(results.Failure(code, message, _LOG_RETRY_S))
+                return Error(results.Failure(code, message, _LOG_RETRY_AFTER_S))
 
     async def fetch(self, ticket: str) -> TicketState:
-        """Return what is known of a ticket, here or at a peer."""
-        number = self._map.find_shard(ticket)
+        """Return the state of a ticket, from a peer if it follows the shard."""
+        number = self._shard_map.find_shard(ticket)
         if number not in self._followed:
             message = messages.FetchAnswer(ticket)
-            for member in self._map.list_followers(number):
-                reply = await self._peers.request(member, message, _FETCH_S)
+            for member in self._shard_map.list_followers(number):
+                reply = await self._peers.request(
+                    member, message, _FETCH_TIMEOUT_S
+                )
                 match reply:
                     case Result(tag="ok", ok=messages.AnswerReply() as found):
                         return TicketState(found.known, found.answer)
                     case _:
                         continue
-        return await self._look_up(number, ticket)
+        return await self._read_state(number, ticket)
 
     async def fetch_for_peer(
         self, message: messages.FetchAnswer
     ) -> messages.Message:
-        """Answer a peer's question for a ticket."""
-        number = self._map.find_shard(message.ticket)
-        state = await self._look_up(number, message.ticket)
+        """Return the state of a ticket to a peer."""
+        number = self._shard_map.find_shard(message.ticket)
+        state = await self._read_state(number, message.ticket)
         return messages.AnswerReply(state.known, state.answer)
 
-    async def _look_up(self, number: int, ticket: str) -> TicketState:
-        own = self._follow(number)
-        await own.catch_up(_FETCH_S)
-        place = own.works.find_answer(ticket)
-        if place is not None:
-            return TicketState(True, await own.read_content(place))
-        return TicketState(own.works.find_open(ticket) is not None)
+    async def _read_state(self, number: int, ticket: str) -> TicketState:
+        work_shard = self._ensure_followed(number)
+        await work_shard.catch_up(_FETCH_TIMEOUT_S)
+        location = work_shard.requests.find_answer(ticket)
+        if location is not None:
+            return TicketState(True, await work_shard.read_content(location))
+        return TicketState(work_shard.requests.find_open(ticket) is not None)
 
-    def _follow(self, number: int) -> shard.WorkShard:
-        own = self._find_shard(number)
+    def _ensure_followed(self, number: int) -> shard.WorkShard:
+        work_shard = self._get_shard(number)
         if number not in self._followed:
-            assert self._nursery is not None, "the desk is not running"
+            assert self._nursery is not None, "the worker is not running"
             self._followed.add(number)
-            self._nursery.start_soon(own.run_follower)
-            _LOG.write(f"Follow work stream {number}.", shard=number)
-        return own
+            self._nursery.start_soon(work_shard.run_follower)
+            _LOG.write(f"Started to follow work shard {number}.", shard=number)
+        return work_shard
 
-    def _find_shard(self, number: int) -> shard.WorkShard:
+    def _get_shard(self, number: int) -> shard.WorkShard:
         found = self._shards.get(number)
         if found is None:
-            assert self._nursery is not None, "the desk is not running"
+            assert self._nursery is not None, "the worker is not running"
             found = self._shards[number] = shard.create_shard(
                 self._client,
-                self._map.name_stream(number),
+                self._shard_map.name_stream(number),
                 self._health,
-                self._spacing_s,
+                self._min_interval_s,
             )
             self._nursery.start_soon(found.run_appenders)
         return found
 
 
-def _explain_log_down() -> results.Failure:
+def _create_log_down_failure() -> results.Failure:
     return results.Failure(
         results.ResultCode.NOT_RUN_LOG_DOWN,
         "the log, which has to keep the request, does not answer",
-        _LOG_RETRY_S,
+        _LOG_RETRY_AFTER_S,
     )
--- a/packages/daemon/src/martenquay_daemon/deferrable/table.py
+++ b/packages/daemon/src/martenquay_daemon/deferrable/table.py
@@ -1,31 +1,28 @@
-"""Fold a work stream: what is accepted and not yet answered, and the answers.
-
-The first answer in the log's order is the answer, so that it is one and the
-same wherever and however often it is fetched.
-"""
+"""State of a work stream: unanswered requests and offsets of the answers."""
 
 from __future__ import annotations
 
 import dataclasses
 
 from martenquay_daemon.deferrable import records
-from martenquay_daemon.journal import archive
+from martenquay_daemon.journal import offset_index
 
-__all__ = ["Work", "WorkTable", "find_team"]
+__all__ = ["OpenRequest", "WorkTable", "find_team"]
 
 
 @dataclasses.dataclass
-class Work:
-    """One accepted request without an answer.
+class OpenRequest:
+    """An accepted request without an answer.
 
     Attributes:
-        ticket: Names it.
-        team: Who pays.
-        route: What was asked for.
-        written_at: When its newest record was written, in epoch seconds.
-        config_offset: The configuration by which it was accepted.
-        body: Where its body stands in the content stream.
-        is_answered: The log holds an answer by now.
+        ticket: ID of the request.
+        team: Team that sent it.
+        route: Name of the requested route.
+        written_at: When its newest record was written, in seconds since the
+            epoch.
+        config_offset: Offset of the configuration that accepted it.
+        body: Records of its body in the content stream.
+        is_answered: Whether an answer was read from the log since.
     """
 
     ticket: str
@@ -33,23 +30,27 @@
     route: str
     written_at: float
     config_offset: int
-    body: archive.Place
+    body: offset_index.RecordRange
     is_answered: bool = False
 
 
 class WorkTable:
-    """The accepted requests of one stream."""
+    """The accepted requests of one work stream.
+
+    The first answer in the log is the one that counts, so that each daemon
+    returns the same answer however often it is fetched.
+    """
 
     def __init__(self) -> None:
-        self._open: dict[str, Work] = {}
-        self._answers = archive.Archive()
+        self._open_requests: dict[str, OpenRequest] = {}
+        self._answers = offset_index.OffsetIndex()
 
     def __len__(self) -> int:
-        """Return how many requests are remembered."""
-        return len(self._open) + len(self._answers)
+        """Return the number of requests, answered or not."""
+        return len(self._open_requests) + len(self._answers)
 
     def apply(self, offset: int, raw: bytes) -> None:
-        """Fold the next record in."""
+        """Apply the next record of the stream; ignore an unknown one."""
         match records.decode(raw):
             case records.Accepted() as accepted:
                 self._apply_accepted(accepted)
@@ -58,38 +59,38 @@
             case None:
                 pass
 
-    def find_open(self, ticket: str) -> Work | None:
-        """Return a request without an answer, or None."""
-        return self._open.get(ticket)
+    def find_open(self, ticket: str) -> OpenRequest | None:
+        """Return the unanswered request with this ticket, or None."""
+        return self._open_requests.get(ticket)
 
-    def find_answer(self, ticket: str) -> archive.Place | None:
-        """Return where an answer stands in the content stream, or None."""
+    def find_answer(self, ticket: str) -> offset_index.RecordRange | None:
+        """Return the records of an answer in the content stream, or None."""
         return self._answers.find(ticket)
 
-    def list_open(self) -> list[Work]:
-        """Return the requests without an answer."""
-        return list(self._open.values())
+    def list_open(self) -> list[OpenRequest]:
+        """Return the unanswered requests."""
+        return list(self._open_requests.values())
 
     def forget_before(self, offset: int) -> None:
-        """Drop answers that the log itself has forgotten.
+        """Remove answers that the log no longer retains.
 
-        A request without an answer is kept: it is still owed one.
+        Unanswered requests stay, because their callers wait for an answer.
         """
         self._answers.forget_before(offset)
 
     def _apply_accepted(self, accepted: records.Accepted) -> None:
         if self._answers.find(accepted.ticket) is not None:
             return
-        body = archive.Place(accepted.offset, accepted.count)
-        known = self._open.get(accepted.ticket)
-        if known is not None:
-            # A caller who was not sure may have sent it again; the first
-            # body counts, wherever it was carried to since.
+        body = offset_index.RecordRange(accepted.offset, accepted.count)
+        existing = self._open_requests.get(accepted.ticket)
+        if existing is not None:
+            # A caller that retries an uncertain request may send another body.
+            # The first body counts; only a renewal may change its offset.
             if accepted.is_carried:
-                known.written_at = accepted.written_at
-                known.body = body
+                existing.written_at = accepted.written_at
+                existing.body = body
             return
-        self._open[accepted.ticket] = Work(
+        self._open_requests[accepted.ticket] = OpenRequest(
             accepted.ticket,
             accepted.team,
             accepted.route,
@@ -103,13 +104,13 @@
     ) -> None:
         if self._answers.find(completed.ticket) is not None:
             return
-        place = archive.Place(completed.offset, completed.count)
-        self._answers.add(completed.ticket, offset, place)
-        work = self._open.pop(completed.ticket, None)
-        if work is not None:
-            work.is_answered = True
+        location = offset_index.RecordRange(completed.offset, completed.count)
+        self._answers.add(completed.ticket, offset, location)
+        request = self._open_requests.pop(completed.ticket, None)
+        if request is not None:
+            request.is_answered = True
 
 
 def find_team(ticket: str) -> str:
-    """Return the team that a ticket belongs to."""
+    """Return the name of the team that a ticket belongs to."""
     return ticket.partition(".")[0]
--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -155,7 +155,7 @@
         """Listen and serve the links until cancelled."""
         router = sockets.bind_router(self._context, self._own_address.address)
         self.address = self._announced or router.address
-        self._zone.move_to(self.address)
+        self._zone.set_address(self.address)
         try:
             async with trio.open_nursery() as nursery:
                 self._nursery = nursery
@@ -192,7 +192,7 @@
         """Return whether this daemon holds the quota that it needs."""
         return self.is_mesh() or self._zone.is_quota_hub()
 
-    def find_quota_hub(self) -> zone_mode.Keeper | None:
+    def find_quota_hub(self) -> zone_mode.QuotaHub | None:
         """Return the hub to delegate to, if one is needed and reports."""
         return None if self.is_mesh() else self._zone.find_quota_hub()
 
@@ -226,18 +226,18 @@
 
     def is_mesh(self) -> bool:
         """Return whether each daemon is linked to all others."""
-        return len(self._known) <= topology.FULL_MESH
+        return len(self._known) <= topology.MAX_MESH_PEERS
 
     def needs_log(self) -> bool:
         """Return whether this daemon has to follow the log itself.
 
         In a large fleet the hubs follow it and pass changes on.
         """
-        return self.is_mesh() or not self._zone.is_served()
+        return self.is_mesh() or not self._zone.is_log_relayed()
 
     def leads_reading(self) -> bool:
         """Return whether other daemons rely on this one to read the log."""
-        return self.is_mesh() or self._zone.leads()
+        return self.is_mesh() or self._zone.is_log_reader()
 
     async def _receive_requests(self, router: sockets.PeerSocket) -> None:
         while True:
@@ -324,7 +324,7 @@
         self._nursery.start_soon(answer_request)
 
     def _handle_digest(self, digest: messages.Digest) -> None:
-        if not self._view.take(digest):
+        if not self._view.apply_digest(digest):
             return
         self.add_peer(
             topology.PeerAddress(digest.address, digest.zone, digest.capacity)
@@ -336,8 +336,8 @@
         if self.is_mesh():
             self.listeners.apply_digest(digest)
         elif digest.zone == self._own_address.zone:
-            delegation = digest.loan
-            reported_at = delegation and self._zone.find_reported(
+            delegation = digest.delegation
+            reported_at = delegation and self._zone.find_report_time(
                 delegation.heard
             )
             self.listeners.apply_subscriber_digest(digest, reported_at)
@@ -426,7 +426,8 @@
         if self.is_mesh():
             return intervals.silent_s
         return max(
-            intervals.silent_s, timing.LOST_REPORTS * self._zone.report_s
+            intervals.silent_s,
+            timing.LOST_REPORTS * self._zone.report_interval_s,
         )
 
     def _is_digest_due(self, intervals: timing.GossipIntervals) -> bool:
@@ -444,7 +445,9 @@
         self._digest_sent_at = trio.current_time()
         self._digest_wake = trio.Event()
         if not self.is_mesh():
-            self._send_to_hubs(self._zone.create_notes(self._own_digest))
+            self._send_to_hubs(
+                self._zone.create_digest_messages(self._own_digest)
+            )
             return
         raw = messages.encode_message(messages.DigestMessage(self._own_digest))
         for address in list(self._links):
@@ -493,7 +496,7 @@
                 digest.log_age_ms,
             )
         if not self.is_mesh():
-            yield from self._zone.list_states()
+            yield from self._zone.list_peer_states()
 
     def _list_peers(self) -> list[messages.PeerEntry]:
         own = dataclasses.replace(self._own_address, address=self.address)
--- a/packages/daemon/src/martenquay_daemon/forwarding/request_lines.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/request_log.py
@@ -1,4 +1,4 @@
-"""Write what became of a request, and of each attempt at it."""
+"""Log lines and metrics of each request and each attempt at it."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 import trio
 
 from martenquay_core import logs
-from martenquay_daemon.forwarding import departure, exchange
+from martenquay_daemon.forwarding import disconnects, exchange
 
 if TYPE_CHECKING:
     from martenquay_daemon.discovery import catalog_store
     from martenquay_daemon.engines import placer
     from martenquay_daemon.forwarding import metrics
 
-__all__ = ["RequestLines"]
+__all__ = ["RequestLog"]
 
 _LOG = logs.create_log("forwarding")
 
 
-class RequestLines:
-    """The lines and counts of one daemon's requests."""
+class RequestLog:
+    """Logs and counts the outcomes of requests and their attempts."""
 
     def __init__(
         self,
@@ -30,13 +30,13 @@
         self._store = store
         self._metrics = counts
 
-    def note_attempt(
+    def log_attempt(
         self,
         current: exchange.Exchange,
         placement: placer.Placement,
         result: exchange.AttemptResult,
     ) -> None:
-        """Note an attempt, what decided it and what came of it."""
+        """Log an attempt: its runner, the reasons for it and its outcome."""
         outcome = type(result).__name__
         self._metrics.count_attempt(current.service, outcome)
         first_event_s = current.first_event_s
@@ -56,32 +56,39 @@
             unread=placement.unread_tokens,
             has_free_slot=placement.has_free_slot,
             entries_age_ms=current.entries_age_ms,
-            events=current.events,
+            events=current.events_delivered,
             detail=getattr(result, "reason", None)
             or getattr(result, "status", None),
-            content=current.content or None,
+            content=current.content_digest or None,
             has_runner_ended=current.has_runner_ended,
-            runner_limit_per_s=current.told.limit_per_s,
-            runner_leaves=current.told.is_leaving or None,
-            runner_rest_s=current.told.rest_s,
+            runner_limit_per_s=current.reported_signals.limit_per_s,
+            runner_leaves=current.reported_signals.is_leaving or None,
+            runner_rest_s=current.reported_signals.retry_after_s,
         )
 
-    def note_departure(self, current: exchange.Exchange) -> None:
-        """Note that the caller has left."""
-        departure.log_departure(
+    def log_disconnect(self, current: exchange.Exchange) -> None:
+        """Log that the caller disconnected before its answer was complete."""
+        disconnects.log_disconnect(
             current.call.id,
             current.stage,
             current.received_at,
             route=current.route.name,
             team=current.team and current.team.name,
             attempts=current.attempts,
-            events=current.events,
+            events=current.events_delivered,
         )
 
-    def note_end(
+    def log_end(
         self, current: exchange.Exchange, outcome: str, status: int
     ) -> None:
-        """Note how the request ended."""
+        """Log the end of a request.
+
+        Args:
+            current: The request.
+            outcome: How it ended, for the text of the line.
+            status: The HTTP status of a runner's answer; 0 for a stream,
+                complete or cut off.
+        """
         elapsed_s = trio.current_time() - current.received_at
         self._metrics.note_answer(current.service, elapsed_s)
         _LOG.write(
@@ -91,11 +98,11 @@
             team=current.team and current.team.name,
             status=status,
             units=current.units,
-            kept_at=current.granted.kept_at,
-            there=round(current.granted.units.there),
-            owed=round(current.granted.units.owed),
+            kept_at=current.admission.kept_at,
+            there=round(current.admission.units.there),
+            owed=round(current.admission.units.owed),
             attempts=current.attempts,
-            events=current.events,
+            events=current.events_delivered,
             elapsed_ms=round(elapsed_s * 1000, 1),
             version=self._store.version,
         )
--- a/packages/daemon/src/martenquay_daemon/forwarding/retry_detector.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/retry_detector.py
@@ -1,4 +1,4 @@
-"""Tell which requests come for the second time, by the time they have left."""
+"""Estimate how long callers have been retrying, by their time budgets."""
 
 from __future__ import annotations
 
@@ -6,34 +6,32 @@
 
 __all__ = ["RetryDetector"]
 
-# The longest time of a route's callers is learnt anew after so long, for
-# operators may shorten it.
-_MEMORY_S = 60.0
+# Callers' budgets may be shortened, so the maximum of a route expires.
+_RELEARN_AFTER_S = 60.0
 
 
 class RetryDetector:
-    """How long the callers of each route wait in all.
+    """Remembers the largest time budget of each route's callers.
 
-    Each attempt of a caller has an id of its own, but the time that it says it
-    will wait grows less.
+    A caller sends each retry under a new id, but with the rest of its original
+    budget, so a smaller budget shows for how long it has been trying.
     """
 
     def __init__(self) -> None:
-        self._longest: dict[str, tuple[float, float]] = {}
+        self._max_budgets: dict[str, tuple[float, float]] = {}
 
-    def find_elapsed(self, route: str, left_s: float | None) -> float:
-        """Return for how long a caller has likely been trying, in seconds.
+    def find_elapsed(self, route: str, remaining_s: float | None) -> float:
+        """Return the estimated time since a caller's first try, in seconds.
 
         Args:
-            route: The request's route.
-            left_s: The time that the caller says it will wait; None if it
-                does not say.
+            route: Name of the request's route.
+            remaining_s: The time budget in the request; None if it has none.
         """
-        if left_s is None:
+        if remaining_s is None:
             return 0.0
         now = trio.current_time()
-        longest_s, noted_at = self._longest.get(route, (0.0, now))
-        if left_s >= longest_s or now - noted_at > _MEMORY_S:
-            longest_s = left_s
-            self._longest[route] = (left_s, now)
-        return max(0.0, longest_s - left_s)
+        max_budget_s, noted_at = self._max_budgets.get(route, (0.0, now))
+        if remaining_s >= max_budget_s or now - noted_at > _RELEARN_AFTER_S:
+            max_budget_s = remaining_s
+            self._max_budgets[route] = (remaining_s, now)
+        return max(0.0, max_budget_s - remaining_s)
--- a/packages/daemon/src/martenquay_daemon/membership/directory.py
+++ b/packages/daemon/src/martenquay_daemon/membership/directory.py
@@ -1,4 +1,4 @@
-"""Know the runners of each pool and keep out those that are leaving."""
+"""Follow the platform's instance list and list each pool's usable runners."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
 __all__ = ["InstanceFollower", "NoticeFollower", "RunnerDirectory"]
 
 _LOG = logs.create_log("membership")
-_RETRY_S = 0.25
+_NOTICE_RETRY_S = 0.25
 _NOTICE_WAIT_S = 20.0
 
 Runner = instances.Instance
 
 
 class RunnerDirectory:
-    """The runners that may get new work.
+    """Runners of the instance list, without leaving ones in the pools.
 
     Attributes:
-        version: Raised whenever some pool's runners change.
+        version: Incremented whenever the runners of a pool change.
     """
 
     def __init__(
@@ -44,14 +44,14 @@
         self._runners: dict[str, Runner] = {}
         self._pools: dict[tuple[str, str], list[Runner]] = {}
         self._leaving_listeners: list[Callable[[str], None]] = []
-        members.listen_for_leaving(self._take_leaving)
+        members.listen_for_leaving(self._handle_leaving)
 
     def listen_for_leaving(self, listener: Callable[[str], None]) -> None:
-        """Have a function called with each runner that starts to leave."""
+        """Register a callback for the name of each runner that is leaving."""
         self._leaving_listeners.append(listener)
 
     def replace_all(self, runners: list[Runner]) -> None:
-        """Take a new reading of the instance list."""
+        """Replace the runners by those of a newly read instance list."""
         for runner in runners:
             if runner.state is instances.InstanceState.LEAVING:
                 self._members.merge(messages.RunnerLeaving(runner.name))
@@ -61,15 +61,14 @@
             self._rebuild()
 
     def list_pool(self, partner: str, pool: str) -> list[Runner]:
-        """Return the pool's own runners that may get new work."""
+        """Return the pool's own runners, without leaving ones."""
         return self._pools.get((partner, pool), [])
 
     def list_lent(self, partner: str, pool: str) -> list[Runner]:
         """Return other partners' runners that are lent to a pool.
 
-        The lent part of a pool is whole runners, the same ones for all
-        daemons: a borrower's prompts push the lender's out of the caches of
-        these runners only.
+        All daemons lend the same whole runners. The borrower's prompts evict
+        the lender's from the prefix caches of these runners only.
         """
         lent: list[Runner] = []
         for key, _ in self._config.state.iterate(objects.Kind.SHARE):
@@ -78,29 +77,29 @@
                 continue
             if share.to == partner and share.serves == pool:
                 runners = self.list_pool(key.partner, share.pool)
-                lent.extend(_choose_part(str(key), runners, share.fraction))
+                lent.extend(_choose_lent(str(key), runners, share.fraction))
         return lent
 
     def list_all(self) -> list[Runner]:
-        """Return every runner of the list, leaving ones too."""
+        """Return all listed runners, also leaving ones."""
         return list(self._runners.values())
 
     def count_daemons(self) -> int:
-        """Return how many daemons of the own partner are serving."""
+        """Return the number of serving daemons of this daemon's partner."""
         own = self._members.list_serving(self._members.me.partner)
         return max(1, len(own))
 
     def find(self, name: str) -> Runner | None:
-        """Return a runner of the list."""
+        """Return a listed runner by its name, or None."""
         return self._runners.get(name)
 
     def may_get_work(self, name: str) -> bool:
-        """Tell whether a runner is listed and not leaving."""
+        """Return whether a runner is listed and not leaving."""
         return name in self._runners and not self._members.is_leaving_runner(
             name
         )
 
-    def _take_leaving(self, name: str) -> None:
+    def _handle_leaving(self, name: str) -> None:
         self._rebuild()
         for listener in self._leaving_listeners:
             listener(name)
@@ -111,14 +110,14 @@
         for runner in self._runners.values():
             if self._members.is_leaving_runner(runner.name):
                 continue
-            place = (runner.partner, runner.pool)
-            self._pools.setdefault(place, []).append(runner)
+            key = (runner.partner, runner.pool)
+            self._pools.setdefault(key, []).append(runner)
 
 
-def _choose_part(
+def _choose_lent(
     key: str, runners: list[Runner], fraction: float
 ) -> list[Runner]:
-    """Return the lent part of a pool, at least one runner if any is lent."""
+    """Return the lent runners; at least one unless the fraction is 0."""
     if not runners or fraction == 0:
         return []
     count = max(1, round(len(runners) * fraction))
@@ -127,7 +126,7 @@
 
 
 class InstanceFollower:
-    """Read the lagging list again and again."""
+    """Polls the platform's instance list, which lags behind changes."""
 
     def __init__(
         self,
@@ -142,14 +141,14 @@
         self._poll_s = poll_s
 
     async def run(self) -> None:
-        """Read until cancelled; without an answer the last list holds."""
+        """Poll until cancelled; keep the last list while reads fail."""
         while True:
             listed = await self._client.list_instances()
             if listed.is_ok():
-                self._take(listed.ok)
+                self._apply_list(listed.ok)
             await trio.sleep(self._poll_s)
 
-    def _take(self, listed: list[instances.Instance]) -> None:
+    def _apply_list(self, listed: list[instances.Instance]) -> None:
         entry = instances.InstanceKind.ENTRY
         self._directory.replace_all(
             [item for item in listed if item.kind is not entry]
@@ -164,7 +163,7 @@
 
 
 class NoticeFollower:
-    """Follow reclaim notices and pass them on to the other daemons."""
+    """Follows reclaim notices and gossips them to the other daemons."""
 
     def __init__(
         self, client: instances.InstanceClient, members: table.MemberTable
@@ -173,14 +172,14 @@
         self._members = members
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Read notices by long polling until cancelled."""
         position = 0
         while True:
             page = await self._client.read_notices(position, _NOTICE_WAIT_S)
             if page.is_error():
-                await trio.sleep(_RETRY_S)
+                await trio.sleep(_NOTICE_RETRY_S)
                 continue
             position = page.ok.end
             for notice in page.ok.notices:
-                _LOG.write(f"Notice: {notice.instance} is being reclaimed.")
+                _LOG.write(f"The platform reclaims {notice.instance}.")
                 self._members.merge(messages.RunnerLeaving(notice.instance))
--- a/packages/daemon/src/martenquay_daemon/parts.py
+++ b/packages/daemon/src/martenquay_daemon/parts.py
@@ -1,4 +1,4 @@
-"""Build the parts of a daemon and connect them."""
+"""Build and connect the parts of a daemon."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from martenquay_core.runners import engine
 from martenquay_daemon import answers
 from martenquay_daemon.callers import app as caller_app
-from martenquay_daemon.callers import chats, gate, services, teams
+from martenquay_daemon.callers import chats, route_directory, services, teams
 from martenquay_daemon.claims import manager as claim_manager
 from martenquay_daemon.configuration import changes, follower, publisher, store
 from martenquay_daemon.deferrable import manager as deferrable_manager
@@ -40,14 +40,14 @@
     """The parts of one daemon, connected.
 
     Attributes:
-        members: What is known of other daemons.
-        peers: The links to them.
-        config: The configuration in force.
-        config_follower: Keeps it up to date.
-        claims: Settles claims on keys.
+        members: Membership table of the daemons.
+        peers: Links to other daemons.
+        config: Current configuration.
+        config_follower: Applies configuration changes from the log.
+        claims: Settles claims on idempotency keys.
         deferrable: Accepts deferrable requests.
-        worker: Works on them.
-        requests: What runs now.
+        worker: Runs deferrable requests.
+        requests: Requests in progress.
         chats: Serves chat requests.
         caller_app: The callers' ASGI app.
         operator_app: The operators' ASGI app.
@@ -83,7 +83,7 @@
         self._build_operators()
 
     def announce_address(self, address: str) -> None:
-        """Tell peers where this daemon's link listens."""
+        """Publish the address on which this daemon accepts peer links."""
         me = self.members.me
         self.members.replace_me(
             messages.MemberUpdate(
@@ -95,7 +95,7 @@
         )
 
     def list_tasks(self) -> dict[str, Callable[[], Awaitable[None]]]:
-        """Return the tasks, by name, that run as long as the daemon does."""
+        """Return the background tasks by name."""
         return {
             "configuration": self.config_follower.run,
             "snapshots": self._publisher.run,
@@ -113,11 +113,13 @@
             zone=settings.zone,
             address="",
         )
-        ticks = max(1, round(timing.dead_after_s / timing.heartbeat_s))
-        self.members = table.MemberTable(me, ticks)
-        self._answers = answers.PeerAnswers()
+        dead_after_heartbeats = max(
+            1, round(timing.dead_after_s / timing.heartbeat_s)
+        )
+        self.members = table.MemberTable(me, dead_after_heartbeats)
+        self._peer_requests = answers.PeerRequestHandler()
         self.peers = links.PeerLinks(
-            self.members, settings, self._answers.answer
+            self.members, settings, self._peer_requests.answer
         )
 
     def _build_configuration(self) -> None:
@@ -141,7 +143,7 @@
             self.members,
             settings.timing.snapshot_s,
         )
-        self._changes = changes.ChangeDesk(
+        self._changes = changes.ChangeSubmitter(
             self._log_client,
             self.config,
             signer,
@@ -234,7 +236,7 @@
         work_map = shards.ShardMap(
             self.members, "work", limits.work_shards, limits.shard_followers
         )
-        self._gate = gate.Gate(
+        self._routes = route_directory.RouteDirectory(
             settings.partner, self.config, self.runners, self.members
         )
         self.deferrable = deferrable_manager.DeferrableManager(
@@ -254,21 +256,21 @@
             workers=limits.deferrable_workers,
         )
         known_teams = teams.TeamDirectory(self.config, settings.partner)
-        entrance = admission.Admission(self._gate.find_capacity)
-        self.chats = chats.ChatDesk(
+        admission_control = admission.Admission(self._routes.find_capacity)
+        self.chats = chats.ChatHandler(
             settings.partner,
             known_teams,
-            self._gate,
-            entrance,
+            self._routes,
+            admission_control,
             self._models,
             self.deferrable,
             self.requests,
             self.metrics,
         )
-        service_desk = services.ServiceDesk(
+        service_handler = services.ServiceHandler(
             settings.partner,
-            self._gate,
-            entrance,
+            self._routes,
+            admission_control,
             self._services,
             self.requests,
             nursery,
@@ -278,12 +280,12 @@
             readiness,
             known_teams,
             self.chats,
-            service_desk,
+            service_handler,
             self.metrics,
         )
 
     def _build_operators(self) -> None:
-        query_desk = queries.QueryDesk(
+        query_handler = queries.QueryHandler(
             self.config,
             self.members,
             self.runners,
@@ -294,12 +296,12 @@
             self.health,
             self.peers,
         )
-        command_desk = commands.CommandDesk(
+        command_handler = commands.CommandHandler(
             self._settings.partner, self.config, self._changes
         )
         self.operator_app = operator_app.OperatorApp(
-            self._settings, query_desk, command_desk
+            self._settings, query_handler, command_handler
         )
-        self._answers.connect(
-            self.config, self.claims, self.deferrable, query_desk
+        self._peer_requests.connect(
+            self.config, self.claims, self.deferrable, query_handler
         )
--- a/packages/standins/src/martenquay_standins/__init__.py
+++ b/packages/standins/src/martenquay_standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand in for the platform, model engines and plain services in tests."""
+"""Stand-ins for tests: fake platform services, engines and backend servers."""
--- a/packages/standins/src/martenquay_standins/ports/cloud.py
+++ b/packages/standins/src/martenquay_standins/ports/cloud.py
@@ -1,4 +1,4 @@
-"""Take usage reports and orders in memory and remember them."""
+"""In-memory cloud port that records usage reports and runner orders."""
 
 from __future__ import annotations
 
@@ -10,76 +10,78 @@
 from martenquay_core.platform import outcome
 from martenquay_core.serving import ports
 
-__all__ = ["MemoryCloud", "Received"]
+__all__ = ["MemoryCloud", "ReceivedCall"]
 
 _OK = 200
 _REFUSED = 409
 
 
 @dataclasses.dataclass(frozen=True)
-class Received:
-    """One call.
+class ReceivedCall:
+    """One call of the cloud port.
 
     Attributes:
-        content: What was reported or ordered.
-        holder: Who called.
-        fence: With which fence.
+        content: The report or order.
+        holder: The lease holder that called.
+        fence: The fencing token of the call.
     """
 
-    content: ports.UsageReport | ports.RunnerOrderLine
+    content: ports.UsageReport | ports.DesiredRunners
     holder: str
     fence: int
 
 
 class MemoryCloud:
-    """Implement `ports.CloudPort` in memory.
+    """Implementation of `ports.CloudPort` in memory.
 
     Attributes:
         received: All calls, in order.
-        is_lossy: Calls are taken and not answered.
-        has_reclaimable: Reclaimable runners are to be had.
+        is_lossy: Calls are recorded and fail with an unknown effect.
+        has_reclaimable: Reclaimable runners are available.
     """
 
     def __init__(self) -> None:
-        self.received: list[Received] = []
+        self.received: list[ReceivedCall] = []
         self.is_lossy = False
         self.has_reclaimable = True
 
-    def move_to(self, address: str) -> None:
+    def set_address(self, address: str) -> None:
         """Do nothing: there is one address only."""
 
     async def report_usage(
         self, report: ports.UsageReport, holder: str, fence: int
     ) -> Result[int, outcome.PlatformFailure]:
-        """Take a report."""
-        return await self._take(Received(report, holder, fence), _OK)
+        """Record a usage report."""
+        return await self._record_call(ReceivedCall(report, holder, fence), _OK)
 
     async def order_runners(
-        self, order: ports.RunnerOrderLine, holder: str, fence: int
+        self, order: ports.DesiredRunners, holder: str, fence: int
     ) -> Result[int, outcome.PlatformFailure]:
-        """Take an order, or refuse it while there are none."""
+        """Record an order; 409 for reclaimable runners if there are none."""
         refused = order.is_reclaimable and not self.has_reclaimable
         status = _REFUSED if refused else _OK
-        return await self._take(Received(order, holder, fence), status)
+        return await self._record_call(
+            ReceivedCall(order, holder, fence), status
+        )
 
     def list_reports(self) -> list[ports.UsageReport]:
-        """Return the reports, in order."""
+        """Return the recorded reports in order."""
         return [
             call.content
             for call in self.received
             if isinstance(call.content, ports.UsageReport)
         ]
 
-    def list_orders(self) -> list[ports.RunnerOrderLine]:
-        """Return the orders, in order."""
+    def list_orders(self) -> list[ports.DesiredRunners]:
+        """Return the recorded orders in order."""
         return [
             call.content
             for call in self.received
-            if isinstance(call.content, ports.RunnerOrderLine)
+            if isinstance(call.content, ports.DesiredRunners)
         ]
 
-    async def _take(
-        self, call: Received, status: int
+    async def _record_call(
+        self, call: ReceivedCall, status: int
     ) -> Result[int, outcome.PlatformFailure]:
         await trio.lowlevel.checkpoint()
         self.received.append(call)
--- a/packages/standins/src/martenquay_standins/zone_view.py
+++ b/packages/standins/src/martenquay_standins/zone_view.py
@@ -1,4 +1,4 @@
-"""Show the instance list as one zone reaches it."""
+"""Instance list whose addresses point to the forwarders of one zone."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 
 class ZoneView:
-    """The instance list as one zone reaches it, through the network."""
+    """ASGI app that serves the instance list with rewritten addresses."""
 
     def __init__(
         self,
         app: instance_list.InstanceListStandIn,
-        net: network.Network,
+        zone_network: network.Network,
         zone: str,
     ) -> None:
         self._app = app
-        self._network = net
+        self._network = zone_network
         self._zone = zone
 
     async def __call__(
@@ -35,28 +35,28 @@
         receive: serving.Receive,
         send: serving.Send,
     ) -> None:
-        """Answer one request; addresses lead through the zone's links."""
+        """Serve one request, rewriting addresses to the zone's forwarders."""
         if scope.get("path") != "/instances":
             await self._app(scope, receive, send)
             return
 
-        async def send_mapped(message: Any) -> None:
+        async def send_rewritten(message: Any) -> None:
             if message["type"] == "http.response.start":
-                # The mapped list has another length.
+                # Rewritten addresses change the length of the body.
                 message["headers"] = [
                     (name, value)
                     for name, value in message["headers"]
                     if name != b"content-length"
                 ]
             elif message.get("body"):
-                message["body"] = await self._map(message["body"])
+                message["body"] = await self._rewrite_addresses(message["body"])
             await send(message)
 
-        await self._app(scope, receive, send_mapped)
+        await self._app(scope, receive, send_rewritten)
 
-    async def _map(self, body: bytes) -> bytes:
+    async def _rewrite_addresses(self, body: bytes) -> bytes:
         listed = msgspec.json.decode(body, type=list[instances.Instance])
-        mapped = [
+        rewritten = [
             msgspec.structs.replace(
                 item,
                 address=await self._network.link(
@@ -65,4 +65,4 @@
             )
             for item in listed
         ]
-        return msgspec.json.encode(mapped)
+        return msgspec.json.encode(rewritten)
--- a/tests/test_daemon/test_members.py
+++ b/tests/test_daemon/test_members.py
@@ -1,4 +1,4 @@
-"""Reports on daemons merge alike in any order and however often."""
+"""Membership updates must merge alike in any order and however often."""
 
 from __future__ import annotations
 
@@ -58,8 +58,8 @@
         for _ in range(3):
             members.tick()
         self.assertTrue(members.is_gone("entry-2"))
-        back = builders.build_member(member="entry-2", incarnation=1)
-        members.merge(back)
+        restarted = builders.build_member(member="entry-2", incarnation=1)
+        members.merge(restarted)
         self.assertFalse(members.is_gone("entry-2"))
 
     def test_a_daemon_refutes_a_report_of_its_own_death(self):
@@ -76,21 +76,21 @@
         members.merge(dead)
         self.assertEqual(_State.LEAVING, members.me.state)
 
-    def test_a_daemon_thought_dead_is_told_so(self):
+    def test_a_daemon_reported_dead_gets_the_report_to_refute(self):
         members = _build()
         dead = builders.build_member(member="entry-2", state=_State.DEAD)
         members.merge(dead)
-        self.assertEqual([dead], members.judge_sender("entry-2"))
-        self.assertEqual([], members.judge_sender("entry-9"))
+        self.assertEqual([dead], members.list_reports_to_refute("entry-2"))
+        self.assertEqual([], members.list_reports_to_refute("entry-9"))
 
-    def test_changes_are_given_oldest_first_and_go_on_where_they_stopped(self):
+    def test_changes_are_listed_oldest_first_in_successive_pages(self):
         members = _build()
         for number in range(2, 8):
             members.merge(builders.build_member(member=f"entry-{number}"))
         seen: list[str] = []
         version = 0
         while True:
-            updates, version = members.changes_since(version, 2)
+            updates, version = members.list_changes_since(version, 2)
             if not updates:
                 break
             seen += [update.member for update in updates]
@@ -98,9 +98,9 @@
 
     def test_a_runner_that_is_leaving_is_announced_once(self):
         members = _build()
-        heard: list[str] = []
-        members.listen_for_leaving(heard.append)
+        leaving: list[str] = []
+        members.listen_for_leaving(leaving.append)
         for _ in range(2):
             members.merge(messages.RunnerLeaving("model-1"))
-        self.assertEqual(["model-1"], heard)
+        self.assertEqual(["model-1"], leaving)
         self.assertTrue(members.is_leaving_runner("model-1"))
--- a/tests/test_discovery/test_entry_copies.py
+++ b/tests/test_discovery/test_entry_copies.py
@@ -1,4 +1,4 @@
-"""A copy of the runners' entries holds what the age that it names says."""
+"""A copy of the runners' entries is complete up to its stated age."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class _Step:
-    """One thing that happens.
+    """One step of a drawn scenario.
 
     Attributes:
-        kind: Which.
-        who: A runner or a daemon.
-        other: Another daemon.
-        wait_s: How long it takes, or time passes after it.
+        kind: What happens.
+        who: Number of the runner or the daemon.
+        other: Number of the daemon that is copied.
+        wait_s: Duration of the step, or time that passes after it.
     """
 
     kind: str
@@ -74,18 +74,14 @@
             await world.restart(step.who)
         case _:
             await trio.sleep(step.wait_s)
-    # What is read and what is written at one moment have no order.
+    # Without it, a read and a write at the same time would have no order.
     await trio.sleep(0.01)
 
 
 class EntryCopiesTest(clocked.ClockedTestCase):
-    # The hub of a zone read the log again after an outage; a runner that ended
-    # a moment later was kept for 2.2 s, for it might have come back. A daemon
-    # that copied the hub's entries in that time was told the end of what the
-    # hub had read, so it never read the record itself; when the hub dropped
-    # the runner, that was no news for anybody. The runner got requests 5.4 s
-    # after its entry had gone, by entries said to be 793 ms old.
-    def test_an_end_that_a_hub_defers_is_known_to_those_that_copy_it(
+    # A hub's copy sent during the grace time after an outage must have the
+    # removal: its receivers don't read that record themselves.
+    def test_a_removal_that_a_hub_defers_reaches_those_that_copy_it(
         self,
     ) -> None:
         async def scenario() -> None:
@@ -104,7 +100,7 @@
 
         self.run_clocked(scenario)
 
-    def test_a_runner_that_came_back_stays_with_those_that_copied_its_end(
+    def test_a_runner_that_returns_stays_with_those_that_copied_its_removal(
         self,
     ) -> None:
         async def scenario() -> None:
--- a/tests/test_fleet/test_quota_exchange.py
+++ b/tests/test_fleet/test_quota_exchange.py
@@ -25,10 +25,10 @@
 
     def __init__(self) -> None:
         self.address = "127.0.0.1:7001"
-        self.quota_hub: zone_mode.Keeper | None = None
+        self.quota_hub: zone_mode.QuotaHub | None = None
         self.is_small = False
 
-    def find_quota_hub(self) -> zone_mode.Keeper | None:
+    def find_quota_hub(self) -> zone_mode.QuotaHub | None:
         """Return the hub that holds this daemon's quota."""
         return self.quota_hub
 
@@ -50,11 +50,11 @@
         store = catalog_store.create_store(records)
         store.offer(b"catalog", "the test")
         self.share = share
-        self.rights = refill_shares.RefillShares(
+        self.shares = refill_shares.RefillShares(
             lambda: refill_shares.RateShare(self.share, 0.0), 8.0
         )
         self.ledger = quota_ledger.create_quota_ledger(
-            allowance_fleet.BOUNDS, self.rights, lambda: None
+            allowance_fleet.BOUNDS, self.shares, lambda: None
         )
         self.ledger.refill([_TEAM])
         self.roster = roster.Roster("entry-1")
@@ -71,7 +71,7 @@
             "a",
             store,
             self.ledger,
-            gate.create_gate(self.ledger, allowance_fleet.OwnKeeper()),
+            gate.create_gate(self.ledger, allowance_fleet.LocalQuota()),
             self.roster,
             _FakeFollower(),
             self.links,
@@ -147,17 +147,17 @@
             delegator = self._build(0.25)
             await trio.sleep(0.1)
             self.assertIsNone(delegator.create_delegation())
-            self.links.quota_hub = zone_mode.Keeper("entry-0.bb", "h:1", 9)
+            self.links.quota_hub = zone_mode.QuotaHub("entry-0.bb", "h:1", 9)
             self.assertTrue(delegator.has_share_to_delegate())
             entry = delegator.create_delegation()
             self.assertEqual(("entry-0.bb", 9), (entry.receiver, entry.heard))
             self.assertFalse(delegator.has_share_to_delegate())
             digest = builders.build_digest(
-                member="entry-1.aa", instance="entry-1", loan=entry
+                member="entry-1.aa", instance="entry-1", delegation=entry
             )
             hub = self._build(0.0)
             # The delegation names another process as its receiver.
             hub.apply_subscriber_digest(digest, trio.current_time())
-            self.assertEqual(0.0, self.rights.find_usable_share())
+            self.assertEqual(0.0, self.shares.find_usable_share())
 
         self.run_clocked(scenario)
--- a/tests/test_fleet/test_usage_handover.py
+++ b/tests/test_fleet/test_usage_handover.py
@@ -13,7 +13,7 @@
 from tests import serving_builders as builders
 
 _WINDOW = 7
-_FACTS = hub.HubFacts(3, 0, 0, 0, 0, messages.NO_RUNNER_REPORTS)
+_HUB_STATE = hub.HubState(3, 0, 0, 0, 0, messages.NO_RUNNER_REPORTS)
 _SILENT_S = 2.0
 
 
@@ -32,15 +32,15 @@
             window=_WINDOW + 1,
             lease=lease,
         )
-        zone_hub.take(subscriber, now)
-        reports = zone_hub.create_reports(_FACTS, now, _SILENT_S)
+        zone_hub.apply_digest(subscriber, now)
+        reports = zone_hub.create_reports(_HUB_STATE, now, _SILENT_S)
         return reports["127.0.0.1:7003"]
 
     def _apply_report(self, report: messages.FleetReport) -> view.FleetView:
         fleet = view.FleetView("entry-3")
         fleet.is_mesh = False
         for summary in report.zones:
-            fleet.zones.take(summary, {}, trio.current_time())
+            fleet.zones.apply_summary(summary, {}, trio.current_time())
         return fleet
 
     def test_a_zone_whose_counts_were_left_out_is_not_closed(self) -> None:
--- a/tests/test_fleet/test_view.py
+++ b/tests/test_fleet/test_view.py
@@ -1,4 +1,4 @@
-"""The view keeps the newest digest of each daemon, and counts of gone ones."""
+"""The view must neither lose counts of ended daemons nor count any twice."""
 
 from __future__ import annotations
 
@@ -10,24 +10,30 @@
 
 
 class FleetViewTest(clocked.ClockedTestCase):
-    def test_an_old_digest_is_no_news(self) -> None:
+    def test_an_old_digest_is_ignored(self) -> None:
         async def scenario() -> None:
             fleet = view.FleetView("entry-1")
-            self.assertTrue(fleet.take(builders.build_digest(number=2)))
-            self.assertFalse(fleet.take(builders.build_digest(number=1)))
-            self.assertFalse(fleet.take(builders.build_digest(number=2)))
+            self.assertTrue(fleet.apply_digest(builders.build_digest(number=2)))
+            self.assertFalse(
+                fleet.apply_digest(builders.build_digest(number=1))
+            )
+            self.assertFalse(
+                fleet.apply_digest(builders.build_digest(number=2))
+            )
 
         self.run_clocked(scenario)
 
-    def test_a_restarted_daemon_replaces_itself_but_its_counts_stay(
+    def test_a_restart_replaces_a_daemon_but_keeps_its_counts(
         self,
     ) -> None:
         async def scenario() -> None:
             fleet = view.FleetView("entry-1")
             ended: list[str] = []
             fleet.listen_for_ends(ended.append)
-            fleet.take(builders.build_digest(begun={7: {"florists": 2}}))
-            fleet.take(
+            fleet.apply_digest(
+                builders.build_digest(begun={7: {"florists": 2}})
+            )
+            fleet.apply_digest(
                 builders.build_digest(
                     member="entry-2.bb", begun={7: {"florists": 1}}
                 )
@@ -38,10 +44,10 @@
 
         self.run_clocked(scenario)
 
-    def test_a_silent_daemon_still_counts_for_shares_for_a_while(self) -> None:
+    def test_a_silent_daemon_is_counted_for_a_while(self) -> None:
         async def scenario() -> None:
             fleet = view.FleetView("entry-1")
-            fleet.take(builders.build_digest())
+            fleet.apply_digest(builders.build_digest())
             await trio.sleep(5.0)
             fleet.check_silence()
             self.assertEqual([], fleet.list_fresh())
@@ -56,17 +62,19 @@
         async def scenario() -> None:
             fleet = view.FleetView("entry-1")
             self.assertFalse(fleet.is_zone_silent("b"))
-            fleet.take(builders.build_digest())
+            fleet.apply_digest(builders.build_digest())
             other = {"member": "entry-3.aa", "instance": "entry-3"}
             await trio.sleep(5.0)
-            fleet.take(builders.build_digest(**other))
+            fleet.apply_digest(builders.build_digest(**other))
             self.assertFalse(fleet.is_zone_silent("b"))
             await trio.sleep(5.0)
             self.assertTrue(fleet.is_zone_silent("b"))
 
         self.run_clocked(scenario)
 
-    def test_announced_daemons_count_before_they_are_heard(self) -> None:
+    def test_announced_daemons_are_counted_before_their_first_digest(
+        self,
+    ) -> None:
         async def scenario() -> None:
             fleet = view.FleetView("entry-1")
             fleet.note_listed({"entry-1", "entry-2", "entry-3"})
@@ -74,7 +82,7 @@
 
         self.run_clocked(scenario)
 
-    def test_in_a_large_fleet_the_sums_of_zones_count(self) -> None:
+    def test_a_large_fleet_is_known_by_the_sums_of_its_zones(self) -> None:
         async def scenario() -> None:
             fleet = view.FleetView("entry-1")
             fleet.is_mesh = False
@@ -88,7 +96,7 @@
                     begun={7: {"florists": 2}},
                     demand={"model": 5.0},
                 )
-                fleet.zones.take(summary, {}, now)
+                fleet.zones.apply_summary(summary, {}, now)
             self.assertEqual(7, fleet.count_daemons())
             self.assertEqual({"florists": 4}, fleet.sum_started(7))
             self.assertEqual(10.0, fleet.sum_demand("model"))
@@ -101,12 +109,14 @@
 
         self.run_clocked(scenario)
 
-    def test_a_window_has_closed_when_all_say_so(self) -> None:
+    def test_a_window_has_closed_when_all_digests_are_of_a_later_one(
+        self,
+    ) -> None:
         async def scenario() -> None:
             fleet = view.FleetView("entry-1")
-            fleet.take(builders.build_digest(window=7))
+            fleet.apply_digest(builders.build_digest(window=7))
             self.assertFalse(fleet.has_closed(7))
-            fleet.take(builders.build_digest(window=8, number=2))
+            fleet.apply_digest(builders.build_digest(window=8, number=2))
             self.assertTrue(fleet.has_closed(7))
 
         self.run_clocked(scenario)
--- a/tests/test_forwarding/test_silence.py
+++ b/tests/test_forwarding/test_silence.py
@@ -1,4 +1,4 @@
-"""A runner that was heard while it was asked is not taken as gone."""
+"""Limits on a runner's silence, and probes of silent runners."""
 
 from __future__ import annotations
 
@@ -11,75 +11,77 @@
 from tests import clocked
 from tests import serving_builders as builders
 
-_PATIENCE = silence.SilenceLimits(first_s=0.3, next_s=0.3)
+_LIMITS = silence.SilenceLimits(first_probe_s=0.3, next_probe_s=0.3)
 
 
 class _Connection:
-    """What the watch looks at."""
+    """The attributes of a RunnerConnection that are read."""
 
     def __init__(self) -> None:
-        self.heard_at = trio.current_time()
-        self.has_answered = False
-        self.has_begun = False
+        self.last_activity_at = trio.current_time()
+        self.has_response_head = False
+        self.has_first_event = False
 
 
-async def _is_there(address: str) -> bool:
+async def _never_unreachable(address: str) -> bool:
     del address
     return False
 
 
 class SilenceTest(clocked.ClockedTestCase):
     def _wait(
-        self, patience: silence.SilenceLimits, *, has_begun: bool
+        self, limits: silence.SilenceLimits, *, has_first_event: bool
     ) -> float:
-        """Return how long a silent connection of a live runner is borne."""
+        """Return the silence after which a reachable runner is abandoned."""
         took: list[float] = []
 
         async def scenario() -> None:
             connection = _Connection()
-            connection.has_begun = has_begun
+            connection.has_first_event = has_first_event
             placement = placer.Placement(builders.build_runner(), 0.0, 0, 1)
-            with mock.patch.object(silence, "_is_gone", _is_there):
-                await silence.wait_until_gone(connection, placement, patience)
-            took.append(trio.current_time() - connection.heard_at)
+            with mock.patch.object(
+                silence, "_is_unreachable", _never_unreachable
+            ):
+                await silence.wait_until_gone(connection, placement, limits)
+            took.append(trio.current_time() - connection.last_activity_at)
 
         self.run_clocked(scenario)
         return took[0]
 
-    def test_a_live_runners_connection_may_not_be_silent_for_ever(
+    def test_silence_of_a_reachable_runner_has_a_limit(
         self,
     ) -> None:
-        patience = silence.SilenceLimits(0.3, 0.3, 4.0, 2.0, lambda: True)
-        self.assertAlmostEqual(4.0, self._wait(patience, has_begun=False))
-        self.assertAlmostEqual(2.0, self._wait(patience, has_begun=True))
+        limits = silence.SilenceLimits(0.3, 0.3, 4.0, 2.0, lambda: True)
+        self.assertAlmostEqual(4.0, self._wait(limits, has_first_event=False))
+        self.assertAlmostEqual(2.0, self._wait(limits, has_first_event=True))
 
-    def test_silence_alone_ends_nothing_that_could_not_go_on_elsewhere(
+    def test_silence_alone_ends_no_request_that_may_not_move(
         self,
     ) -> None:
-        may_move_at = trio.current_time
-        patience = silence.SilenceLimits(
-            0.3, 0.3, 4.0, 2.0, lambda: may_move_at() >= 7.0
+        clock = trio.current_time
+        limits = silence.SilenceLimits(
+            0.3, 0.3, 4.0, 2.0, lambda: clock() >= 7.0
         )
-        took_s = self._wait(patience, has_begun=True)
+        took_s = self._wait(limits, has_first_event=True)
         self.assertGreaterEqual(took_s, 7.0)
         self.assertLess(took_s, 7.5)
 
-    def test_what_was_heard_during_the_probe_counts(self) -> None:
+    def test_bytes_that_arrive_during_a_failed_probe_count(self) -> None:
         async def scenario() -> None:
             connection = _Connection()
             placement = placer.Placement(builders.build_runner(), 0.0, 0, 1)
-            asked: list[float] = []
+            probed_times: list[float] = []
 
-            async def ask(address: str) -> bool:
+            async def probe(address: str) -> bool:
                 del address
                 await trio.sleep(0.2)
-                asked.append(trio.current_time())
-                if len(asked) == 1:
-                    connection.heard_at = trio.current_time() - 0.1
+                probed_times.append(trio.current_time())
+                if len(probed_times) == 1:
+                    connection.last_activity_at = trio.current_time() - 0.1
                 return True
 
-            with mock.patch.object(silence, "_is_gone", ask):
-                await silence.wait_until_gone(connection, placement, _PATIENCE)
-            self.assertEqual(2, len(asked))
+            with mock.patch.object(silence, "_is_unreachable", probe):
+                await silence.wait_until_gone(connection, placement, _LIMITS)
+            self.assertEqual(2, len(probed_times))
 
         self.run_clocked(scenario)
--- a/tests/test_standins/test_chaos_readings.py
+++ b/tests/test_standins/test_chaos_readings.py
@@ -1,8 +1,6 @@
-"""A run's last readings are compared at one end of the log.
+"""Final readings are comparable: all daemons are read at one end of the log.
 
-Symptom: daemons "ended in 2 ways" although each had applied all that the log
-held. A change whose caller had gone took effect 2.4 s after the readings began;
-daemons that were read before showed the version before it, the others its own.
+Guards against reporting a difference for a change made between two readings.
 """
 
 from __future__ import annotations
@@ -24,13 +22,13 @@
 
 
 class _GrowingLog:
-    """A log that grows behind the first reading."""
+    """Log that grows after the first reading."""
 
     def __init__(self) -> None:
         self.end = 24
 
     async def wait_settled(self) -> None:
-        """Return at once: no append is late."""
+        """Return at once: no append is delayed."""
 
     def list_records(self, name: str) -> list[_Record]:
         """Return the last record."""
@@ -57,12 +55,14 @@
                 readings.ConfigReader(ask), log, {"serrana": members}
             )
 
-        told = history.History()
-        told.observations = trio.run(scenario)
-        self.assertEqual([], history.find_breaches(told))
-        finals = [seen.version for seen in told.observations if seen.is_final]
+        recorded = history.History()
+        recorded.observations = trio.run(scenario)
+        self.assertEqual([], history.find_breaches(recorded))
+        finals = [
+            seen.version for seen in recorded.observations if seen.is_final
+        ]
         self.assertEqual([27, 27], finals)
-        self.assertEqual(4, len(told.observations) - len(finals))
+        self.assertEqual(4, len(recorded.observations) - len(finals))
 
     def test_daemons_that_differ_at_one_end_are_still_rejected(self) -> None:
         log = _GrowingLog()
@@ -81,6 +81,8 @@
                 readings.ConfigReader(ask), log, {"serrana": members}
             )
 
-        told = history.History()
-        told.observations = trio.run(scenario)
-        self.assertIn("serrana ended in 2 ways", history.find_breaches(told))
+        recorded = history.History()
+        recorded.observations = trio.run(scenario)
+        self.assertIn(
+            "serrana ended in 2 ways", history.find_breaches(recorded)
+        )
