--- a/packages/daemon/src/martenquay_daemon/callers/chat.py
+++ b/packages/daemon/src/martenquay_daemon/callers/chat.py
@@ -45,8 +45,8 @@
     Attributes:
         model: Name of the route.
         messages: The conversation.
-        max_tokens: The most tokens to generate.
-        stream: Send tokens as server-sent events.
+        max_tokens: Maximum number of tokens to generate.
+        stream: Whether to send the tokens as server-sent events.
     """
 
     model: str
--- a/packages/daemon/src/martenquay_daemon/callers/chats.py
+++ b/packages/daemon/src/martenquay_daemon/callers/chats.py
@@ -71,7 +71,7 @@
     async def send_ticket(
         self, caller: exchange.Exchange, team: teams.KnownTeam, ticket: str
     ) -> None:
-        """Send the answer to a deferrable request, or that it is pending."""
+        """Send the answer to a deferrable request, or a pending status."""
         is_own = table.find_team(ticket) == team.name
         state = await self._deferrable.fetch(ticket) if is_own else None
         if state is None or not state.known:
@@ -97,8 +97,9 @@
             body: Its body as the caller sent it.
 
         Returns:
-            The encoded answer. A request whose route or team no longer exists
-            is answered with an encoded failure, since retries can't succeed.
+            The encoded answer, or a failure if the request should be retried.
+            A request whose route or team no longer exists is answered with an
+            encoded failure, since retries can't succeed.
         """
         team = self._teams.find_by_name(work.team)
         chat_request = chat.parse_chat_request(body)
--- a/packages/daemon/src/martenquay_daemon/callers/replies.py
+++ b/packages/daemon/src/martenquay_daemon/callers/replies.py
@@ -24,7 +24,7 @@
 def create_result_headers(
     request_id: str, code: results.ResultCode, runner: str = "", zone: str = ""
 ) -> list[tuple[bytes, bytes]]:
-    """Return the headers that every answer has."""
+    """Return the headers common to all answers, and the runner's if given."""
     headers = [
         (b"x-request-id", request_id.encode()),
         (b"x-martenquay-result", str(code.value).encode()),
--- a/packages/daemon/src/martenquay_daemon/callers/route_directory.py
+++ b/packages/daemon/src/martenquay_daemon/callers/route_directory.py
@@ -99,7 +99,11 @@
         )
 
     def find_capacity(self, pool: str) -> admission.PoolCapacity:
-        """Return the concurrency and queue length for a pool here."""
+        """Return how many requests of a pool this daemon runs and queues.
+
+        A configured limit takes precedence over a share of the pool's slots.
+        Defaults apply while no runner is known.
+        """
         for _, limit in self._config.list_objects(
             self._partner, objects.Kind.LIMIT
         ):
--- a/packages/daemon/src/martenquay_daemon/claims/shard.py
+++ b/packages/daemon/src/martenquay_daemon/claims/shard.py
@@ -140,6 +140,7 @@
         return messages.SettleReply(settlement=messages.Settlement.DONE)
 
     async def _wait_for_claim(self, claim: records.Claim) -> None:
+        """Wait, for a limited time, until any claim on the key was read."""
         with trio.move_on_after(_READ_BACK_TIMEOUT_S):
             while self.claims.find(claim.key) is None:
                 await trio.sleep(_POLL_S)
--- a/packages/daemon/src/martenquay_daemon/claims/table.py
+++ b/packages/daemon/src/martenquay_daemon/claims/table.py
@@ -36,8 +36,9 @@
     """The keys that are claimed or whose call was made.
 
     A claim on a key that is held never wins, even if the holder releases the
-    key later, because its daemon was told that it lost. A release also voids
-    its claim when the claim follows it in the log. Of all but the newest
+    key later, because its daemon may have read that it lost and makes a new
+    claim. A release also voids its claim when the claim follows it in the log.
+    Of all but the newest
     outcomes only the offset is kept; their contents are read from the log.
     """
 
--- a/packages/daemon/src/martenquay_daemon/configuration/changes.py
+++ b/packages/daemon/src/martenquay_daemon/configuration/changes.py
@@ -106,7 +106,7 @@
         return Error(results.Failure(code, message, retry_after_s=2.0))
 
     async def wait_in_force(self, offset: int) -> PropagationStatus:
-        """Wait until every daemon has applied an offset, or for a time limit.
+        """Wait until every daemon has applied an offset, or until a timeout.
 
         Each daemon is asked once and answers when it has applied the offset.
         """
--- a/packages/daemon/src/martenquay_daemon/configuration/follower.py
+++ b/packages/daemon/src/martenquay_daemon/configuration/follower.py
@@ -26,7 +26,7 @@
 _LONG_POLL_S = 20.0
 _PEER_TIMEOUT_S = 1.0
 _RETRY_S = 0.25
-# How long the log may be behind a peer before that one is asked.
+# How long the log may lag behind a peer before that peer is asked.
 _LOG_DELAY_S = 0.25
 
 
--- a/packages/daemon/src/martenquay_daemon/configuration/store.py
+++ b/packages/daemon/src/martenquay_daemon/configuration/store.py
@@ -45,7 +45,12 @@
         ] = {}
 
     def apply(self, offset: int, raw: bytes) -> fold.Judgement | None:
-        """Apply the next record; one already applied changes nothing."""
+        """Apply the next record; one already applied changes nothing.
+
+        Returns:
+            The verdict on the record; None if it was already applied or is not
+            validly signed.
+        """
         if offset <= self.applied.value:
             return None
         judgement = fold.apply_record(self.state, offset, raw, self._verifier)
@@ -59,7 +64,7 @@
         return judgement
 
     def can_continue(self, start: int) -> bool:
-        """Tell whether records from this offset on leave no gap."""
+        """Return whether records from this offset on leave no gap."""
         return start <= self.state.applied + 1
 
     def apply_snapshots(self, buffer: snapshot.SnapshotBuffer) -> None:
@@ -100,7 +105,11 @@
         return self._snapshot_offsets[partner]
 
     def serve_peer(self, from_offset: int) -> messages.ConfigReply:
-        """Return the records, and if needed the snapshots, a peer lacks."""
+        """Return what a peer lacks: records, and snapshots if needed.
+
+        Args:
+            from_offset: The first offset that the peer has not applied.
+        """
         first = (
             self._recent_records[0][0]
             if self._recent_records
@@ -153,7 +162,10 @@
         return found if isinstance(found, objects.Pool) else None
 
     def find(self, key: objects.ObjectKey) -> objects.ConfigObject | None:
-        """Return an object, decoded and checked once a version."""
+        """Return an object, or None if it is missing or invalid.
+
+        Each version of an object is decoded and checked once.
+        """
         stored = self.state.find(key)
         if stored is None:
             return None
--- a/packages/daemon/src/martenquay_daemon/deferrable/records.py
+++ b/packages/daemon/src/martenquay_daemon/deferrable/records.py
@@ -26,7 +26,8 @@
         team: Team that sent it.
         route: Name of the requested route.
         written_at: When the record was written, in seconds since the epoch.
-        config_offset: Offset of the configuration that accepted the request.
+        config_offset: Offset of the configuration in force when the request
+            was accepted.
         offset: Offset of the body's first record in the content stream.
         count: Number of records of the body.
         is_carried: Whether this renews an earlier record, before the log's
--- a/packages/daemon/src/martenquay_daemon/deferrable/table.py
+++ b/packages/daemon/src/martenquay_daemon/deferrable/table.py
@@ -20,7 +20,8 @@
         route: Name of the requested route.
         written_at: When its newest record was written, in seconds since the
             epoch.
-        config_offset: Offset of the configuration that accepted it.
+        config_offset: Offset of the configuration in force when it was
+            accepted.
         body: Records of its body in the content stream.
         is_answered: Whether an answer was read from the log since.
     """
--- a/packages/daemon/src/martenquay_daemon/dispatch/model.py
+++ b/packages/daemon/src/martenquay_daemon/dispatch/model.py
@@ -80,8 +80,8 @@
         """Generate the answer into a sink.
 
         Returns:
-            What the answer used, or why it could not be completed before the
-            request's deadline.
+            Tokens and attempts used, or why the answer could not be completed
+            before the request's deadline.
         """
         usage = request_progress.Usage(blocks.count_tokens(request.prompt))
         self._budget.note_call()
@@ -346,7 +346,10 @@
 def _choose_priority(
     request: request_progress.ModelRequest, chosen: placement.Placement
 ) -> int:
-    """Return the engine's priority; the runner owner's requests come first."""
+    """Return the priority in the engine; 0 is the most urgent.
+
+    On a borrowed runner all requests rank below those of its owner.
+    """
     borrowed = len(objects.Urgency) if chosen.is_borrowed else 0
     return request.urgency.rank + borrowed
 
--- a/packages/daemon/src/martenquay_daemon/dispatch/registry.py
+++ b/packages/daemon/src/martenquay_daemon/dispatch/registry.py
@@ -19,7 +19,8 @@
         request_id: ID of the request.
         team: Team that sent it.
         route: Name of the requested route.
-        urgency: Urgency class, as configured for the route.
+        urgency: Urgency class from a rule for the team, else that of the
+            route.
         runner: Runner that serves it; empty while it waits.
         zone: Availability zone of the runner.
         tokens: Tokens forwarded to the caller so far.
@@ -67,7 +68,7 @@
         self._running[request.request_id] = request
 
     def close(self, request_id: str) -> None:
-        """Remove a request that has its final answer."""
+        """Remove a request that has ended, with or without an answer."""
         self._running.pop(request_id, None)
 
     def record_placement(
--- a/packages/daemon/src/martenquay_daemon/dispatch/request_progress.py
+++ b/packages/daemon/src/martenquay_daemon/dispatch/request_progress.py
@@ -68,7 +68,7 @@
     Attributes:
         prompt_tokens: Number of tokens in the prompt.
         generated: The tokens generated so far.
-        attempts: Number of runners to which the request was sent.
+        attempts: Number of times the request was sent to a runner.
         recomputed: Tokens prefilled again after a change of runner.
         started_at: When the latest attempt finished prefill, on trio's clock.
         runner: Name of the runner of the latest attempt.
--- a/packages/daemon/src/martenquay_daemon/dispatch/service.py
+++ b/packages/daemon/src/martenquay_daemon/dispatch/service.py
@@ -360,7 +360,12 @@
 def _create_outcome(
     claim: records.Claim, answer: ServiceAnswer | None
 ) -> records.Outcome:
-    """Return the outcome record for an answer; None if it was lost."""
+    """Return the outcome record of a call.
+
+    Args:
+        claim: The claim that won.
+        answer: The answer of the service; None if it was lost.
+    """
     if answer is None or len(answer.body) > _MAX_STORED_BODY_BYTES:
         answer = ServiceAnswer(_STATUS_WITHOUT_ANSWER, "", b"")
     return records.Outcome(
--- a/packages/daemon/src/martenquay_daemon/dispatch/token_sequencer.py
+++ b/packages/daemon/src/martenquay_daemon/dispatch/token_sequencer.py
@@ -25,7 +25,10 @@
         self._out_of_order: dict[int, str] = {}
 
     def matches_attempt(self, event: orders.StreamEvent) -> bool:
-        """Return whether an event belongs to this attempt; else drop it."""
+        """Return whether an event belongs to this attempt.
+
+        Any other event is counted as dropped.
+        """
         matches = (
             event.request_id == self._request_id
             and event.attempt == self._attempt
--- a/packages/daemon/src/martenquay_daemon/forwarding/answers.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/answers.py
@@ -54,8 +54,8 @@
         status: The HTTP status.
         code: The result code in the body.
         message: The error message in the body.
-        retry_after_s: When the caller may retry; None if the request may
-            have run.
+        retry_after_s: Seconds until the caller may retry; None if it should
+            not, for example because the request may have run.
     """
 
     status: int
@@ -82,7 +82,8 @@
         code: The result code.
         message: The error message.
         status: The HTTP status; the code's own by default.
-        retry_after_s: When the caller may retry, in seconds.
+        retry_after_s: Seconds until the caller may retry; None if it should
+            not.
     """
     info = results.describe_result(code)
     return OwnAnswer(status or info.http_status, code, message, retry_after_s)
--- a/packages/daemon/src/martenquay_daemon/forwarding/attempt.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/attempt.py
@@ -41,13 +41,14 @@
 # Lets the runner's own answer at the deadline arrive.
 _ANSWER_GRACE_S = 0.08
 _MAX_URGENCY = 9
-# Prompts that take at least this long to prefill are gossiped at once; by the
-# next regular digest other daemons would have sent requests behind them.
+# The load of a prompt that takes at least this long to prefill is gossiped at
+# once; until the next regular digest other daemons would send requests that
+# queue behind it.
 _LONG_PREFILL_S = 0.05
 
 
 class AttemptMaker:
-    """Sends requests to runners, one attempt at a call."""
+    """Sends requests to runners, one runner per attempt."""
 
     def __init__(
         self,
@@ -80,7 +81,8 @@
         Args:
             current: The request; its progress is updated.
             placement: The chosen runner and its load estimate.
-            may_retry: Whether the retry budget allows one more attempt.
+            may_retry: Returns whether the retry budget allows one more
+                attempt.
 
         Returns:
             The outcome. A stream that begins is written to the caller; all
@@ -124,8 +126,8 @@
     ) -> None:
         """Count the request's tokens as demand, at its first attempt only.
 
-        Counting each attempt would order too many runners while part of them
-        cannot be reached.
+        Counting each attempt would overstate the demand while some runners
+        are unreachable, and more runners than needed would be started.
         """
         if not current.attempts and not current.uncounted_attempts:
             self._meter.note(current.service, placement.uncached_tokens)
@@ -302,9 +304,10 @@
     def _record_usage(
         self, current: exchange.Exchange, *, is_counted: bool
     ) -> Iterator[usage_entry.UsageEntry]:
-        """Count a plain call in the usage report from its sending on.
+        """Yield the request's usage entry, counted at once if `is_counted`.
 
-        The runner does the work even if its answer is lost.
+        A plain call is counted when it is sent, since the runner does the work
+        even if its answer is lost; a stream is counted at its first event.
         """
         usage = usage_entry.UsageEntry(self._usage, current.team)
         if is_counted:
@@ -319,7 +322,7 @@
         connection: connections.RunnerConnection,
         running: loads.Running,
     ) -> exchange.AttemptResult:
-        """Relay events to the caller as they come, each complete."""
+        """Relay each event to the caller once it has arrived completely."""
         splitter = event_stream.EventSplitter()
         has_first_event = False
         async for chunk in connection.iterate_body():
@@ -366,7 +369,7 @@
         head: calls.AnswerHead,
         events: list[event_stream.Event],
     ) -> str:
-        """Write new events to the caller; return a problem, or ""."""
+        """Write the events that the caller lacks; return a problem, or ""."""
         new_events = []
         for event in events:
             last = current.last_event_id
--- a/packages/daemon/src/martenquay_daemon/forwarding/caller_connection.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/caller_connection.py
@@ -54,8 +54,8 @@
 
         Args:
             call: The request with its whole body.
-            received_at: When its first byte came, in trio's time.
-            writer: Sends the answer.
+            received_at: When its first byte arrived, on trio's clock.
+            writer: Writes the answer to the caller.
         """
 
 
@@ -172,7 +172,8 @@
                 self._call_id, disconnects.Stage.READING, self._received_at
             )
         except (trio.BrokenResourceError, trio.ClosedResourceError):
-            # The caller disconnected; the handler has accounted for it.
+            # The caller disconnected during a rejection or `100 Continue`;
+            # while an answer is sent, `_handle_call` catches these errors.
             return
         finally:
             await trio.aclose_forcefully(self._stream)
--- a/packages/daemon/src/martenquay_daemon/forwarding/disconnects.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/disconnects.py
@@ -39,7 +39,7 @@
 
 
 def has_disconnected(sock: SocketType) -> bool:
-    """Tell whether the peer has closed or reset the connection."""
+    """Return whether the peer has closed or reset the connection."""
     kernel = select.poll()
     kernel.register(sock, select.POLLRDHUP)
     return bool(kernel.poll(0))
--- a/packages/daemon/src/martenquay_daemon/forwarding/exchange.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/exchange.py
@@ -65,7 +65,8 @@
             chosen from.
         caller_elapsed_s: Estimated time that the caller has spent on earlier
             attempts of the same request.
-        admission: The decision by which the team's quota was spent.
+        admission: The decision that admitted the request and spent the
+            team's quota.
         content_digest: Digest of the request's content; empty until needed.
         latest_crash_seen: Number of the latest crash record of the content
             that was known when the request was sent; 0 for none.
@@ -103,7 +104,10 @@
 
     @property
     def units(self) -> float:
-        """Quota units that the request costs: tokens, or 1 a request."""
+        """Quota units that the request costs.
+
+        Its tokens if the team's quota counts tokens, otherwise 1.
+        """
         team = self.team
         if team is None or not team.counts_tokens:
             return 1.0
--- a/packages/daemon/src/martenquay_daemon/forwarding/forwarder.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/forwarder.py
@@ -49,8 +49,8 @@
 # Estimates of long waits may be too high by up to this factor, so a request is
 # rejected as late only beyond it.
 _MAX_OVERESTIMATE_FACTOR = 1.5
-# Enough for a delegation of a rate share to arrive; the rest of the request's
-# time is left for its answer.
+# Enough for a delegated refill share to arrive; the rest of the request's time
+# is left for its answer.
 _MAX_QUOTA_WAIT_S = 1.5
 _MAX_QUOTA_WAIT_FRACTION = 0.4
 # Bounds the attempts that `max_attempts` does not count, else a request would
@@ -240,10 +240,11 @@
         )
 
     def _find_priority_reserve(self, current: exchange.Exchange) -> int:
-        """Return how many levels of urgency to reserve quota for.
+        """Return the request's distance from the highest priority.
 
-        Calls of plain services reserve none: they cost next to nothing of a
-        quota that counts tokens.
+        The larger it is, the more quota is left to other requests. It is 0 for
+        calls of plain services: they cost next to nothing of a quota that
+        counts tokens.
         """
         services = self._parts.store.table.catalog.services
         service = services.get(current.service)
@@ -406,7 +407,7 @@
         runner_id: str,
         result: exchange.AttemptResult,
     ) -> None:
-        """Exclude the runner and report the failure to its health checks."""
+        """Exclude the runner from later attempts and report the failure."""
         current.excluded_runners.add(runner_id)
         match result:
             case exchange.NotRun(is_wrong_runner=True):
@@ -422,7 +423,7 @@
                 self._parts.ejector.note_failure(runner_id)
 
     def _try_spend_retry(self, current: exchange.Exchange) -> bool:
-        """Spend a retry if the route and the retry budget allow one."""
+        """Spend a retry if allowed by route and budget; return whether so."""
         route = current.route
         if current.attempts >= route.max_attempts:
             return False
--- a/packages/daemon/src/martenquay_daemon/forwarding/listener.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/listener.py
@@ -38,7 +38,8 @@
 
     Attributes:
         is_closing: Each connection closes after its next answer.
-        is_stopped: Idle connections close, and no more are accepted soon.
+        is_stopped: Idle connections close as well, and the listener accepts
+            only connections that are queued or in transit.
     """
 
     def __init__(
--- a/packages/daemon/src/martenquay_daemon/forwarding/request_log.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/request_log.py
@@ -36,7 +36,7 @@
         placement: placer.Placement,
         result: exchange.AttemptResult,
     ) -> None:
-        """Log an attempt: its runner, the reasons for it and its outcome."""
+        """Log an attempt: its runner, why it was chosen and the outcome."""
         outcome = type(result).__name__
         self._metrics.count_attempt(current.service, outcome)
         first_event_s = current.first_event_s
--- a/packages/daemon/src/martenquay_daemon/forwarding/retry_detector.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/retry_detector.py
@@ -1,4 +1,4 @@
-"""Estimate how long callers have been retrying, by their time budgets."""
+"""Estimate from time budgets how long callers have been retrying."""
 
 from __future__ import annotations
 
--- a/packages/daemon/src/martenquay_daemon/forwarding/retry_window.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/retry_window.py
@@ -58,7 +58,7 @@
         self._find_counts(service).requests.append(trio.current_time())
 
     def has_retry_left(self, service: str) -> bool:
-        """Tell whether the budget allows a retry, without spending it."""
+        """Return whether the budget allows a retry, without spending it."""
         counts = self._find_counts(service)
         bounds = self.bounds
         share = bounds.slack / max(1, self._count_daemons())
@@ -68,7 +68,7 @@
         return len(counts.retries) + 1 <= allowed
 
     def try_spend(self, service: str) -> bool:
-        """Spend one retry if the budget allows it; tell whether it did."""
+        """Spend one retry if the budget allows it; return whether it did."""
         if not self.has_retry_left(service):
             return False
         self._find_counts(service).retries.append(trio.current_time())
--- a/packages/daemon/src/martenquay_daemon/forwarding/routes.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/routes.py
@@ -29,7 +29,10 @@
         }
 
     def find_route(self, call: calls.Call) -> catalog.Route | None:
-        """Return the route whose prefix of the path is longest, if any."""
+        """Return the host's route with the longest matching path prefix.
+
+        None if no route matches.
+        """
         path = call.path
         for route in self._by_host.get(call.host, []):
             if path.startswith(route.prefix):
@@ -41,7 +44,7 @@
         return None if key is None else self._by_key.get(key)
 
     def needs_key(self, route: catalog.Route) -> bool:
-        """Tell whether requests of the route must carry a key."""
+        """Return whether requests of the route must carry a key."""
         return bool(self.catalog.teams) and not route.is_public
 
 
--- a/packages/daemon/src/martenquay_daemon/forwarding/runner_connection.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/runner_connection.py
@@ -79,7 +79,7 @@
 
     Attributes:
         last_activity_at: When the runner last sent bytes, or else when the
-            connection opened, in trio's time.
+            connection opened, on trio's clock.
         has_response_head: The response head has been received.
         has_first_event: The first event of a stream has been received.
     """
@@ -157,7 +157,7 @@
         return b"".join(chunks)
 
     async def close(self) -> None:
-        """Reset the connection, so that a working runner can stop."""
+        """Reset the connection, so that the runner stops unfinished work."""
         await trio.aclose_forcefully(self._stream)
 
     async def _next_event(self) -> h11.Event:
--- a/packages/daemon/src/martenquay_daemon/forwarding/silence.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/silence.py
@@ -43,7 +43,7 @@
     SILENT = enum.auto()
 
 
-def _never_move() -> bool:
+def _never_retry() -> bool:
     return False
 
 
@@ -65,7 +65,7 @@
     next_probe_s: float
     max_silence_s: float = math.inf
     max_pause_s: float = math.inf
-    may_retry: Callable[[], bool] = _never_move
+    may_retry: Callable[[], bool] = _never_retry
 
 
 async def wait_until_gone(
--- a/packages/daemon/src/martenquay_daemon/forwarding/silence_limits.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/silence_limits.py
@@ -41,7 +41,7 @@
     Args:
         current: The request.
         placement: The chosen runner.
-        may_retry: Whether the retry budget allows one more attempt.
+        may_retry: Returns whether the retry budget allows one more attempt.
     """
     max_silence_s = max_event_gap_s = math.inf
     has_next = current.attempts + 1 < current.route.max_attempts
--- a/packages/daemon/src/martenquay_daemon/forwarding/stop_window.py
+++ b/packages/daemon/src/martenquay_daemon/forwarding/stop_window.py
@@ -49,8 +49,8 @@
         """Start the stop.
 
         Args:
-            find_deadline: Returns when all requests must have ended, in trio's
-                time; operators may change it during the stop.
+            find_deadline: Returns when all requests must have ended, on trio's
+                clock; operators may change it during the stop.
         """
         self._find_deadline = find_deadline
 
--- a/packages/daemon/src/martenquay_daemon/journal/appender.py
+++ b/packages/daemon/src/martenquay_daemon/journal/appender.py
@@ -29,7 +29,8 @@
 
     Attributes:
         stream: Name of the stream.
-        batch_count: Number of batches appended so far.
+        batch_count: Number of batches sent to the log so far, including
+            failed ones.
     """
 
     def __init__(
--- a/packages/daemon/src/martenquay_daemon/operators/queries.py
+++ b/packages/daemon/src/martenquay_daemon/operators/queries.py
@@ -37,7 +37,8 @@
     "limits": objects.Kind.LIMIT,
     "shares": objects.Kind.SHARE,
 }
-# Each daemon has only its own rows of these, so all of the partner's are asked.
+# Each daemon has only its own rows of these, so all daemons of the partner are
+# asked.
 _PER_DAEMON_NOUNS = {"requests", "tickets", "config"}
 _WHY = "why"
 
@@ -47,7 +48,7 @@
     """Result of a query.
 
     Attributes:
-        rows: One JSON object a row.
+        rows: One JSON object per row.
         silent: Daemons that were asked and did not answer.
     """
 
@@ -83,7 +84,12 @@
     async def answer(
         self, query: statements.Query
     ) -> Result[QueryResult, results.Failure]:
-        """Return the rows that match a query, or a failure if none does."""
+        """Return the rows that match a query.
+
+        Returns:
+            The rows, possibly none; a failure if the query names a request or
+            an object and no row matches.
+        """
         match query:
             case statements.Why(request_id=request_id):
                 found = await self._collect_from_daemons(_WHY, request_id)
--- a/packages/daemon/src/martenquay_daemon/operators/rows.py
+++ b/packages/daemon/src/martenquay_daemon/operators/rows.py
@@ -33,7 +33,7 @@
         pool: The runner's pool.
         zone: The runner's availability zone.
         machine_class: The runner's price class.
-        price: The runner's price.
+        price: The runner's price per hour.
         state: live, leaving or ejected.
         ahead: Estimated requests in progress or queued at the runner.
         in_flight: Requests of this daemon at the runner.
