--- a/packages/daemon/src/martenquay_daemon/discovery/copy_age.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/copy_age.py
@@ -62,8 +62,8 @@
             at: That time, in trio's time.
             event: How this was found.
         """
-        # Before the confirmation resets it, so that the metric has the age
-        # that the copy reached.
+        # Observed before the confirmation resets it, so that the metric has the
+        # age that the copy reached.
         self._observe_age(event)
         self.confirmed_at = max(self.confirmed_at, at)
 
--- a/packages/daemon/src/martenquay_daemon/discovery/initial_sync.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/initial_sync.py
@@ -14,8 +14,8 @@
 __all__ = ["InitialSync", "create_initial_sync"]
 
 _LOG = logs.create_log("catalog")
-# The first reads take less, even when all daemons start at once; if the log is
-# down, callers get their error after this time.
+# Counted from the start of the daemon; if the log is down then, held requests
+# get their error after this time.
 _MAX_WAIT_S = 0.25
 
 
--- a/packages/daemon/src/martenquay_daemon/discovery/keyed_follower.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/keyed_follower.py
@@ -115,9 +115,9 @@
                 retry_s = min(2 * retry_s, _MAX_RETRY_S)
 
     def _find_wait_s(self) -> float:
-        crowded_s = self._schedule.large_fleet_wait_s
-        if crowded_s is not None and self._is_large_fleet():
-            return crowded_s
+        large_fleet_wait_s = self._schedule.large_fleet_wait_s
+        if large_fleet_wait_s is not None and self._is_large_fleet():
+            return large_fleet_wait_s
         return self._schedule.wait_s
 
     async def _pause(self) -> None:
--- a/packages/daemon/src/martenquay_daemon/discovery/read_schedules.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/read_schedules.py
@@ -1,4 +1,4 @@
-"""How often the daemon reads each topic of the platform's log."""
+"""Define how often the daemon reads each topic of the platform's log."""
 
 from __future__ import annotations
 
--- a/packages/daemon/src/martenquay_daemon/discovery/runner_directory.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/runner_directory.py
@@ -108,7 +108,7 @@
         ]
 
     def is_leaving(self, runner: runners.Runner) -> bool:
-        """Tell whether a runner drains, by its entry or its answers."""
+        """Return whether a runner drains, by its entry or its answers."""
         return runner.is_leaving or self.leaving.is_draining(runner)
 
     def list_zones(self, service: str) -> set[str]:
@@ -259,7 +259,7 @@
 
 
 def _has_started_later(one: runners.Runner, other: runners.Runner) -> bool:
-    """Tell whether both start times are known and the first is later."""
+    """Return whether both start times are known and the first is later."""
     if one.born_ms is None or other.born_ms is None:
         return False
     return one.born_ms > other.born_ms
--- a/packages/daemon/src/martenquay_daemon/discovery/runner_entries.py
+++ b/packages/daemon/src/martenquay_daemon/discovery/runner_entries.py
@@ -190,14 +190,14 @@
 def _is_from_earlier_process(
     runner: runners.Runner, previous: runners.Runner
 ) -> bool:
-    """Tell whether an entry was written by an earlier process."""
+    """Return whether an entry was written by an earlier process."""
     if runner.born_ms is None or previous.born_ms is None:
         return False
     return runner.born_ms < previous.born_ms
 
 
 def _is_changed(previous: runners.Runner, runner: runners.Runner) -> bool:
-    """Tell whether an entry is more than a heartbeat.
+    """Return whether an entry is more than a heartbeat.
 
     The remaining time of a draining runner falls with each heartbeat, so only
     the first one counts.
--- a/packages/daemon/src/martenquay_daemon/duties/capacity_controller.py
+++ b/packages/daemon/src/martenquay_daemon/duties/capacity_controller.py
@@ -33,8 +33,8 @@
 
 _LOG = logs.create_log("capacity")
 _RECONCILE_INTERVAL_S = 0.5
-# The first capacity plan waits until the directory has listed the runners; from
-# a partial list it would order too few.
+# The first reconciliation waits until the directory has listed the runners; an
+# order from a partial list would stop runners that serve.
 _START_DELAY_S = 3.4
 # Remaining lease time needed to start a call, so that it ends within the lease.
 _MIN_LEASE_S = 0.5
@@ -61,7 +61,7 @@
         lease: The lease that permits orders.
         store: The catalog.
         directory: The known runners.
-        meter: Prompt tokens that callers send to this daemon.
+        meter: Rates of uncached prompt tokens at this daemon.
         ledger: Requests in progress at runners.
         estimates: Prefill speed of each service's engines.
         fleet: What other daemons gossip.
@@ -84,7 +84,7 @@
 
 
 class CapacityController:
-    """Keep each service at its target number of runners."""
+    """Keeps each service at its target number of runners."""
 
     def __init__(self, parts: CapacityParts) -> None:
         self._parts = parts
@@ -102,7 +102,6 @@
 
     async def run(self) -> None:
         """Reconcile all services until cancelled."""
-        # An order from a partial list would stop runners that serve.
         await trio.sleep(_START_DELAY_S)
         while True:
             await trio.sleep(_RECONCILE_INTERVAL_S)
--- a/packages/daemon/src/martenquay_daemon/duties/capacity_plan.py
+++ b/packages/daemon/src/martenquay_daemon/duties/capacity_plan.py
@@ -43,7 +43,7 @@
     """Demand for a service over all daemons.
 
     Attributes:
-        tokens_per_s: Prompt tokens that arrive.
+        tokens_per_s: Uncached prompt tokens that arrive.
         requests: Requests running or queued at runners.
         read_tokens_per_s: Prefill speed of one runner.
         unread_tokens: Prompt tokens queued at runners.
@@ -61,7 +61,7 @@
 
         Args:
             limits: The limit of each limited runner, in requests per second.
-            tokens: Mean prompt tokens of a request.
+            tokens: Mean uncached prompt tokens of a request.
         """
         if tokens <= 0:
             return 0
--- a/packages/daemon/src/martenquay_daemon/duties/delayed_decrease.py
+++ b/packages/daemon/src/martenquay_daemon/duties/delayed_decrease.py
@@ -14,7 +14,8 @@
     Attributes:
         hold_s: How long inputs must stay lower before the value falls.
         count: The current value.
-        lower_since: When inputs became lower than the value; None if not.
+        lower_since: When inputs became lower than the value; None if they
+            are not.
         highest_lower: The highest input since then.
     """
 
--- a/packages/daemon/src/martenquay_daemon/duties/demand_trend.py
+++ b/packages/daemon/src/martenquay_daemon/duties/demand_trend.py
@@ -22,8 +22,8 @@
     """Extrapolates a rising rate; a falling rate is returned as it is.
 
     The rate is an exponential average that lags behind a steady rise by its
-    memory, and ordered runners serve only after their boot time. Extrapolating
-    the slope over both makes up for the lag.
+    decay time, and ordered runners serve only after their boot time.
+    Extrapolating the slope over both makes up for the lag.
     """
 
     def __init__(self) -> None:
@@ -46,8 +46,8 @@
         """Return the expected rate, in tokens per second.
 
         Args:
-            horizon_s: Memory of the averaged rate plus the time until ordered
-                runners serve.
+            horizon_s: Decay time of the averaged rate plus the time until
+                ordered runners serve.
         """
         if not self._rates:
             return 0.0
--- a/packages/daemon/src/martenquay_daemon/duties/lease.py
+++ b/packages/daemon/src/martenquay_daemon/duties/lease.py
@@ -47,7 +47,7 @@
     """Times of a lease.
 
     Attributes:
-        length_s: How long the holder may act after it wrote a record.
+        length_s: Validity of a record, from when the holder sent it.
         renew_s: Interval between two renewals.
         margin_s: The holder stops this much earlier and a successor waits this
             much longer, to allow for clock drift and late timers.
@@ -135,7 +135,7 @@
         self._gossiped_free_at = trio.current_time() + left_s
 
     async def run(self) -> None:
-        """Acquire, renew and lose the lease until cancelled."""
+        """Acquire the lease and renew it while held, until cancelled."""
         # Daemons that start together don't know each other's rank yet; without
         # jitter all would append at once.
         score = rendezvous.score_candidate(self._topic_name, self._instance)
--- a/packages/daemon/src/martenquay_daemon/duties/lease_topic.py
+++ b/packages/daemon/src/martenquay_daemon/duties/lease_topic.py
@@ -39,7 +39,7 @@
         instance: That daemon's instance.
         fence: The holder's fencing token; 0 in a record that acquires the
             lease, whose offset determines the token.
-        number: Sequence number of the member's records, which tells a late
+        number: Sequence number among the member's records, which tells a late
             append from a new one.
     """
 
@@ -78,7 +78,11 @@
         self._sent_at: dict[int, float] = {}
 
     def find_sent_at(self, number: int) -> float:
-        """Return when an own record was sent, in trio's time."""
+        """Return when an own record was sent.
+
+        Returns:
+            In trio's time; minus infinity if unknown.
+        """
         return self._sent_at.get(number, -math.inf)
 
     def skip_to(self, end: int, fence: int) -> None:
@@ -90,7 +94,11 @@
         self.is_end_gossiped = True
 
     async def append(self, kind: RecordKind, fence: int) -> bool:
-        """Append a record if the topic still ends at `end`; return success."""
+        """Append a record if the topic still ends at `end`.
+
+        Returns:
+            Whether the record is known to have been appended.
+        """
         record = self._create_record(kind, fence)
         written = await self._log.append(
             self._name,
--- a/packages/daemon/src/martenquay_daemon/duties/parts.py
+++ b/packages/daemon/src/martenquay_daemon/duties/parts.py
@@ -35,7 +35,7 @@
         lease: The lease that permits the duties.
         store: The catalog.
         directory: The known runners.
-        meter: Prompt tokens that callers send to this daemon.
+        meter: Rates of uncached prompt tokens at this daemon.
         ledger: Requests in progress at runners.
         estimates: Prefill speed of each service's engines.
         usage: Requests started, by window and team.
--- a/packages/daemon/src/martenquay_daemon/duties/usage_counts.py
+++ b/packages/daemon/src/martenquay_daemon/duties/usage_counts.py
@@ -13,12 +13,12 @@
 # Requests by window number and team.
 WindowCounts = dict[int, dict[str, int]]
 
-# Longer than any report may be delayed.
+# Together longer than a report may be delayed.
 _KEPT_WINDOWS = 5
 
 
 class UsageCounts:
-    """Started requests of this daemon."""
+    """Counts this daemon's started requests by window and team."""
 
     def __init__(
         self, window_s: float, read_clock: Callable[[], float] = time.time
--- a/packages/daemon/src/martenquay_daemon/duties/usage_reporter.py
+++ b/packages/daemon/src/martenquay_daemon/duties/usage_reporter.py
@@ -159,7 +159,11 @@
                 )
 
     async def _log_report(self, window: int) -> bool:
-        """Write the report to the log unless the log has grown."""
+        """Write the report to the log unless the log has grown.
+
+        Returns:
+            Whether the report is known to have been written.
+        """
         counts = view.merge_counts(
             self._counts.list_counts(), self._view.sum_started(window), window
         )
@@ -184,7 +188,11 @@
         return False
 
     async def _read_log(self) -> bool:
-        """Read logged reports; the first one of a window counts."""
+        """Read logged reports; the first one of a window counts.
+
+        Returns:
+            Whether the log answered.
+        """
         while True:
             page = await self._log.read(self._topic, self._end_offset)
             match page:
--- a/packages/daemon/src/martenquay_daemon/fleet/announcements.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/announcements.py
@@ -52,7 +52,7 @@
         self._roster = known
 
     def replace_all(self, snapshot: ports.Snapshot) -> None:
-        """Apply all announcements of a snapshot."""
+        """Apply a snapshot's announcements; other instances stay listed."""
         for record in snapshot.records:
             self.apply_change(record)
 
--- a/packages/daemon/src/martenquay_daemon/fleet/hub.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/hub.py
@@ -14,7 +14,7 @@
 
 __all__ = ["HubState", "ZoneHub"]
 
-# Reports to a daemon end when its digests have not come for this long.
+# A daemon whose last digest is older than this gets no more reports.
 _SUBSCRIPTION_TIMEOUT_S = 3.0
 
 
@@ -101,7 +101,7 @@
     def create_reports(
         self, hub_state: HubState, now: float, silent_s: float
     ) -> dict[str, messages.FleetReport]:
-        """Return the reports to the subscribers and to itself, by address."""
+        """Return the reports to the subscribers and this hub, by address."""
         assert self._own_digest is not None, "set_own_digest was not called"
         total = self._aggregator.sum_digests(now, silent_s)
         others = [
--- a/packages/daemon/src/martenquay_daemon/fleet/links.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/links.py
@@ -64,7 +64,7 @@
             the reply; sends a `WAITING` reply first if that takes a moment.
         find_zone_end: Returns the offset up to which all daemons of a zone
             account for announcements.
-        runner_report_gossip: Converts runners' reports.
+        runner_report_gossip: Creates and merges gossip of runners' reports.
     """
 
     apply_digest: Callable[[messages.Digest], None]
@@ -113,8 +113,8 @@
         """Create the links.
 
         Args:
-            own: Address to listen at.
-            fleet: View of the fleet that received digests update.
+            own: Address to listen at, with this daemon's zone and capacity.
+            fleet: View of the fleet, updated by received digests.
             state: Catalog and runner entries to exchange with peers.
             create_digest: Returns a new digest of this daemon.
             mesh_intervals: Intervals in a small fleet.
@@ -136,7 +136,7 @@
         self._state_requested_at = -math.inf
         self._context = zmq.Context()
         self._known: dict[str, topology.PeerAddress] = {}
-        # Invalid addresses; other daemons may go on to list them.
+        # Addresses that ZeroMQ rejects. Other daemons may keep listing them.
         self._invalid: set[str] = set()
         self._links: dict[str, _Link] = {}
         self._nursery: trio.Nursery | None = None
@@ -197,7 +197,11 @@
         return None if self.is_mesh() else self._zone.find_quota_hub()
 
     def find_sole_since(self) -> float:
-        """Return since when no hub uses the last process's delegation."""
+        """Return since when no hub uses a former process's delegation.
+
+        Returns:
+            In trio's time; infinity while one may still use it.
+        """
         # In a mesh nobody delegates.
         return -math.inf if self.is_mesh() else self._zone.find_sole_since()
 
@@ -462,7 +466,7 @@
             self._send(outgoing.address, outgoing.raw)
 
     def _send_to_hubs(self, outgoing: Iterable[zone_mode.Outgoing]) -> None:
-        """Send messages to hubs and note which hubs should report now."""
+        """Send messages to hubs and note that each receiver should report."""
         for one in outgoing:
             if self._send(one.address, one.raw):
                 self._zone.note_sent(one.address)
@@ -472,7 +476,7 @@
         return link is not None and link.socket.send([raw])
 
     def _request_state(self) -> None:
-        """Request the state of a peer that has newer one, if any."""
+        """Request newer state from a peer, if one has it."""
         now = trio.current_time()
         if now < self._state_requested_at + _STATE_REQUEST_INTERVAL_S:
             return
--- a/packages/daemon/src/martenquay_daemon/fleet/members.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/members.py
@@ -51,7 +51,7 @@
         self._end_listeners.append(listener)
 
     def apply_digest(self, digest: messages.Digest) -> bool:
-        """Apply a digest; return whether it is newer."""
+        """Apply another instance's digest; return whether it is newer."""
         if digest.instance == self._instance:
             return False
         known = self._members.get(digest.member)
@@ -103,7 +103,7 @@
         return [m for m in self._members.values() if not m.is_replaced]
 
     def list_fresh(self, silent_s: float) -> list[KnownMember]:
-        """Return the daemons that sent a digest within some seconds."""
+        """Return the daemons that sent a digest in the last `silent_s`."""
         oldest = trio.current_time() - silent_s
         return [m for m in self.list_current() if m.heard_at >= oldest]
 
--- a/packages/daemon/src/martenquay_daemon/fleet/messages.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/messages.py
@@ -248,7 +248,7 @@
             members' announcements.
         loads: Its load at runners, by runner id.
         begun: Requests started, by usage window and team.
-        demand: Prompt tokens a second sent for prefill, by service.
+        demand: Uncached prompt tokens a second, by service.
         reading: Prefill sums of its results, by service.
         trials: Canary results, by service.
         orders: Rollout orders that it has learnt of recently.
@@ -302,7 +302,7 @@
             account for announcements, as far as the hub knows.
         begun: Requests started, by usage window and team; empty for
             receivers that do not need it.
-        demand: Prompt tokens a second sent for prefill, by service; empty
+        demand: Uncached prompt tokens a second, by service; empty
             for receivers that do not need it.
         reading: Prefill sums of the zone's results, by service; empty in
             reports, which hold the sum over all zones.
@@ -462,7 +462,7 @@
         team: Name of the team whose quota is to be spent.
         units: Units to spend.
         reserve: Priority levels to leave room for; 0 for the most urgent.
-        is_late: The caller's deadline cannot be met any more.
+        is_late: It is a caller's retry and can no longer meet its deadline.
         is_redirected: Another daemon has named the receiver as holder.
     """
 
--- a/packages/daemon/src/martenquay_daemon/fleet/quota_client.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/quota_client.py
@@ -68,7 +68,7 @@
         reply: The deciding reply.
         refusal: A refusal by another hub, used if no reply decides.
         is_waiting: A hub has replied that it waits for transfers.
-        holder: Address of the daemon to ask that a hub has named, if any.
+        holder: Address of the holder that a hub has named, until it is asked.
         passed: Number of hubs that hold no quota or are not linked yet.
         reply_received: Set at each reply and then replaced.
     """
@@ -109,7 +109,7 @@
 
 
 class QuotaClient:
-    """Implement `gate.QuotaHolders` by requests to quota hubs.
+    """Implements `gate.QuotaHolders` by requests to quota hubs.
 
     Attributes:
         observe: Called with the outcome and the duration in seconds of each
--- a/packages/daemon/src/martenquay_daemon/fleet/quota_exchange.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/quota_exchange.py
@@ -193,7 +193,7 @@
         return self._members_end
 
     def find_zone_end(self, zone: str) -> int:
-        """Return the least such offset of all daemons of a zone."""
+        """Return the least `find_members_end` of a zone's listed daemons."""
         return self._roster.find_zone_end(zone, self.find_members_end())
 
     async def answer(
@@ -203,7 +203,8 @@
     ) -> None:
         """Decide on another daemon's request and reply.
 
-        A team that this daemon's catalog does not list yet is passed on.
+        The verdict is `PASSED`, so that the sender asks another hub, while this
+        daemon's catalog does not list the team or rate shares are missing here.
         """
         teams = self._store.table.catalog.teams
         team = next((one for one in teams if one.name == request.team), None)
--- a/packages/daemon/src/martenquay_daemon/fleet/roster.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/roster.py
@@ -135,7 +135,7 @@
         self._heard_at = dict.fromkeys(self._listed, now)
 
     def list_silent(self, silent_s: float) -> list[str]:
-        """Return the other instances that have been silent for some seconds."""
+        """Return the other instances that have been silent for `silent_s`."""
         oldest = trio.current_time() - silent_s
         others = sorted(self._listed - {self._instance})
         return [one for one in others if self._heard_at[one] < oldest]
--- a/packages/daemon/src/martenquay_daemon/fleet/state_copies.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/state_copies.py
@@ -30,8 +30,8 @@
 # the log.
 _STALE_LOG_S = 0.9
 _MS = 1000
-# Upper bound for ages in messages; the age of a copy that was never complete,
-# or of an outage that never was, is infinite.
+# Upper bound for ages in messages: the age is infinite if a copy was never
+# complete or there was no outage.
 _MAX_AGE_S = 3600.0
 _MAX_LOGGED_IDS = 8
 
--- a/packages/daemon/src/martenquay_daemon/fleet/state_gossip.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/state_gossip.py
@@ -28,7 +28,7 @@
 
 __all__ = ["Identity", "StateGossip", "StateSources"]
 
-# Source of the sums over all other daemons that a hub reports.
+# Source name of the sums over all other daemons that a hub reports.
 _FLEET = "fleet"
 _MS = 1000
 # Upper bound for ages in messages; the age of a log that never answered is
@@ -66,7 +66,7 @@
         loads: Load at the runners.
         runner_report_gossip: Limits and drains that runners reported.
         usage: Counts of started requests.
-        meter: Demand for prefill.
+        meter: Rates of uncached prompt tokens.
         estimates: Prefill speed of the engines.
         orders: Operators' rollout orders.
         trials: Canary results.
--- a/packages/daemon/src/martenquay_daemon/fleet/topology.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/topology.py
@@ -19,12 +19,12 @@
 
 # Above this number of other daemons, the fleet gossips through hubs.
 MAX_MESH_PEERS = 12
-# With two, the loss of one leaves no daemon without reports until the next
-# election.
+# When one of two hubs is lost, the other one reports to all daemons of the zone
+# until the next election.
 _HUBS_PER_ZONE = 2
 # A hub that was sent messages and does not report for this long is not elected.
 _REPORT_TIMEOUT_S = 2.0
-# Time after which messages are sent to it again, beside the elected hubs.
+# Time until an excluded hub is sent messages again, beside the elected hubs.
 _RETRY_AFTER_S = 5.0
 _HASH_KEY = "hub"
 
@@ -65,7 +65,7 @@
 
         Args:
             peers: The zone's daemons.
-            now: In trio's time.
+            now: The current time, in trio's time.
         """
         chosen: list[str] = []
         reporting = 0
--- a/packages/daemon/src/martenquay_daemon/fleet/view.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/view.py
@@ -1,8 +1,4 @@
-"""Answer questions on the other daemons, in a small fleet or a large one.
-
-In a small fleet, each daemon's digests are known. In a large one, only sums
-over each zone are.
-"""
+"""Query other daemons' state, by daemon or, in a large fleet, by zone."""
 
 from __future__ import annotations
 
@@ -25,8 +21,8 @@
 # A partition silences all daemons of a zone at once, so less silence is needed
 # to detect it than for one daemon.
 _ZONE_SILENCE_FRACTION = 0.6
-# Usage counts of a window are final when this fraction of the daemons has sent
-# theirs; users accept one in twenty missing.
+# In a large fleet, usage counts of a window are final when this fraction of the
+# daemons is in the sums; waiting for all would delay reports while one is down.
 _MIN_REPORTING_FRACTION = 0.95
 # Silence after which a daemon has no share of what the daemons divide evenly.
 _COUNTED_S = 30.0
@@ -81,7 +77,7 @@
         return sorted({known.summary.instance for known in hubs})
 
     def is_zone_silent(self, zone: str) -> bool:
-        """Return whether all daemons of a zone that were heard are silent."""
+        """Return whether a zone is silent; False if it never sent anything."""
         heard_at = self._find_zone_heard_at(zone)
         if heard_at is None:
             return False
@@ -91,7 +87,10 @@
         )
 
     def count_daemons(self) -> int:
-        """Return the number of daemons, with this one and the listed ones."""
+        """Return the number of daemons, this one included.
+
+        Counts the daemons heard or the listed ones, whichever are more.
+        """
         listed = len(self._listed - {self._instance})
         return 1 + max(self._count_heard(), listed)
 
@@ -104,7 +103,7 @@
         return total
 
     def sum_demand(self, service: str) -> float:
-        """Return others' prompt tokens a second for a service."""
+        """Return others' uncached prompt tokens a second for a service."""
         if self.is_mesh:
             found = [known.digest.demand for known in self.list_fresh()]
         else:
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_aggregator.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_aggregator.py
@@ -34,7 +34,7 @@
         lease_member: Member id of the lease's holder.
         loads: Load at runners, by runner id.
         begun: Requests started, by usage window and team.
-        demand: Prompt tokens a second sent for prefill, by service.
+        demand: Uncached prompt tokens a second, by service.
         reading: Prefill sums, by service.
         trials: Canary results, by service.
     """
@@ -100,7 +100,7 @@
         started all the same.
 
         Args:
-            now: In trio's time.
+            now: The current time, in trio's time.
             silent_s: Time without digests after which a daemon is silent.
         """
         heard = list(self._list_heard(now, silent_s))
--- a/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zone_mode.py
@@ -266,7 +266,7 @@
         return True
 
     def find_report_time(self, number: int) -> float | None:
-        """Return when this hub made a round of reports, in trio's time."""
+        """Return a report round's time in trio's time, or None if unknown."""
         return self._report_times.find(number)
 
     def is_quota_hub(self) -> bool:
--- a/packages/daemon/src/martenquay_daemon/fleet/zones.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/zones.py
@@ -1,4 +1,4 @@
-"""Hold the newest summaries of each zone and the hub that is used."""
+"""Hold each zone's newest summaries and choose the hub to use."""
 
 from __future__ import annotations
 
@@ -92,7 +92,7 @@
     def _fail_over(
         self, zone: _Zone, summary: messages.ZoneSummary, now: float
     ) -> bool:
-        """Make the summary's hub the active one if that is silent."""
+        """Make the summary's hub active if the present one is silent."""
         silent_s = now - zone.hubs[zone.active].heard_at
         if silent_s < _FAILOVER_S:
             return False
--- a/packages/daemon/src/martenquay_daemon/membership/table.py
+++ b/packages/daemon/src/martenquay_daemon/membership/table.py
@@ -78,7 +78,7 @@
                 return self._merge_member(update)
 
     def suspect(self, member: str) -> None:
-        """Mark a daemon as suspect that did not answer heartbeats."""
+        """Mark a daemon that did not answer heartbeats as suspect."""
         known = self.find(member)
         if known is not None and known.state < _State.SUSPECT:
             self.merge(msgspec.structs.replace(known, state=_State.SUSPECT))
--- a/packages/daemon/src/martenquay_daemon/rollouts/controller.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/controller.py
@@ -197,6 +197,7 @@
     def _list_refused(
         self, rollout: registry.Rollout, phase: registry.Phase
     ) -> tuple[str, ...]:
+        """Return the versions that get no requests from a step on."""
         service = rollout.order.service
         refused = self._parts.orders.find_refused(service)
         last = self._parts.orders.find_last_step(service)
@@ -211,7 +212,7 @@
     async def _publish_status(
         self, rollout: registry.Rollout, step: registry.Step
     ) -> None:
-        """Publish the state to operators, once per state and term."""
+        """Publish the state to operators, once per state and lease term."""
         parts = self._parts
         service = rollout.order.service
         published_state = (rollout.offset, step.phase.state)
--- a/packages/daemon/src/martenquay_daemon/rollouts/plan.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/plan.py
@@ -15,8 +15,8 @@
 # Fraction of the order's duration for the canary phase. It is long, since a
 # version may turn bad late and switching exposes all callers.
 _CANARY_FRACTION = 0.84
-# Fraction of the duration by which a rollout ends; the rest is for the log and
-# for telling operators.
+# Fraction of the duration by which a rollout ends; the rest is for writing the
+# last step and publishing the status.
 _COMPLETION_FRACTION = 0.94
 
 
--- a/packages/daemon/src/martenquay_daemon/rollouts/records.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/records.py
@@ -40,7 +40,7 @@
 
 
 class StepSink:
-    """Implement `keyed_follower.RecordSink` for steps."""
+    """A `keyed_follower.RecordSink` that registers steps."""
 
     def __init__(self, rollouts: registry.RolloutRegistry) -> None:
         self._registry = rollouts
@@ -77,7 +77,7 @@
 
 
 class OrderSink:
-    """Implement `keyed_follower.RecordSink` for operators' orders."""
+    """A `keyed_follower.RecordSink` that registers operators' orders."""
 
     def __init__(
         self, codec: ports.PlatformCodec, rollouts: registry.RolloutRegistry
--- a/packages/daemon/src/martenquay_daemon/rollouts/registry.py
+++ b/packages/daemon/src/martenquay_daemon/rollouts/registry.py
@@ -110,7 +110,7 @@
         self._steps: dict[str, Step] = {}
 
     def find(self, service: str) -> Rollout | None:
-        """Return a service's newest order."""
+        """Return a service's newest order, or None."""
         return self._rollouts.get(service)
 
     def list_all(self) -> list[Rollout]:
@@ -127,7 +127,7 @@
         return [one for one in self.list_all() if one.seen_at > oldest]
 
     def find_last_step(self, service: str) -> Step | None:
-        """Return a service's furthest step, of any order."""
+        """Return the furthest step of a service's newest order with any."""
         return self._steps.get(service)
 
     def find_refused(self, service: str) -> set[str]:
