--- a/packages/daemon/src/martenquay_daemon/fleet/roster.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/roster.py
@@ -130,7 +130,7 @@
         return count / len(self._listed)
 
     def reset_heard_times(self) -> None:
-        """Count silence from now, as others could not be heard before."""
+        """Count silence from now; before, not all others sent digests here."""
         now = trio.current_time()
         self._heard_at = dict.fromkeys(self._listed, now)
 
--- a/packages/daemon/src/martenquay_daemon/fleet/view.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/view.py
@@ -89,7 +89,8 @@
     def count_daemons(self) -> int:
         """Return the number of daemons, this one included.
 
-        Counts the daemons heard or the listed ones, whichever are more.
+        Counts the daemons with recent digests or summaries, or the listed ones,
+        whichever are more.
         """
         listed = len(self._listed - {self._instance})
         return 1 + max(self._count_heard(), listed)
--- a/packages/daemon/src/martenquay_daemon/membership/table.py
+++ b/packages/daemon/src/martenquay_daemon/membership/table.py
@@ -118,8 +118,8 @@
     def tick(self) -> None:
         """Count one heartbeat interval; mark long suspect daemons as dead.
 
-        Time counts in ticks, as a clock would go on while this process is
-        frozen and declare daemons dead that could not be heard meanwhile.
+        Time counts in ticks. A clock would go on while this process is frozen,
+        and daemons whose heartbeats it missed would count as dead.
         """
         for name, entry in list(self._entries.items()):
             entry.ticks += 1
