--- a/bench/runner_limits.py
+++ b/bench/runner_limits.py
@@ -1,6 +1,6 @@
-"""Compare ways to divide the limit of a runner in need among daemons.
+"""Compare strategies for dividing a runner's rate limit among daemons.
 
-Run `python -m bench.runner_limits`; it takes some minutes.
+Run `python -m bench.runner_limits`; it simulates fleets for some minutes.
 """
 
 from __future__ import annotations
@@ -21,97 +21,103 @@
 _SIZES = flags.DEFINE_list("sizes", "6,25,70,195,400", "Daemons of a fleet.")
 _LIMITS = flags.DEFINE_list("limits", "0.1,1,5,50", "Requests a second.")
 _SEEDS = flags.DEFINE_integer("seeds", 5, "Days of each size and limit.")
-_LEAST_PER_S = 0.1
-_SILENT_S = 5.0
+_MIN_RATE_PER_S = 0.1
+_HOLDER_TIMEOUT_S = 5.0
 
 
-def _share_evenly(
-    limit: float, place: send_shares.SenderRank
+def _divide_evenly(
+    limit_per_s: float, sender: send_shares.SenderRank
 ) -> send_shares.Share:
-    """Give each daemon one part of as many as there are."""
-    rate = max(limit, _LEAST_PER_S)
+    """Give each daemon an equal share of the rate."""
+    rate_per_s = max(limit_per_s, _MIN_RATE_PER_S)
     return send_shares.HolderSchedule(
-        (place.rank + 1) / rate, place.daemons / rate
+        (sender.rank + 1) / rate_per_s, sender.daemons / rate_per_s
     )
 
 
-def _give_to_one(
-    limit: float, place: send_shares.SenderRank
+def _grant_to_one_holder(
+    limit_per_s: float, sender: send_shares.SenderRank
 ) -> send_shares.Share:
-    """Give all to the first; the others wait for it to fall silent."""
-    rate = max(limit, _LEAST_PER_S)
-    if place.rank == 0:
-        return send_shares.HolderSchedule(1 / rate, 1 / rate)
-    length_s = 2 / min(rate, 1.0)
+    """Give the whole rate to one daemon; the others probe if it is silent."""
+    rate_per_s = max(limit_per_s, _MIN_RATE_PER_S)
+    if sender.rank == 0:
+        return send_shares.HolderSchedule(1 / rate_per_s, 1 / rate_per_s)
+    slot_s = 2 / min(rate_per_s, 1.0)
     return send_shares.ProbeSlot(
-        max(_SILENT_S, 3 / rate) + (place.rank - 1) * length_s,
-        length_s,
-        max(1, place.daemons - 1) * length_s,
+        max(_HOLDER_TIMEOUT_S, 3 / rate_per_s) + (sender.rank - 1) * slot_s,
+        slot_s,
+        max(1, sender.daemons - 1) * slot_s,
     )
 
 
-def _only_ask(limit: float, place: send_shares.SenderRank) -> send_shares.Share:
-    """Send nothing but what tells that the limit is over."""
-    del limit
-    return send_shares.find_share(_LEAST_PER_S, place)
+def _allow_probes_only(
+    limit_per_s: float, sender: send_shares.SenderRank
+) -> send_shares.Share:
+    """Send only the probes that detect that the limit is lifted."""
+    del limit_per_s
+    return send_shares.find_share(_MIN_RATE_PER_S, sender)
 
 
-_WAYS: dict[
+_STRATEGIES: dict[
     str, Callable[[float, send_shares.SenderRank], send_shares.Share]
 ] = {
-    "each one part": _share_evenly,
-    "one holder": _give_to_one,
+    "each one part": _divide_evenly,
+    "one holder": _grant_to_one_holder,
     "few holders": send_shares.find_share,
-    "only asked": _only_ask,
+    "only asked": _allow_probes_only,
 }
 
 
-def _play(
-    way: str, daemons: int, limit: float, seeds: int
+def _simulate(
+    strategy: str, daemons: int, limit_per_s: float, seeds: int
 ) -> list[limit_days.Played]:
-    found = []
+    results = []
     for seed in range(seeds):
-        day = limit_days.LimitDay(daemons, limit, seed)
-        found.append(
+        day = limit_days.LimitDay(daemons, limit_per_s, seed)
+        results.append(
             trio.run(
                 limit_days.play_day,
                 day,
-                _WAYS[way],
+                _STRATEGIES[strategy],
                 clock=trio.testing.MockClock(autojump_threshold=0),
             )
         )
-    return found
-
-
-def _describe(way: str, daemons: int, limit: float, seeds: int) -> list[str]:
-    found = _play(way, daemons, limit, seeds)
-    most = max(one.most for one in found)
-    borne = limit_days.find_most_borne(limit)
-    asked = limit * limit_days.WINDOW_S
-    got = sum(one.got_per_s for one in found) / len(found)
-    learnt = sorted(one.learnt_s for one in found)[len(found) // 2]
+    return results
+
+
+def _describe(
+    strategy: str, daemons: int, limit_per_s: float, seeds: int
+) -> list[str]:
+    results = _simulate(strategy, daemons, limit_per_s, seeds)
+    max_in_window = max(result.most for result in results)
+    max_tolerated = limit_days.find_most_borne(limit_per_s)
+    allowed = limit_per_s * limit_days.WINDOW_S
+    mean_rate_per_s = sum(result.got_per_s for result in results) / len(results)
+    median_lift_known_s = sorted(result.learnt_s for result in results)[
+        len(results) // 2
+    ]
     return [
-        way,
+        strategy,
         str(daemons),
-        f"{limit:g}",
-        str(most),
-        str(max(one.most_of_all for one in found)),
-        f"{asked:g}",
-        f"{borne:g}",
-        "yes" if most > borne else "",
-        f"{got / limit:.2f}",
-        f"{learnt:.1f}",
+        f"{limit_per_s:g}",
+        str(max_in_window),
+        str(max(result.most_of_all for result in results)),
+        f"{allowed:g}",
+        f"{max_tolerated:g}",
+        "yes" if max_in_window > max_tolerated else "",
+        f"{mean_rate_per_s / limit_per_s:.2f}",
+        f"{median_lift_known_s:.1f}",
     ]
 
 
 def main(argv: list[str]) -> None:
-    """Print a row a way, size and limit."""
+    """Print a row per strategy, fleet size and limit."""
     del argv
     rows = [
-        _describe(way, int(size), float(limit), _SEEDS.value)
-        for limit in _LIMITS.value
+        _describe(strategy, int(size), float(limit_per_s), _SEEDS.value)
+        for limit_per_s in _LIMITS.value
         for size in _SIZES.value
-        for way in _WAYS
+        for strategy in _STRATEGIES
     ]
     figures.print_table(
         [
