--- a/bench/rollouts.py
+++ b/bench/rollouts.py
@@ -1,9 +1,9 @@
-"""Play orders of good and bad versions, and print how they end.
+"""Simulate canary rollouts of good and bad versions and print their outcomes.
 
 python -m bench.rollouts [--seeds=20]
 
-Each row is a kind of version, over fleets of 6, 25, 70 and 195 daemons, at 20
-to 400 requests a second, alone and beside what befalls both versions alike.
+Each row sums up the rollouts of one version at one request rate over fleets of
+6, 25, 70 and 195 daemons, without faults or while both versions fail for 2 s.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 _SEEDS = flags.DEFINE_integer("seeds", 20, "Orders of each.", lower_bound=1)
 _DAEMONS = (6, 25, 70, 195)
-_RATES = (20.0, 65.0, 200.0, 400.0)
+_REQUEST_RATES_PER_S = (20.0, 65.0, 200.0, 400.0)
 _VERSIONS = {
     "good": rollout_simulation.Version(),
     "fails 0.05": rollout_simulation.Version(failures=0.05),
@@ -42,17 +42,17 @@
 
 
 def main(argv: list[str]) -> int:
-    """Print the table."""
+    """Simulate all rollouts and print the table."""
     del argv
-    trio.run(_print, clock=trio.testing.MockClock())
+    trio.run(_print_table, clock=trio.testing.MockClock())
     return 0
 
 
-async def _print() -> None:
+async def _print_table() -> None:
     rows = [
-        _describe(name, rate, crash_at_s)
+        _describe_rollouts(name, requests_per_s, crash_at_s)
         for name in _VERSIONS
-        for rate in _RATES
+        for requests_per_s in _REQUEST_RATES_PER_S
         for crash_at_s in (None, 6.0)
     ]
     figures.print_table(
@@ -70,37 +70,43 @@
     )
 
 
-def _describe(name: str, rate: float, crash_at_s: float | None) -> list[str]:
+def _describe_rollouts(
+    name: str, requests_per_s: float, crash_at_s: float | None
+) -> list[str]:
     version = _VERSIONS[name]
-    wanted = (
+    expected_phase = (
         registry.Phase.ROLLED_BACK
         if version.is_bad
         else registry.Phase.COMPLETED
     )
-    played = [
+    results = [
         rollout_simulation.simulate_rollout(
             rollout_simulation.RolloutScenario(
                 version,
                 daemons=daemons,
-                requests_per_s=rate,
+                requests_per_s=requests_per_s,
                 seed=seed,
                 crash_at_s=crash_at_s,
             )
         )
         for daemons, seed in itertools.product(_DAEMONS, range(_SEEDS.value))
     ]
-    times = sorted(one.decided_s for one in played)
-    right = sum(one.phase is wanted for one in played)
-    over = sum(one.find_excess() > 0 for one in played) if version.is_bad else 0
+    decision_times_s = sorted(result.decided_s for result in results)
+    correct = sum(result.phase is expected_phase for result in results)
+    over_bound = (
+        sum(result.find_excess() > 0 for result in results)
+        if version.is_bad
+        else 0
+    )
     return [
         name,
-        f"{rate:.0f}",
+        f"{requests_per_s:.0f}",
         "none" if crash_at_s is None else "both fail, slow",
-        f"{right}/{len(played)}",
-        str(over),
-        str(max(one.bad_answers for one in played)),
-        f"{times[len(times) // 2]:.2f}",
-        f"{times[int(0.99 * (len(times) - 1))]:.2f}",
+        f"{correct}/{len(results)}",
+        str(over_bound),
+        str(max(result.bad_answers for result in results)),
+        f"{decision_times_s[len(decision_times_s) // 2]:.2f}",
+        f"{decision_times_s[int(0.99 * (len(decision_times_s) - 1))]:.2f}",
     ]
 
 
