--- a/bench/decision.py
+++ b/bench/decision.py
@@ -1,4 +1,4 @@
-"""Time one routing decision at different numbers of runners."""
+"""Measure the time of a routing decision by number of runners."""
 
 from __future__ import annotations
 
@@ -19,28 +19,28 @@
 from martenquay_daemon.routing import loads, placement, prefixes
 
 _DECISIONS = flags.DEFINE_integer("decisions", 3000, "Decisions a size.")
-_SIZES = (5, 50, 200, 790)
+_RUNNER_COUNTS = (5, 50, 200, 790)
 _PROMPT_TOKENS = 600
-_SUBJECTS = 200
+_PROMPTS = 200
 
 
 def main(argv: list[str]) -> int:
-    """Time all sizes in one run and print one table."""
+    """Measure all numbers of runners and print one table."""
     del argv
-    trio.run(_run)
+    trio.run(_print_table)
     return 0
 
 
-async def _run() -> None:
+async def _print_table() -> None:
     rows = []
-    for size in _SIZES:
-        hashing, deciding = _time_decisions(size)
+    for runner_count in _RUNNER_COUNTS:
+        hashing_s, decision_s = _measure_decisions(runner_count)
         rows.append(
             [
-                str(size),
-                f"{figures.compute_percentile(deciding, 50) * 1e6:.0f}",
-                f"{figures.compute_percentile(deciding, 99) * 1e6:.0f}",
-                f"{figures.compute_percentile(hashing, 50) * 1e6:.0f}",
+                str(runner_count),
+                f"{figures.compute_percentile(decision_s, 50) * 1e6:.0f}",
+                f"{figures.compute_percentile(decision_s, 99) * 1e6:.0f}",
+                f"{figures.compute_percentile(hashing_s, 50) * 1e6:.0f}",
             ]
         )
     figures.print_table(
@@ -49,43 +49,46 @@
     )
 
 
-def _time_decisions(size: int) -> tuple[list[float], list[float]]:
-    rng = random.Random(size)
-    placer, load_book, index, names = _build(size, rng)
+def _measure_decisions(runner_count: int) -> tuple[list[float], list[float]]:
+    """Return the seconds of prompt hashing and of placement, per decision."""
+    rng = random.Random(runner_count)
+    placer, load_book, index, names = _build_placer(runner_count, rng)
     prompts = [
         " ".join(f"w{rng.randrange(999)}" for _ in range(_PROMPT_TOKENS))
-        for _ in range(_SUBJECTS)
+        for _ in range(_PROMPTS)
     ]
     for prompt in prompts:
         index.note_held(rng.choice(names), blocks.chain_blocks(prompt))
-    hashing: list[float] = []
-    deciding: list[float] = []
-    for number in range(_DECISIONS.value):
-        prompt = prompts[number % _SUBJECTS]
-        started = time.perf_counter()
+    hashing_s: list[float] = []
+    decision_s: list[float] = []
+    for decision in range(_DECISIONS.value):
+        prompt = prompts[decision % _PROMPTS]
+        started_at = time.perf_counter()
         chain = blocks.chain_blocks(prompt)
-        hashed = time.perf_counter()
-        ask = placement.PlacementRequest(
+        hashed_at = time.perf_counter()
+        request = placement.PlacementRequest(
             "serrana", "model", chain, _PROMPT_TOKENS
         )
-        chosen = placer.place(ask)
-        decided = time.perf_counter()
-        hashing.append(hashed - started)
-        deciding.append(decided - hashed)
+        chosen = placer.place(request)
+        decided_at = time.perf_counter()
+        hashing_s.append(hashed_at - started_at)
+        decision_s.append(decided_at - hashed_at)
         assert chosen is not None
         load_book.note_placed(chosen.runner.name)
         load_book.note_done(chosen.runner.name, 1.0)
-    return hashing, deciding
+    return hashing_s, decision_s
 
 
-def _build(
-    size: int, rng: random.Random
+def _build_placer(
+    runner_count: int, rng: random.Random
 ) -> tuple[placement.Placer, loads.LoadBook, prefixes.PrefixIndex, list[str]]:
     config = store.ConfigStore(["serrana"], records.create_verifier({}))
-    me = messages.MemberUpdate(
+    own_update = messages.MemberUpdate(
         member="entry-1.aa", partner="serrana", zone="zone-0", address=""
     )
-    runners = directory.RunnerDirectory(config, table.MemberTable(me, 5))
+    runners = directory.RunnerDirectory(
+        config, table.MemberTable(own_update, 5)
+    )
     runners.replace_all(
         [
             instances.Instance(
@@ -96,7 +99,7 @@
                 f"10.0.{number // 250}.{number % 250}",
                 pool="model",
             )
-            for number in range(size)
+            for number in range(runner_count)
         ]
     )
     load_book = loads.LoadBook()
@@ -104,7 +107,12 @@
     placer = placement.Placer(
         "zone-0", runners, load_book, index, ejection.Ejector(), rng
     )
-    return placer, load_book, index, [f"runner-{n}" for n in range(size)]
+    return (
+        placer,
+        load_book,
+        index,
+        [f"runner-{n}" for n in range(runner_count)],
+    )
 
 
 if __name__ == "__main__":
