--- a/bench/fleet_cost.py
+++ b/bench/fleet_cost.py
@@ -1,4 +1,4 @@
-"""Measure what knowing the fleet costs a daemon, in fleets of several sizes.
+"""Measure the traffic and processor time of gossip by fleet size.
 
 python -m bench.fleet_cost
 """
@@ -19,35 +19,35 @@
 _TEAMS = 16
 _ROUNDS = 5
 _ZONES = 7
-# Runners that the daemons of the fleet have requests at, by fleet size.
-_RUNNERS = {8: 9, 80: 45, 400: 790}
-_AT_ONCE = 6
-_SILENT_S = 2.0
+_RUNNERS_BY_FLEET_SIZE = {8: 9, 80: 45, 400: 790}
+_REQUESTS_PER_DAEMON = 6
+_PEER_TIMEOUT_S = 2.0
 _HUB_STATE = hub.HubState(3, 900, 120, 40, 12, messages.NO_RUNNER_REPORTS)
 
 
 @dataclasses.dataclass(frozen=True)
-class _Cost:
-    """What one size costs.
+class _GossipCost:
+    """Cost of gossip at one fleet size.
 
     Attributes:
-        digest_bytes: A daemon's own digest.
-        report_bytes: A hub's report to one daemon.
-        exchange_bytes: A hub's news for another zone's hub.
-        round_s: Processor time of a hub for one round of reports.
-        take_s: Processor time of a daemon for taking one report.
+        digest_bytes: Size of a daemon's own digest.
+        report_bytes: Size of a hub's report to one daemon.
+        exchange_bytes: Size of a hub's message to another zone's hub.
+        create_reports_s: Processor time of a hub to encode the exchange and all
+            reports of one interval.
+        process_report_s: Processor time of a daemon to process one report.
     """
 
     digest_bytes: int
     report_bytes: int
     exchange_bytes: int
-    round_s: float
-    take_s: float
+    create_reports_s: float
+    process_report_s: float
 
 
 def _build_digest(number: int, member: int, runners: int) -> messages.Digest:
     teams = [f"team{n}" for n in range(_TEAMS)]
-    first = member * _AT_ONCE
+    first_runner = member * _REQUESTS_PER_DAEMON
     return builders.build_digest(
         member=f"entry-{member}.aabbccdd",
         instance=f"entry-{member}",
@@ -59,8 +59,8 @@
         ),
         members_end=900,
         loads={
-            f"i-{(first + n) % runners:010x}": messages.LoadEntry(2, 900)
-            for n in range(_AT_ONCE)
+            f"i-{(first_runner + n) % runners:010x}": messages.LoadEntry(2, 900)
+            for n in range(_REQUESTS_PER_DAEMON)
         },
         begun={n: dict.fromkeys(teams[:5], 3) for n in range(3)},
         demand={"service-1": 2500.0},
@@ -70,8 +70,8 @@
     )
 
 
-def _fill_others(table: zones.ZoneTable, runners: int) -> None:
-    """Have the other zones' hubs tell of loads at all runners."""
+def _add_remote_summaries(table: zones.ZoneTable, runners: int) -> None:
+    """Add summaries of the other zones, with loads at all runners."""
     loads = {f"i-{n:010x}": messages.LoadEntry(3, 1200) for n in range(runners)}
     for number in range(1, _ZONES):
         summary = builders.build_summary(
@@ -82,43 +82,43 @@
         table.apply_summary(summary, loads, 0.0)
 
 
-def _measure_zone(size: int) -> _Cost:
-    """Measure a hub and a daemon of a zone in a large fleet."""
+def _measure_zone(size: int) -> _GossipCost:
+    """Measure a hub and a daemon of one zone."""
     table = zones.ZoneTable()
-    runners = _RUNNERS[size]
-    _fill_others(table, runners)
-    one = hub.ZoneHub(table)
-    members = max(2, size // _ZONES)
-    times = []
-    takes = []
+    runners = _RUNNERS_BY_FLEET_SIZE[size]
+    _add_remote_summaries(table, runners)
+    zone_hub = hub.ZoneHub(table)
+    zone_members = max(2, size // _ZONES)
+    creation_times_s = []
+    processing_times_s = []
     for number in range(1, _ROUNDS + 1):
-        for member in range(1, members):
-            one.apply_digest(_build_digest(number, member, runners), 0.0)
+        for member in range(1, zone_members):
+            zone_hub.apply_digest(_build_digest(number, member, runners), 0.0)
         own = _build_digest(number, 0, runners)
-        one.set_own_digest(own, 0.0)
-        started = time.process_time()
+        zone_hub.set_own_digest(own, 0.0)
+        started_at = time.process_time()
         exchange = messages.encode_message(
-            one.create_exchange(_HUB_STATE, 0.0, _SILENT_S)
+            zone_hub.create_exchange(_HUB_STATE, 0.0, _PEER_TIMEOUT_S)
         )
-        raws = [
+        encoded_reports = [
             messages.encode_message(report)
-            for report in one.create_reports(
-                _HUB_STATE, 0.0, _SILENT_S
+            for report in zone_hub.create_reports(
+                _HUB_STATE, 0.0, _PEER_TIMEOUT_S
             ).values()
         ]
-        times.append(time.process_time() - started)
-        started = time.process_time()
-        report = messages.decode_message(raws[0])
+        creation_times_s.append(time.process_time() - started_at)
+        started_at = time.process_time()
+        report = messages.decode_message(encoded_reports[0])
         assert isinstance(report, messages.FleetReport)
         for summary in report.zones:
             zones.ZoneTable().apply_summary(summary, {}, 0.0)
-        takes.append(time.process_time() - started)
-    return _Cost(
+        processing_times_s.append(time.process_time() - started_at)
+    return _GossipCost(
         digest_bytes=len(messages.encode_message(messages.DigestMessage(own))),
-        report_bytes=max(len(raw) for raw in raws),
+        report_bytes=max(len(encoded) for encoded in encoded_reports),
         exchange_bytes=len(exchange),
-        round_s=statistics.median(times),
-        take_s=statistics.median(takes),
+        create_reports_s=statistics.median(creation_times_s),
+        process_report_s=statistics.median(processing_times_s),
     )
 
 
@@ -126,32 +126,39 @@
     cost = _measure_zone(size)
     if size <= topology.MAX_MESH_PEERS + 1:
         intervals = timing.MESH_INTERVALS
-        told = cost.digest_bytes * (size - 1) / intervals.digest_s
-        sent = f"{told / 1000:.1f}"
-        return [str(size), str(cost.digest_bytes), "-", sent, sent, *"----"]
+        sent_bytes_s = cost.digest_bytes * (size - 1) / intervals.digest_s
+        sent_kb_s = f"{sent_bytes_s / 1000:.1f}"
+        return [
+            str(size),
+            str(cost.digest_bytes),
+            "-",
+            sent_kb_s,
+            sent_kb_s,
+            *"----",
+        ]
     intervals = timing.ZONE_INTERVALS
     report_s = intervals.find_report_interval(cost.report_bytes)
-    members = size // _ZONES
+    zone_members = size // _ZONES
     hubs = 2
-    told = cost.digest_bytes * hubs / intervals.digest_s
-    heard = cost.report_bytes * hubs / report_s
-    hub_out = cost.report_bytes * members / report_s
-    hub_out += cost.exchange_bytes * hubs * (_ZONES - 1) / report_s
+    sent_bytes_s = cost.digest_bytes * hubs / intervals.digest_s
+    received_bytes_s = cost.report_bytes * hubs / report_s
+    hub_sent_bytes_s = cost.report_bytes * zone_members / report_s
+    hub_sent_bytes_s += cost.exchange_bytes * hubs * (_ZONES - 1) / report_s
     return [
         str(size),
         str(cost.digest_bytes),
         str(cost.report_bytes),
-        f"{told / 1000:.1f}",
-        f"{heard / 1000:.1f}",
-        f"{100 * cost.take_s * hubs / report_s:.2f}%",
-        f"{hub_out / 1000:.0f}",
-        f"{100 * cost.round_s / report_s:.1f}%",
+        f"{sent_bytes_s / 1000:.1f}",
+        f"{received_bytes_s / 1000:.1f}",
+        f"{100 * cost.process_report_s * hubs / report_s:.2f}%",
+        f"{hub_sent_bytes_s / 1000:.0f}",
+        f"{100 * cost.create_reports_s / report_s:.1f}%",
         f"{report_s:.2f}",
     ]
 
 
 def main(argv: list[str]) -> None:
-    """Print a row a size."""
+    """Print a row per fleet size."""
     del argv
     figures.print_table(
         [
