--- a/bench/runner_needs.py
+++ b/bench/runner_needs.py
@@ -1,7 +1,7 @@
-"""Count what callers get beside runners that say what they need.
+"""Count the answers to callers while runners report backoffs, limits or drains.
 
-Run `python -m bench.runner_needs`: six whole daemons in one process before nine
-runners, 60 requests a second for 10 s, two attempts each.
+Run `python -m bench.runner_needs`: six complete daemons in one process send 60
+requests per second to nine runners for 10 s, with two attempts per request.
 """
 
 from __future__ import annotations
@@ -16,42 +16,46 @@
 
 _DAEMONS = 6
 _RUNNERS = 9
-_RESTING = 3
-_PER_DAEMON_S = 10.0
-_LASTS_S = 10.0
-_NEEDS = ("none", "three rest", "one has a limit", "one leaves", "all of these")
+_BACKOFF_RUNNERS = 3
+_REQUESTS_PER_DAEMON_S = 10.0
+_LOAD_DURATION_S = 10.0
+_CASES = ("none", "three rest", "one has a limit", "one leaves", "all of these")
 
 
-async def _play(need: str) -> list[str]:
+async def _measure(case: str) -> list[str]:
     async with telling_fleet.open_fleet(_DAEMONS, _RUNNERS) as fleet:
-        *resting, limited, leaving = fleet.runners[: _RESTING + 2]
-        before = {id(one): len(one.arrivals) for one in fleet.runners}
-        if need in {"three rest", "all of these"}:
-            for runner in resting:
+        *backoff_runners, limited, draining = fleet.runners[
+            : _BACKOFF_RUNNERS + 2
+        ]
+        arrivals_before = {
+            id(runner): len(runner.arrivals) for runner in fleet.runners
+        }
+        if case in {"three rest", "all of these"}:
+            for runner in backoff_runners:
                 runner.refusal = (b"retry-after: 3",)
-        if need in {"one has a limit", "all of these"}:
+        if case in {"one has a limit", "all of these"}:
             limited.lines = (b"server-limit: 1",)
-        if need in {"one leaves", "all of these"}:
-            leaving.lines = (b"server-leaving: 1",)
-        await fleet.send_load(_PER_DAEMON_S, _LASTS_S)
-        statuses = collections.Counter(one.status for one in fleet.replies)
-        turned_away = sum(
+        if case in {"one leaves", "all of these"}:
+            draining.lines = (b"server-leaving: 1",)
+        await fleet.send_load(_REQUESTS_PER_DAEMON_S, _LOAD_DURATION_S)
+        statuses = collections.Counter(reply.status for reply in fleet.replies)
+        refused = sum(
             arrival.is_refused
             for runner in fleet.runners
             for arrival in runner.arrivals
         )
         return [
-            need,
+            case,
             str(statuses.total()),
             f"{statuses[200] / statuses.total():.3f}",
-            str(turned_away),
-            str(len(limited.arrivals) - before[id(limited)]),
-            str(len(leaving.arrivals) - before[id(leaving)]),
+            str(refused),
+            str(len(limited.arrivals) - arrivals_before[id(limited)]),
+            str(len(draining.arrivals) - arrivals_before[id(draining)]),
         ]
 
 
 def main(argv: list[str]) -> None:
-    """Print a row a need."""
+    """Print a row per case."""
     del argv
     figures.print_table(
         [
@@ -62,7 +66,7 @@
             "at the one with a limit",
             "at the one that leaves",
         ],
-        [trio.run(_play, need) for need in _NEEDS],
+        [trio.run(_measure, case) for case in _CASES],
     )
 
 
