--- a/bench/journal_table.py
+++ b/bench/journal_table.py
@@ -1,4 +1,4 @@
-"""Print what the entries of the journal say, a line a day played.
+"""Print a table of the journal: a row per scenario (day) that was run.
 
 python -m bench.journal_table [--site=NAME] [--day=NAME] [--last=N]
 """
@@ -16,8 +16,8 @@
 _SITE = flags.DEFINE_string("site", "", "Only sites whose name holds this.")
 _DAY = flags.DEFINE_string("day", "", "Only days whose name holds this.")
 _LAST = flags.DEFINE_integer("last", 40, "The newest lines.", lower_bound=1)
-_JOURNAL = pathlib.Path(__file__).resolve().parent.parent / "journal"
-_PRICES = {
+_JOURNAL_FOLDER = pathlib.Path(__file__).resolve().parent.parent / "journal"
+_PRICE_COLUMNS = {
     "seconds of servers ordered": "runners",
     "cloud calls": "calls",
     "duties missed": "duties",
@@ -25,8 +25,8 @@
 
 
 def list_rows() -> list[list[str]]:
-    """Return a row a day played, oldest first."""
-    entries = sorted(_JOURNAL.glob("*.json"))
+    """Return a row per day that was run, oldest first."""
+    entries = sorted(_JOURNAL_FOLDER.glob("*.json"))
     return [
         row
         for path in entries
@@ -46,7 +46,7 @@
 def _describe_day(
     entry: dict[str, Any], site: str, day: dict[str, Any]
 ) -> list[str]:
-    taken = {name: taken for name, _, taken in day.get("prices") or []}
+    amounts = {name: amount for name, _, amount in day.get("prices") or []}
     return [
         entry["at"][0][11:16],
         str(entry.get("head", ""))[:7] + ("+" if entry.get("dirty") else ""),
@@ -54,16 +54,16 @@
         str(day.get("name", "")),
         f"{day.get('G') or 0:.3f}",
         f"{day.get('served') or 0:.3f}",
-        *(f"{taken.get(price) or 0:.3f}" for price in _PRICES),
+        *(f"{amounts.get(price) or 0:.3f}" for price in _PRICE_COLUMNS),
         " ".join(day.get("rules") or {}),
     ]
 
 
 def main(argv: list[str]) -> None:
-    """Print the table."""
+    """Print the newest rows."""
     del argv
     names = ["at", "code", "site", "day", "worth", "served"]
-    names += [*_PRICES.values(), "broken"]
+    names += [*_PRICE_COLUMNS.values(), "broken"]
     figures.print_table(names, list_rows()[-_LAST.value :])
 
 
