--- a/bench/mutation.py
+++ b/bench/mutation.py
@@ -1,4 +1,4 @@
-"""Describe one mechanism that is taken out to see whether tests notice."""
+"""Define a mutation: a source change that disables one mechanism."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Mutation:
-    """One mechanism taken out.
+    """Source change that the tests should detect.
 
     Attributes:
-        name: What is taken out.
-        file: The file changed.
-        old: The text replaced.
-        new: What replaces it.
-        tests: The tests that should notice.
+        name: Mechanism that is disabled.
+        file: Path of the changed file from the repository's root.
+        old: Text to replace.
+        new: Replacement.
+        tests: Test module or class that should fail.
     """
 
     name: str
