--- a/bench/fault_days.py
+++ b/bench/fault_days.py
@@ -3,9 +3,9 @@
     python -m bench.fault_days --player=PATH --site=FILE
         [--only=TEXT] [--seeds=N]
 
-The player is the users' bench; it calls a scenario a day. Each day has faults of
-one kind alone; the days named series-* have signals, releases and configuration
-changes that overlap at the daemons.
+The player is the users' bench; it calls a scenario a day. Each day has faults
+of one kind alone; the days named series-* have signals, releases and
+configuration changes that overlap at the daemons.
 """
 
 from __future__ import annotations
--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -1,7 +1,7 @@
-"""Take one mechanism after the other out and show which tests then fail.
+"""Disable one mechanism at a time and report which tests fail.
 
-Each mutation is made in a copy of the repository. A mutation that no test
-notices means that the tests prove nothing about that mechanism.
+Each mutation is applied to a copy of the repository. If no test fails, the
+tests don't cover the mechanism.
 """
 
 from __future__ import annotations
@@ -28,9 +28,13 @@
 _ONLY = flags.DEFINE_string("only", "", "Only mutations with this in the name.")
 _ROOT = pathlib.Path(__file__).resolve().parent.parent
 _PROMISES = "tests.test_promises"
-_LIMIT_S = 300
-# A scenario that hangs for want of a mechanism has failed too.
-_HANG = ("tests/scenarios.py", "_HANG_S = 120.0", "_HANG_S = 30.0")
+_TEST_TIMEOUT_S = 300
+# Scenarios that hang without the mechanism fail before the test run times out.
+_HANG_TIMEOUT_CHANGE = (
+    "tests/scenarios.py",
+    "_HANG_S = 120.0",
+    "_HANG_S = 30.0",
+)
 
 
 _MUTATIONS = (
@@ -188,63 +192,66 @@
 
 
 def main(argv: list[str]) -> int:
-    """Run all mutations; return 1 if one goes unnoticed."""
+    """Run the selected mutations; return 1 if the tests miss one."""
     del argv
-    families = {
+    mutations_by_family = {
         "own": _MUTATIONS,
         "platform": platform_mutations.PLATFORM_MUTATIONS,
         "all": (*_MUTATIONS, *platform_mutations.PLATFORM_MUTATIONS),
     }
-    listed = families[_FAMILY.value]
-    chosen = [m for m in listed if _ONLY.value in m.name]
+    available = mutations_by_family[_FAMILY.value]
+    selected = [m for m in available if _ONLY.value in m.name]
     with futures.ThreadPoolExecutor(_WORKERS.value) as pool:
-        found = list(pool.map(_run, chosen))
+        results = list(pool.map(_run_tests, selected))
     rows = [
-        [one.name, "noticed" if noticed else "NOT NOTICED", detail]
-        for one, (noticed, detail) in zip(chosen, found, strict=True)
+        [mutated.name, "noticed" if detected else "NOT NOTICED", detail]
+        for mutated, (detected, detail) in zip(selected, results, strict=True)
     ]
     figures.print_table(["taken out", "by the tests", "failed"], rows)
-    return 0 if all(noticed for noticed, _ in found) else 1
+    return 0 if all(detected for detected, _ in results) else 1
 
 
-def _run(one: mutation.Mutation) -> tuple[bool, str]:
-    with tempfile.TemporaryDirectory() as folder:
-        copy = pathlib.Path(folder) / "copy"
+def _run_tests(mutated: mutation.Mutation) -> tuple[bool, str]:
+    """Return whether the tests detect the mutation, and a detail to print."""
+    with tempfile.TemporaryDirectory() as temporary:
+        copy = pathlib.Path(temporary) / "copy"
         ignored = shutil.ignore_patterns(
             ".git", ".venv", "__pycache__", "target", "journal"
         )
         shutil.copytree(_ROOT, copy, ignore=ignored)
-        _replace(copy, one.file, one.old, one.new)
-        _replace(copy, *_HANG)
+        _replace(copy, mutated.file, mutated.old, mutated.new)
+        _replace(copy, *_HANG_TIMEOUT_CHANGE)
         try:
-            done = subprocess.run(
-                [sys.executable, "-m", "testtools.run", one.tests],
+            completed = subprocess.run(
+                [sys.executable, "-m", "testtools.run", mutated.tests],
                 cwd=copy,
                 env=_build_environment(copy),
                 check=False,
                 capture_output=True,
                 text=True,
-                timeout=_LIMIT_S,
+                timeout=_TEST_TIMEOUT_S,
             )
         except subprocess.TimeoutExpired:
             return True, "did not end"
     failed = [
         line.split(".")[-1]
-        for line in done.stdout.splitlines()
+        for line in completed.stdout.splitlines()
         if line.startswith(("FAIL: ", "ERROR: "))
     ]
-    ran = "Ran " in done.stdout and "Ran 0" not in done.stdout
+    ran = "Ran " in completed.stdout and "Ran 0" not in completed.stdout
     detail = failed[0].replace("_", " ") if failed else ""
-    more = f" (+{len(failed) - 1})" if len(failed) > 1 else ""
-    return ran and done.returncode != 0, detail + more
+    suffix = f" (+{len(failed) - 1})" if len(failed) > 1 else ""
+    return ran and completed.returncode != 0, detail + suffix
 
 
 def _replace(copy: pathlib.Path, file: str, old: str, new: str) -> None:
-    path = copy / file
-    text = path.read_text()
+    source_path = copy / file
+    text = source_path.read_text()
     if old not in text:
-        raise ValueError(f"{file} does not hold {old!r}")
-    path.write_text(text.replace(old, new))
+        raise ValueError(
+            f"{file} does not contain the text to replace: {old!r}"
+        )
+    source_path.write_text(text.replace(old, new))
 
 
 def _build_environment(copy: pathlib.Path) -> dict[str, str]:
--- a/bench/platform_mutations.py
+++ b/bench/platform_mutations.py
@@ -1,4 +1,4 @@
-"""The mechanisms of the serving path on a platform, each taken out."""
+"""Mutations of the daemon's request path on the platform and its clients."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 _FORWARDER = "tests.test_forwarding.test_forwarder"
 _BACKPRESSURE = "tests.test_backpressure"
-_RIGHTS = "tests.test_allowances.test_refill_shares"
+_REFILL_SHARES = "tests.test_allowances.test_refill_shares"
 _LEASE = "tests.test_duties.test_lease"
 _SILENT_CONNECTIONS = "tests.test_forwarding.test_silent_connections"
 _SILENT_STORE = "tests.test_platform.test_silent_store"
@@ -167,21 +167,21 @@
         f"{DAEMON}/allowances/refill_shares.py",
         "end = reported_at + delegation.ends_s",
         "end = now + delegation.ends_s",
-        _RIGHTS,
+        _REFILL_SHARES,
     ),
     Mutation(
         "a part is not lent twice at a time",
         f"{DAEMON}/allowances/refill_shares.py",
         "starts_at = max(now, last.until)",
         "starts_at = now",
-        _RIGHTS,
+        _REFILL_SHARES,
     ),
     Mutation(
         "a new process ends the loans of the one before",
         f"{DAEMON}/allowances/refill_shares.py",
         "known.span = dataclasses.replace(known.span, end=now)",
         "pass",
-        _RIGHTS,
+        _REFILL_SHARES,
     ),
     Mutation(
         "one more zone may be reclaimed",
