--- a/bench/capacity/__init__.py
+++ b/bench/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Work out docs/CAPACITY.md from slopes measured here."""
+"""Compute the tables of docs/CAPACITY.md from measured marginal costs."""
--- a/bench/capacity/__main__.py
+++ b/bench/capacity/__main__.py
@@ -1,4 +1,4 @@
-"""Measure the slopes and print the tables of docs/CAPACITY.md."""
+"""Measure marginal costs and print the tables of docs/CAPACITY.md."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def main(argv: list[str]) -> int:
-    """Print the slopes, the roles and the log's appends."""
+    """Print marginal costs, costs of the roles and the log's append rate."""
     del argv
     measured = trio.run(slopes.measure_all)
     figures.print_table(
@@ -18,9 +18,9 @@
         [
             [
                 slope.name,
-                f"{slope.seconds * 1e6:.1f}",
-                f"{slope.memory:.0f}",
-                f"{slope.wire:.0f}",
+                f"{slope.processor_s * 1e6:.1f}",
+                f"{slope.memory_bytes:.0f}",
+                f"{slope.wire_bytes:.0f}",
             ]
             for slope in measured.values()
         ],
@@ -41,10 +41,10 @@
                 role.name,
                 role.mechanism,
                 role.state,
-                f"{role.messages_s:.2f}",
-                f"{100 * role.cpu:.3f}%",
+                f"{role.messages_per_s:.2f}",
+                f"{100 * role.cpu_cores:.3f}%",
                 f"{role.memory_mb:.2f}",
-                f"{role.bytes_s:.0f}",
+                f"{role.bytes_per_s:.0f}",
             ]
             for role in roles.compute_roles(measured)
         ],
--- a/bench/capacity/control_slopes.py
+++ b/bench/capacity/control_slopes.py
@@ -1,4 +1,4 @@
-"""Measure what knowing and steering the fleet costs a node."""
+"""Measure the marginal costs of membership, configuration and discovery."""
 
 from __future__ import annotations
 
@@ -16,61 +16,61 @@
 __all__ = [
     "measure_change",
     "measure_heartbeat",
-    "measure_import",
     "measure_member",
     "measure_object",
+    "measure_process",
     "measure_runner",
     "measure_snapshot",
     "measure_verdict",
 ]
 
-_LISTED = 790
-# ZeroMQ's framing and TCP's headers for one small message.
-_MESSAGE_OVERHEAD = 60
+_RUNNERS = 790
+# ZeroMQ framing and TCP/IP headers of one small message.
+_MESSAGE_OVERHEAD_BYTES = 60
 
 
-def measure_import() -> measures.Slope:
-    """Return what an idle daemon's process holds, from its own status."""
+def measure_process() -> measures.Slope:
+    """Return this process's resident memory, about that of an idle daemon."""
     with open("/proc/self/status", encoding="ascii") as status:
         for line in status:
             if line.startswith("VmRSS:"):
                 return measures.Slope(
-                    "this process", memory=int(line.split()[1]) * 1024
+                    "this process", memory_bytes=int(line.split()[1]) * 1024
                 )
     return measures.Slope("this process")
 
 
 def measure_heartbeat() -> measures.Slope:
-    """One heartbeat and its reply without news, both ends of it."""
-    beat = messages.Heartbeat("entry-lakes-a-12.89ab12cd", 123_456, [])
+    """Measure a heartbeat and its reply without changes, at both ends."""
+    heartbeat = messages.Heartbeat("entry-lakes-a-12.89ab12cd", 123_456, [])
     reply = messages.HeartbeatReply("entry-lakes-b-7.89ab12cd", 123_456, [])
     members = _build_members(50)
 
     def run() -> None:
         members.list_changes_since(members.version, 500)
-        raw = messages.encode_message(beat)
-        received = messages.decode_message(raw)
+        encoded = messages.encode_message(heartbeat)
+        received = messages.decode_message(encoded)
         members.note_applied(received.member, received.applied)
         members.list_reports_to_refute(received.member)
-        answer = messages.decode_message(messages.encode_message(reply))
-        members.note_applied(answer.member, answer.applied)
+        received_reply = messages.decode_message(messages.encode_message(reply))
+        members.note_applied(received_reply.member, received_reply.applied)
 
-    wire = (
-        len(messages.encode_message(beat))
+    wire_bytes = (
+        len(messages.encode_message(heartbeat))
         + len(messages.encode_message(reply))
-        + 2 * _MESSAGE_OVERHEAD
+        + 2 * _MESSAGE_OVERHEAD_BYTES
     )
     return measures.Slope(
-        "heartbeat with its reply", measures.time_call(run), 0.0, wire
+        "heartbeat with its reply", measures.time_call(run), 0.0, wire_bytes
     )
 
 
 def measure_member() -> measures.Slope:
-    """One member's change of state: merged, kept and sent on."""
+    """Measure one member's state change: merged, stored and forwarded."""
     small, large = 100, 1100
-    memory = (
-        measures.weigh(lambda: _build_members(large))
-        - measures.weigh(lambda: _build_members(small))
+    memory_bytes = (
+        measures.measure_held_bytes(lambda: _build_members(large))
+        - measures.measure_held_bytes(lambda: _build_members(small))
     ) / (large - small)
     members = _build_members(400)
     numbers = itertools.count(1)
@@ -79,21 +79,21 @@
         members.merge(_build_update(7, incarnation=next(numbers)))
         members.list_changes_since(members.version - 1, 500)
 
-    wire = len(
+    wire_bytes = len(
         messages.encode_message(
             messages.Heartbeat("", 0, [_build_update(7, incarnation=3)])
         )
     )
     return measures.Slope(
-        "daemon in the table", measures.time_call(run), memory, wire
+        "daemon in the table", measures.time_call(run), memory_bytes, wire_bytes
     )
 
 
 def measure_change() -> measures.Slope:
-    """One change record: decoded, its signature checked, folded."""
+    """Measure one change record: decoded, verified and applied."""
     signer, verifier = _build_signer()
     state = fold.create_state(["serrana"])
-    raws = [
+    encoded_changes = [
         records.encode_change(_build_change(number), signer)
         for number in range(1, 501)
     ]
@@ -101,33 +101,39 @@
 
     def run() -> None:
         offset = next(offsets)
-        fold.apply_record(state, offset, raws[offset % 500], verifier)
+        fold.apply_record(
+            state, offset, encoded_changes[offset % 500], verifier
+        )
 
     return measures.Slope(
-        "configuration change", measures.time_call(run), 0.0, len(raws[0])
+        "configuration change",
+        measures.time_call(run),
+        0.0,
+        len(encoded_changes[0]),
     )
 
 
 def measure_object() -> measures.Slope:
-    """One object in force, with its verdict and its typed form."""
+    """Measure one object in force, with its verdict and its decoded form."""
 
     def build(count: int) -> store.ConfigStore:
         signer, verifier = _build_signer()
-        found = store.ConfigStore(["serrana"], verifier)
+        config = store.ConfigStore(["serrana"], verifier)
         for number in range(1, count + 1):
             change = _build_change(number)
-            found.apply(number, records.encode_change(change, signer))
-            found.find(change.key)
-        return found
+            config.apply(number, records.encode_change(change, signer))
+            config.find(change.key)
+        return config
 
-    memory = (
-        measures.weigh(lambda: build(1200)) - measures.weigh(lambda: build(200))
+    memory_bytes = (
+        measures.measure_held_bytes(lambda: build(1200))
+        - measures.measure_held_bytes(lambda: build(200))
     ) / 1000
-    return measures.Slope("configured object", 0.0, memory)
+    return measures.Slope("configured object", 0.0, memory_bytes)
 
 
 def measure_verdict() -> measures.Slope:
-    """One remembered verdict of a change that is no longer in force."""
+    """Measure one stored verdict of a change that is no longer in force."""
 
     def build(count: int) -> fold.PartnerState:
         state = fold.PartnerState("serrana")
@@ -136,21 +142,22 @@
             state.judged[f"change-{number:016d}"] = judged
         return state
 
-    memory = (
-        measures.weigh(lambda: build(2048)) - measures.weigh(lambda: build(48))
+    memory_bytes = (
+        measures.measure_held_bytes(lambda: build(2048))
+        - measures.measure_held_bytes(lambda: build(48))
     ) / 2000
-    return measures.Slope("remembered verdict", 0.0, memory)
+    return measures.Slope("remembered verdict", 0.0, memory_bytes)
 
 
 def measure_snapshot() -> measures.Slope:
-    """One object in a snapshot: encoded, signed, restored."""
+    """Measure one object in a snapshot: encoded, signed and restored."""
     signer, verifier = _build_signer()
 
-    def span(count: int) -> tuple[float, float]:
+    def measure(count: int) -> tuple[float, float]:
         state = fold.create_state(["serrana"])
         for number in range(1, count + 1):
-            raw = records.encode_change(_build_change(number), signer)
-            fold.apply_record(state, number, raw, verifier)
+            record = records.encode_change(_build_change(number), signer)
+            fold.apply_record(state, number, record, verifier)
         partner = state.partners["serrana"]
 
         def run() -> None:
@@ -161,7 +168,7 @@
         size = sum(map(len, snapshot.encode_snapshot(partner, signer)))
         return measures.time_call(run, 20), size
 
-    small, large = span(200), span(1200)
+    small, large = measure(200), measure(1200)
     return measures.Slope(
         "object in a snapshot",
         (large[0] - small[0]) / 1000,
@@ -171,20 +178,20 @@
 
 
 def measure_runner() -> measures.Slope:
-    """One runner of the instance list: decoded, compared and kept."""
+    """Measure one runner of the instance list: decoded, compared and stored."""
     small = _time_list(100)
-    large = _time_list(_LISTED)
-    count = _LISTED - 100
-    memory = (
-        measures.weigh(lambda: _decode_list(_LISTED))
-        - measures.weigh(lambda: _decode_list(100))
+    large = _time_list(_RUNNERS)
+    count = _RUNNERS - 100
+    memory_bytes = (
+        measures.measure_held_bytes(lambda: _decode_list(_RUNNERS))
+        - measures.measure_held_bytes(lambda: _decode_list(100))
     ) / count
-    wire = (len(_encode_list(_LISTED)) - len(_encode_list(100))) / count
+    wire_bytes = (len(_encode_list(_RUNNERS)) - len(_encode_list(100))) / count
     return measures.Slope(
         "runner in one reading of the list",
         (large - small) / count,
-        memory,
-        wire,
+        memory_bytes,
+        wire_bytes,
     )
 
 
@@ -247,12 +254,12 @@
 
 
 def _time_list(count: int) -> float:
-    raw = _encode_list(count)
+    encoded = _encode_list(count)
     config = store.ConfigStore(["serrana"], records.create_verifier({}))
     runners = directory.RunnerDirectory(config, _build_members(1))
 
     def run() -> None:
-        listed = msgspec.json.decode(raw, type=list[instances.Instance])
+        listed = msgspec.json.decode(encoded, type=list[instances.Instance])
         runners.replace_all(listed)
 
     return measures.time_call(run, 50)
--- a/bench/capacity/measures.py
+++ b/bench/capacity/measures.py
@@ -1,4 +1,4 @@
-"""Take the time and the memory that something costs."""
+"""Measure the processor time of a call and the memory of an object."""
 
 from __future__ import annotations
 
@@ -12,41 +12,41 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-__all__ = ["Slope", "time_call", "weigh"]
+__all__ = ["Slope", "measure_held_bytes", "time_call"]
 
 
 @dataclasses.dataclass(frozen=True)
 class Slope:
-    """The cost of one more thing.
+    """Marginal cost of one more item of a kind.
 
     Attributes:
-        name: What there is one more of.
-        seconds: Processor time each.
-        memory: Bytes of memory each.
-        wire: Bytes sent or received each.
+        name: Kind of the item.
+        processor_s: Processor time per item in seconds.
+        memory_bytes: Memory per item.
+        wire_bytes: Bytes sent or received per item.
     """
 
     name: str
-    seconds: float = 0.0
-    memory: float = 0.0
-    wire: float = 0.0
+    processor_s: float = 0.0
+    memory_bytes: float = 0.0
+    wire_bytes: float = 0.0
 
 
-def time_call(run: Callable[[], object], repeats: int = 400) -> float:
+def time_call(run: Callable[[], object], calls: int = 400) -> float:
     """Return the median processor time of one call, in seconds."""
-    spans = []
-    for _ in range(repeats):
-        started = time.process_time_ns()
+    durations_s = []
+    for _ in range(calls):
+        started_ns = time.process_time_ns()
         run()
-        spans.append((time.process_time_ns() - started) / 1e9)
-    return figures.compute_percentile(spans, 50)
+        durations_s.append((time.process_time_ns() - started_ns) / 1e9)
+    return figures.compute_percentile(durations_s, 50)
 
 
-def weigh(build: Callable[[], object]) -> int:
-    """Return the bytes that what is built holds."""
+def measure_held_bytes(build: Callable[[], object]) -> int:
+    """Return the bytes allocated by the object that `build` returns."""
     tracemalloc.start()
-    built = build()
-    held = tracemalloc.get_traced_memory()[0]
+    retained = build()
+    held_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    del built
-    return held
+    del retained
+    return held_bytes
--- a/bench/capacity/serving_slopes.py
+++ b/bench/capacity/serving_slopes.py
@@ -1,4 +1,4 @@
-"""Measure what requests and what is kept of them cost a node."""
+"""Measure the marginal costs of requests and of their stored state."""
 
 from __future__ import annotations
 
@@ -13,42 +13,42 @@
 from martenquay_core.util import blocks
 from martenquay_daemon.claims import records as claim_records
 from martenquay_daemon.claims import table as claim_table
-from martenquay_daemon.deferrable import records as work_records
-from martenquay_daemon.deferrable import table as work_table
+from martenquay_daemon.deferrable import records as deferrable_records
+from martenquay_daemon.deferrable import table as deferrable_table
 from martenquay_daemon.routing import prefixes, ring
 
 __all__ = [
     "measure_claim",
+    "measure_deferrable_request",
     "measure_prefix",
     "measure_request_state",
     "measure_ring",
-    "measure_work",
 ]
 
-_LISTED = 790
-# ZeroMQ's framing and TCP's headers for one small message.
-_MESSAGE_OVERHEAD = 60
+_RUNNERS = 790
+# ZeroMQ framing and TCP/IP headers of one small message.
+_MESSAGE_OVERHEAD_BYTES = 60
 
 
 def measure_ring() -> measures.Slope:
-    """One runner of a pool's ring, built anew."""
+    """Measure one runner in a pool's hash ring while the ring is rebuilt."""
 
     def build(count: int) -> ring.RunnerRing:
         return ring.RunnerRing([f"runner-{n}" for n in range(count)])
 
-    seconds = (
-        measures.time_call(lambda: build(_LISTED), 10)
+    processor_s = (
+        measures.time_call(lambda: build(_RUNNERS), 10)
         - measures.time_call(lambda: build(100), 10)
-    ) / (_LISTED - 100)
-    memory = (
-        measures.weigh(lambda: build(_LISTED))
-        - measures.weigh(lambda: build(100))
-    ) / (_LISTED - 100)
-    return measures.Slope("runner in a ring", seconds, memory)
+    ) / (_RUNNERS - 100)
+    memory_bytes = (
+        measures.measure_held_bytes(lambda: build(_RUNNERS))
+        - measures.measure_held_bytes(lambda: build(100))
+    ) / (_RUNNERS - 100)
+    return measures.Slope("runner in a ring", processor_s, memory_bytes)
 
 
 def measure_prefix() -> measures.Slope:
-    """One block of the prefix index: noted and kept."""
+    """Measure one block of the prefix index: recorded and stored."""
     rng = random.Random(1)
 
     def build(count: int) -> prefixes.PrefixIndex:
@@ -58,55 +58,60 @@
             index.note_held(f"runner-{rng.randrange(16)}", chain)
         return index
 
-    memory = measures.weigh(lambda: build(40_000)) - measures.weigh(
-        lambda: build(20_000)
-    )
+    memory_bytes = measures.measure_held_bytes(
+        lambda: build(40_000)
+    ) - measures.measure_held_bytes(lambda: build(20_000))
     index = build(40_000)
     chain = [rng.getrandbits(64) for _ in range(20)]
-    seconds = (
+    processor_s = (
         measures.time_call(lambda: index.note_held("runner-1", chain)) / 20
     )
-    return measures.Slope("block in the prefix index", seconds, memory / 20_000)
+    return measures.Slope(
+        "block in the prefix index", processor_s, memory_bytes / 20_000
+    )
 
 
 def measure_claim() -> measures.Slope:
-    """One claim with its outcome: encoded, read back, folded, kept."""
+    """Measure a claim with its outcome: encoded, decoded and applied."""
 
     def build(count: int) -> claim_table.ClaimTable:
         claims = claim_table.ClaimTable(full_outcomes=100)
         for number in range(count):
-            for place, raw in enumerate(_encode_claim(number)):
-                claims.apply(2 * number + place + 1, raw)
+            for position, encoded in enumerate(_encode_claim(number)):
+                claims.apply(2 * number + position + 1, encoded)
         return claims
 
-    memory = (
-        measures.weigh(lambda: build(9000))
-        - measures.weigh(lambda: build(1000))
+    memory_bytes = (
+        measures.measure_held_bytes(lambda: build(9000))
+        - measures.measure_held_bytes(lambda: build(1000))
     ) / 8000
     claims = claim_table.ClaimTable(full_outcomes=100)
     numbers = itertools.count()
 
     def run() -> None:
         number = next(numbers)
-        for place, raw in enumerate(_encode_claim(number)):
-            claims.apply(2 * number + place + 1, raw)
+        for position, encoded in enumerate(_encode_claim(number)):
+            claims.apply(2 * number + position + 1, encoded)
 
-    wire = sum(map(len, _encode_claim(1)))
+    wire_bytes = sum(map(len, _encode_claim(1)))
     return measures.Slope(
-        "claim with its outcome", measures.time_call(run), memory, wire
+        "claim with its outcome",
+        measures.time_call(run),
+        memory_bytes,
+        wire_bytes,
     )
 
 
-def measure_work() -> measures.Slope:
-    """One accepted request and its answer: read, folded and kept.
+def measure_deferrable_request() -> measures.Slope:
+    """Measure a deferrable request and its answer: decoded and applied.
 
-    Only the small records: bodies and answers stand in a stream of their own
-    and are read by whoever works on them.
+    Request and answer bodies are excluded: they are in a stream of their own
+    that only the daemon that runs the request reads.
     """
 
     def encode(number: int) -> list[bytes]:
         ticket = f"workshops.{number:032x}"
-        accepted = work_records.Accepted(
+        accepted = deferrable_records.Accepted(
             ticket=ticket,
             team="workshops",
             route="review",
@@ -115,52 +120,60 @@
             offset=10 * number,
             count=1,
         )
-        completed = work_records.Completed(
+        completed = deferrable_records.Completed(
             ticket=ticket, offset=10 * number + 5, count=1
         )
-        return [work_records.encode(accepted), work_records.encode(completed)]
+        return [
+            deferrable_records.encode(accepted),
+            deferrable_records.encode(completed),
+        ]
 
-    def build(count: int) -> work_table.WorkTable:
-        works = work_table.WorkTable()
+    def build(count: int) -> deferrable_table.WorkTable:
+        requests = deferrable_table.WorkTable()
         for number in range(count):
-            for place, raw in enumerate(encode(number)):
-                works.apply(2 * number + place + 1, raw)
-        return works
+            for position, encoded in enumerate(encode(number)):
+                requests.apply(2 * number + position + 1, encoded)
+        return requests
 
-    memory = (
-        measures.weigh(lambda: build(9000))
-        - measures.weigh(lambda: build(1000))
+    memory_bytes = (
+        measures.measure_held_bytes(lambda: build(9000))
+        - measures.measure_held_bytes(lambda: build(1000))
     ) / 8000
-    works = work_table.WorkTable()
+    requests = deferrable_table.WorkTable()
     numbers = itertools.count()
 
     def run() -> None:
         number = next(numbers)
-        for place, raw in enumerate(encode(number)):
-            works.apply(2 * number + place + 1, raw)
+        for position, encoded in enumerate(encode(number)):
+            requests.apply(2 * number + position + 1, encoded)
 
-    wire = sum(map(len, encode(1)))
+    wire_bytes = sum(map(len, encode(1)))
     return measures.Slope(
-        "deferrable request, answered", measures.time_call(run), memory, wire
+        "deferrable request, answered",
+        measures.time_call(run),
+        memory_bytes,
+        wire_bytes,
     )
 
 
 async def measure_request_state() -> measures.Slope:
-    """One request in flight: its task, its prompt and its tokens."""
+    """Measure the memory of a request in flight: task, prompt and tokens."""
 
-    async def hold(count: int) -> int:
+    async def measure_in_flight(count: int) -> int:
         tracemalloc.start()
         async with trio.open_nursery() as nursery:
             for _ in range(count):
                 nursery.start_soon(_hold_request)
             await trio.testing.wait_all_tasks_blocked()
-            held = tracemalloc.get_traced_memory()[0]
+            held_bytes = tracemalloc.get_traced_memory()[0]
             nursery.cancel_scope.cancel()
         tracemalloc.stop()
-        return held
+        return held_bytes
 
-    memory = (await hold(1200) - await hold(200)) / 1000
-    return measures.Slope("request in flight", 0.0, memory)
+    memory_bytes = (
+        await measure_in_flight(1200) - await measure_in_flight(200)
+    ) / 1000
+    return measures.Slope("request in flight", 0.0, memory_bytes)
 
 
 async def _hold_request() -> None:
--- a/bench/capacity/slopes.py
+++ b/bench/capacity/slopes.py
@@ -1,4 +1,4 @@
-"""Measure what one more of each thing costs a node."""
+"""Measure all marginal costs of a node."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 async def measure_all() -> dict[str, measures.Slope]:
-    """Return all slopes by name."""
-    found = [
-        control_slopes.measure_import(),
+    """Return the marginal costs by name."""
+    measured = [
+        control_slopes.measure_process(),
         control_slopes.measure_heartbeat(),
         control_slopes.measure_member(),
         control_slopes.measure_change(),
@@ -26,7 +26,7 @@
         serving_slopes.measure_ring(),
         serving_slopes.measure_prefix(),
         serving_slopes.measure_claim(),
-        serving_slopes.measure_work(),
+        serving_slopes.measure_deferrable_request(),
         await serving_slopes.measure_request_state(),
     ]
-    return {slope.name: slope for slope in found}
+    return {slope.name: slope for slope in measured}
