--- a/bench/routing/__init__.py
+++ b/bench/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Compare ways of placing model requests, on in-process fake engines."""
+"""Compare load balancing policies for model requests on simulated engines."""
--- a/bench/routing/cases.py
+++ b/bench/routing/cases.py
@@ -1,4 +1,4 @@
-"""Bring about the cases in which ways of placing are compared."""
+"""Simulate the cases in which load balancing policies are compared."""
 
 from __future__ import annotations
 
@@ -8,166 +8,179 @@
 import trio
 import trio.testing
 
-from bench.routing import engines, sites, workloads
+from bench.routing import engines, fleets, workloads
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
 __all__ = ["CASES", "Case", "RunResult", "run_case"]
 
-_FIRST_FAULT_S = 15.0
-_NOTICE_S = 1.0
-_BACK_S = 12.0
+_FAULT_AT_S = 15.0
+_RECLAIM_NOTICE_S = 1.0
+_REPLACEMENT_DELAY_S = 12.0
 
 
 @dataclasses.dataclass(frozen=True)
 class Case:
-    """One case.
+    """Faults and load of a simulation.
 
     Attributes:
-        name: What happens.
-        engine_model: How the engines behave.
-        events: What befalls the fleet while requests come.
-        flood_factor: How many times more the flower shop sends.
-        share: The part of each runner's slots that is lent.
+        name: Name of the case in the tables.
+        engine_model: Speed and reporting delays of the engines.
+        fault: Key of the simulated fault; empty for none.
+        flood_factor: Factor on the request rate of the flower shop.
+        lent_fraction: Fraction of each runner's slots lent to the other
+            partner.
     """
 
     name: str
     engine_model: engines.EngineModel = engines.EngineModel()
-    events: str = ""
+    fault: str = ""
     flood_factor: float = 1.0
-    share: float = 0.0
+    lent_fraction: float = 0.0
 
 
 CASES = (
     Case("quiet"),
-    Case("wave of reclaims", events="reclaims"),
-    Case("a zone lost", events="zone"),
+    Case("wave of reclaims", fault="reclaims"),
+    Case("a zone lost", fault="zone"),
     Case("loads 3 s late", engines.EngineModel(load_lag_s=3.0)),
-    Case("cache event gaps", engines.EngineModel(event_gap=3)),
-    Case("one partner floods", flood_factor=4.0, share=0.25),
+    Case("cache event gaps", engines.EngineModel(event_drop_interval=3)),
+    Case("one partner floods", flood_factor=4.0, lent_fraction=0.25),
 )
 
 
 @dataclasses.dataclass(frozen=True)
 class RunResult:
-    """What a run came to.
+    """Result of a simulation.
 
     Attributes:
-        outcomes: One for each request.
-        tally: What the engines computed.
-        seconds: How long requests came.
+        outcomes: Outcome of each request.
+        tally: Prompt tokens that the engines computed.
+        duration_s: Simulated time in which requests arrive.
     """
 
-    outcomes: list[sites.Outcome]
+    outcomes: list[fleets.Outcome]
     tally: engines.Tally
-    seconds: float
+    duration_s: float
 
 
 def run_case(
     policy: str,
     case: Case,
     *,
-    seconds: float,
+    duration_s: float,
     seed: int,
     runners: int = 5,
-    flood: workloads.Mix | None = None,
+    extra_workload: workloads.Workload | None = None,
 ) -> RunResult:
-    """Run one case in virtual time.
+    """Simulate one case in virtual time.
 
     Args:
-        policy: The way of placing.
-        case: What befalls the fleet.
-        seconds: How long requests come.
-        seed: Decides the workloads.
-        runners: Model runners a partner.
-        flood: A further workload for the Bureau's daemons.
+        policy: Load balancing policy, one of `policies.POLICIES`.
+        case: Faults and load.
+        duration_s: Simulated time in which requests arrive.
+        seed: Seed of the workloads.
+        runners: Model runners per partner.
+        extra_workload: Additional workload for the Bureau's daemons.
     """
     clock = trio.testing.MockClock(autojump_threshold=0)
-    mixes = [workloads.BUREAU, workloads.FLOWER_SHOP]
-    if flood is not None:
-        mixes.append(flood)
+    workload_list = [workloads.BUREAU, workloads.FLOWER_SHOP]
+    if extra_workload is not None:
+        workload_list.append(extra_workload)
     return trio.run(
-        _run, policy, case, seconds, seed, runners, mixes, clock=clock
+        _run,
+        policy,
+        case,
+        duration_s,
+        seed,
+        runners,
+        workload_list,
+        clock=clock,
     )
 
 
 async def _run(
     policy: str,
     case: Case,
-    seconds: float,
+    duration_s: float,
     seed: int,
     runners: int,
-    mixes: list[workloads.Mix],
+    workload_list: list[workloads.Workload],
 ) -> RunResult:
-    fleet = sites.Fleet(policy, case.engine_model, runners, case.share)
-    outcomes: list[sites.Outcome] = []
+    fleet = fleets.Fleet(policy, case.engine_model, runners, case.lent_fraction)
+    outcomes: list[fleets.Outcome] = []
     async with trio.open_nursery() as background:
-        for partner_sites in fleet.sites.values():
-            for site in partner_sites:
-                background.start_soon(site.feeds.run)
+        for daemons in fleet.daemons.values():
+            for daemon in daemons:
+                background.start_soon(daemon.feeds.run)
         async with trio.open_nursery() as nursery:
-            if case.events:
-                nursery.start_soon(_EVENTS[case.events], fleet)
-            for mix in mixes:
-                factor = case.flood_factor if mix.name == "lindqvist" else 1.0
+            if case.fault:
+                nursery.start_soon(_FAULTS[case.fault], fleet)
+            for workload in workload_list:
+                factor = (
+                    case.flood_factor if workload.name == "lindqvist" else 1.0
+                )
                 arrivals = workloads.make_arrivals(
-                    mix, seconds, seed, rate_factor=factor
+                    workload, duration_s, seed, rate_factor=factor
                 )
                 nursery.start_soon(
-                    _send, nursery, fleet.sites[mix.name], arrivals, outcomes
+                    _send_requests,
+                    nursery,
+                    fleet.daemons[workload.name],
+                    arrivals,
+                    outcomes,
                 )
         background.cancel_scope.cancel()
-    return RunResult(outcomes, fleet.tally, seconds)
+    return RunResult(outcomes, fleet.tally, duration_s)
 
 
-async def _send(
+async def _send_requests(
     nursery: trio.Nursery,
-    partner_sites: list[sites.Site],
+    daemons: list[fleets.RoutingDaemon],
     arrivals: list[workloads.Arrival],
-    outcomes: list[sites.Outcome],
+    outcomes: list[fleets.Outcome],
 ) -> None:
-    started = trio.current_time()
+    started_at = trio.current_time()
 
     async def serve(number: int, arrival: workloads.Arrival) -> None:
-        # The balancer spreads callers over the daemons.
-        site = partner_sites[number % len(partner_sites)]
-        name = f"{site.partner}-{number}"
-        outcomes.append(await site.serve(name, arrival))
+        daemon = daemons[number % len(daemons)]
+        name = f"{daemon.partner}-{number}"
+        outcomes.append(await daemon.serve(name, arrival))
 
     for number, arrival in enumerate(arrivals):
-        await trio.sleep_until(started + arrival.at)
+        await trio.sleep_until(started_at + arrival.at_s)
         nursery.start_soon(serve, number, arrival)
 
 
-async def _reclaim_wave(fleet: sites.Fleet) -> None:
-    """Reclaim two runners of each partner; cold ones come later."""
-    await trio.sleep(_FIRST_FAULT_S)
+async def _reclaim_wave(fleet: fleets.Fleet) -> None:
+    """Reclaim two runners of each partner; replacements have cold caches."""
+    await trio.sleep(_FAULT_AT_S)
     for number in (0, 1):
-        for partner in sites.PARTNERS:
-            fleet.give_notice(f"{partner}-model-{number}")
-        await trio.sleep(_NOTICE_S)
-        for partner in sites.PARTNERS:
+        for partner in fleets.PARTNERS:
+            fleet.announce_reclaim(f"{partner}-model-{number}")
+        await trio.sleep(_RECLAIM_NOTICE_S)
+        for partner in fleets.PARTNERS:
             fleet.kill(f"{partner}-model-{number}")
-        await trio.sleep(_NOTICE_S)
-    await trio.sleep(_BACK_S)
+        await trio.sleep(_RECLAIM_NOTICE_S)
+    await trio.sleep(_REPLACEMENT_DELAY_S)
     for number in (0, 1):
-        for partner in sites.PARTNERS:
+        for partner in fleets.PARTNERS:
             fleet.add_runner(partner, number + 100)
 
 
-async def _lose_zone(fleet: sites.Fleet) -> None:
-    """Kill a zone of each partner without notice; it comes back cold."""
-    await trio.sleep(_FIRST_FAULT_S)
-    lost = 0
-    for partner in sites.PARTNERS:
+async def _lose_zone(fleet: fleets.Fleet) -> None:
+    """Kill a zone of each partner without notice and replace it later."""
+    await trio.sleep(_FAULT_AT_S)
+    lost_runners = 0
+    for partner in fleets.PARTNERS:
         for name in fleet.list_zone(partner, f"{partner}-a"):
             fleet.kill(name)
-            lost += 1
-    await trio.sleep(_BACK_S)
-    for number in range(lost // len(sites.PARTNERS)):
-        for partner in sites.PARTNERS:
+            lost_runners += 1
+    await trio.sleep(_REPLACEMENT_DELAY_S)
+    for number in range(lost_runners // len(fleets.PARTNERS)):
+        for partner in fleets.PARTNERS:
             fleet.add_runner(partner, 100 + 3 * number)
 
 
-_EVENTS: dict[str, Callable] = {"reclaims": _reclaim_wave, "zone": _lose_zone}
+_FAULTS: dict[str, Callable] = {"reclaims": _reclaim_wave, "zone": _lose_zone}
--- a/bench/routing/compare.py
+++ b/bench/routing/compare.py
@@ -1,4 +1,4 @@
-"""Compare the placer with plain rules in every case; write table and plot."""
+"""Compare the daemon's load balancing with baseline policies in every case."""
 
 from __future__ import annotations
 
@@ -11,42 +11,42 @@
 from bench.routing import cases, policies
 from martenquay_core.config import objects
 
-_SECONDS = flags.DEFINE_float("seconds", 40.0, "Virtual seconds a run.")
+_DURATION_S = flags.DEFINE_float("seconds", 40.0, "Virtual seconds a run.")
 _SEED = flags.DEFINE_integer("seed", 1, "Seed of the workloads.")
 _WORKERS = flags.DEFINE_integer("workers", 5, "Processes at once.")
 _PLOT = flags.DEFINE_string("plot", "", "Where to write a plot (PNG).")
-_TARGET_S = 0.57
+_TTFT_TARGET_S = 0.57
 
 
 @dataclasses.dataclass(frozen=True)
 class Summary:
-    """The figures of one run.
+    """Summary of one simulation.
 
     Attributes:
-        first_p50: Time to first token, median, in seconds.
-        first_p95: The same, 95th percentile.
-        first_p99: The same, 99th percentile.
-        gap_p95: Time between tokens, 95th percentile.
-        urgent_p99: Time to first token of urgent requests.
-        recomputed: Tokens computed again, by cause.
-        prompt_tokens: All prompt tokens.
+        ttft_p50_s: Median time to first token in seconds.
+        ttft_p95_s: 95th percentile of the time to first token.
+        ttft_p99_s: 99th percentile of the time to first token.
+        token_gap_p95_s: 95th percentile of the time between tokens.
+        urgent_ttft_p99_s: 99th percentile for urgent requests.
+        recomputed_tokens: Prompt tokens computed again, by cause.
+        prompt_tokens: Number of prompt tokens.
         refused: Requests refused or not finished.
-        count: All requests.
+        count: Number of requests.
     """
 
-    first_p50: float
-    first_p95: float
-    first_p99: float
-    gap_p95: float
-    urgent_p99: float
-    recomputed: dict[str, int]
+    ttft_p50_s: float
+    ttft_p95_s: float
+    ttft_p99_s: float
+    token_gap_p95_s: float
+    urgent_ttft_p99_s: float
+    recomputed_tokens: dict[str, int]
     prompt_tokens: int
     refused: int
     count: int
 
 
 def main(argv: list[str]) -> int:
-    """Run everything and print the tables."""
+    """Simulate every case under every policy and print the tables."""
     del argv
     summaries = _run_all()
     for case in cases.CASES:
@@ -67,93 +67,103 @@
             ],
             rows,
         )
-    _print_marks(summaries)
+    _print_targets(summaries)
     if _PLOT.value:
         _draw(summaries, _PLOT.value)
     return 0
 
 
 def _run_all() -> dict[tuple[str, str], Summary]:
-    """Run each case and way in a process of its own; time is virtual."""
+    """Simulate each case and policy in a process pool, in virtual time."""
     with futures.ProcessPoolExecutor(_WORKERS.value) as pool:
-        running = {
+        jobs = {
             (case.name, policy): pool.submit(
-                _run_one, policy, case, _SECONDS.value, _SEED.value
+                _run_one, policy, case, _DURATION_S.value, _SEED.value
             )
             for case in cases.CASES
             for policy in policies.POLICIES
         }
-        return {key: job.result() for key, job in running.items()}
+        return {key: job.result() for key, job in jobs.items()}
 
 
 def _run_one(
-    policy: str, case: cases.Case, seconds: float, seed: int
+    policy: str, case: cases.Case, duration_s: float, seed: int
 ) -> Summary:
-    return summarize(cases.run_case(policy, case, seconds=seconds, seed=seed))
+    return summarize(
+        cases.run_case(policy, case, duration_s=duration_s, seed=seed)
+    )
 
 
 def summarize(result: cases.RunResult) -> Summary:
-    """Return the figures of a run; deferrable requests count in tokens only."""
-    waiting = [
-        outcome.first_s
+    """Summarize a simulation; deferrable requests count in tokens only."""
+    ttfts_s = [
+        outcome.ttft_s
         for outcome in result.outcomes
-        if outcome.first_s is not None
+        if outcome.ttft_s is not None
         and outcome.urgency is not objects.Urgency.DEFERRABLE
     ]
-    urgent = [
-        outcome.first_s
+    urgent_ttfts_s = [
+        outcome.ttft_s
         for outcome in result.outcomes
-        if outcome.first_s is not None
+        if outcome.ttft_s is not None
         and outcome.urgency is objects.Urgency.URGENT
     ]
-    gaps = [gap for outcome in result.outcomes for gap in outcome.gaps_s]
+    token_gaps_s = [
+        gap for outcome in result.outcomes for gap in outcome.token_gaps_s
+    ]
     percentile = figures.compute_percentile
     return Summary(
-        percentile(waiting, 50),
-        percentile(waiting, 95),
-        percentile(waiting, 99),
-        percentile(gaps, 95),
-        percentile(urgent, 99),
-        dict(result.tally.recomputed),
+        percentile(ttfts_s, 50),
+        percentile(ttfts_s, 95),
+        percentile(ttfts_s, 99),
+        percentile(token_gaps_s, 95),
+        percentile(urgent_ttfts_s, 99),
+        dict(result.tally.recomputed_tokens),
         result.tally.prompt_tokens,
         sum(outcome.refused for outcome in result.outcomes),
         len(result.outcomes),
     )
 
 
-def _render(policy: str, found: Summary) -> list[str]:
-    total = sum(found.recomputed.values())
+def _render(policy: str, summary: Summary) -> list[str]:
+    total_recomputed = sum(summary.recomputed_tokens.values())
     return [
         policy,
-        f"{found.first_p50 * 1000:.0f} / {found.first_p95 * 1000:.0f} / "
-        f"{found.first_p99 * 1000:.0f}",
-        f"{found.gap_p95 * 1000:.0f}",
-        f"{found.urgent_p99 * 1000:.0f}",
-        f"{found.recomputed.get('placement', 0)} / "
-        f"{found.recomputed.get('moved', 0)}",
-        f"{100 * total / found.prompt_tokens:.1f}%",
-        f"{found.refused}/{found.count}",
+        f"{summary.ttft_p50_s * 1000:.0f} / {summary.ttft_p95_s * 1000:.0f} / "
+        f"{summary.ttft_p99_s * 1000:.0f}",
+        f"{summary.token_gap_p95_s * 1000:.0f}",
+        f"{summary.urgent_ttft_p99_s * 1000:.0f}",
+        f"{summary.recomputed_tokens.get('placement', 0)} / "
+        f"{summary.recomputed_tokens.get('moved', 0)}",
+        f"{100 * total_recomputed / summary.prompt_tokens:.1f}%",
+        f"{summary.refused}/{summary.count}",
     ]
 
 
-def _print_marks(summaries: dict[tuple[str, str], Summary]) -> None:
+def _print_targets(summaries: dict[tuple[str, str], Summary]) -> None:
     rows = []
     for case in cases.CASES:
-        own = summaries[(case.name, policies.POLICIES[0])]
-        others = {
+        own_summary = summaries[(case.name, policies.POLICIES[0])]
+        baselines = {
             policy: summaries[(case.name, policy)]
             for policy in policies.POLICIES[1:]
         }
-        loaded = sum(others["least loaded"].recomputed.values())
-        tokens = sum(own.recomputed.values()) / max(loaded, 1)
-        best = min(found.first_p95 for found in others.values())
+        least_loaded_tokens = sum(
+            baselines["least loaded"].recomputed_tokens.values()
+        )
+        recomputed_ratio = sum(own_summary.recomputed_tokens.values()) / max(
+            least_loaded_tokens, 1
+        )
+        best_ttft_p95_s = min(
+            summary.ttft_p95_s for summary in baselines.values()
+        )
         rows.append(
             [
                 case.name,
-                f"{tokens:.2f}",
-                "yes" if tokens <= 0.5 else "no",
-                f"{own.first_p95 / best:.2f}",
-                "yes" if own.first_p95 <= best else "no",
+                f"{recomputed_ratio:.2f}",
+                "yes" if recomputed_ratio <= 0.5 else "no",
+                f"{own_summary.ttft_p95_s / best_ttft_p95_s:.2f}",
+                "yes" if own_summary.ttft_p95_s <= best_ttft_p95_s else "no",
             ]
         )
     print("\n### marks\n")
@@ -170,7 +180,7 @@
 
 
 def _draw(summaries: dict[tuple[str, str], Summary], path: str) -> None:
-    # Only the plot needs matplotlib.
+    # matplotlib is optional: the tables don't need it.
     import matplotlib as mpl  # noqa: PLC0415
 
     mpl.use("Agg")
@@ -180,25 +190,30 @@
     names = [case.name for case in cases.CASES]
     width = 0.16
     for number, policy in enumerate(policies.POLICIES):
-        found = [summaries[(name, policy)] for name in names]
-        places = [place + number * width for place in range(len(names))]
+        policy_summaries = [summaries[(name, policy)] for name in names]
+        bar_positions = [
+            position + number * width for position in range(len(names))
+        ]
         axes[0].bar(
-            places,
-            [item.first_p95 * 1000 for item in found],
+            bar_positions,
+            [summary.ttft_p95_s * 1000 for summary in policy_summaries],
             width,
             label=policy,
         )
         axes[1].bar(
-            places,
-            [sum(item.recomputed.values()) / 1000 for item in found],
+            bar_positions,
+            [
+                sum(summary.recomputed_tokens.values()) / 1000
+                for summary in policy_summaries
+            ],
             width,
             label=policy,
         )
-    axes[0].axhline(_TARGET_S * 1000, linestyle="--", color="grey")
+    axes[0].axhline(_TTFT_TARGET_S * 1000, linestyle="--", color="grey")
     axes[0].set_ylabel("time to first token, p95, ms")
     axes[1].set_ylabel("tokens computed again, thousands")
     for axis in axes:
-        axis.set_xticks([place + 0.32 for place in range(len(names))])
+        axis.set_xticks([position + 0.32 for position in range(len(names))])
         axis.set_xticklabels(names, rotation=20, ha="right", fontsize=8)
     axes[0].legend(fontsize=8)
     figure.tight_layout()
--- a/bench/routing/sites.py
+++ b/bench/routing/fleets.py
@@ -1,4 +1,4 @@
-"""Put real routing parts of several daemons over fake engines."""
+"""Build fleets of daemons' routing components with simulated engines."""
 
 from __future__ import annotations
 
@@ -22,52 +22,52 @@
 from martenquay_daemon.routing import feeds, loads, placement, prefixes
 from martenquay_daemon.util import metrics
 
-__all__ = ["Fleet", "Outcome", "Site"]
+__all__ = ["Fleet", "Outcome", "RoutingDaemon"]
 
 POOL = "model"
 PARTNERS = ("serrana", "lindqvist")
 DEADLINE_S = 60.0
-_DAEMONS = 6
-_LOAD_POLL_S = 0.5
+_DAEMONS_PER_PARTNER = 6
+_LOAD_POLL_INTERVAL_S = 0.5
 
 
 @dataclasses.dataclass(frozen=True)
 class Outcome:
-    """What became of one request.
+    """Result of one request.
 
     Attributes:
-        partner: Whose it was.
-        urgency: How long it might wait.
-        at: When it came.
-        first_s: Seconds to the first token; None if none came.
-        gaps_s: Seconds between tokens.
-        refused: It was not run.
-        done_at: When it was whole; None if it was not.
+        partner: Partner that sent the request.
+        urgency: Urgency of the request's route.
+        arrived_at: Virtual time of the request's arrival in seconds.
+        ttft_s: Time to first token; None if there was none.
+        token_gaps_s: Times between tokens.
+        refused: The request was refused or failed.
+        completed_at: Virtual time of its completion; None if it failed.
     """
 
     partner: str
     urgency: objects.Urgency
-    at: float
-    first_s: float | None
-    gaps_s: list[float]
+    arrived_at: float
+    ttft_s: float | None
+    token_gaps_s: list[float]
     refused: bool
-    done_at: float | None
+    completed_at: float | None
 
 
-class _TimingSink:
-    """Note when tokens come."""
+class _TokenTimeRecorder:
+    """Sink that records the times at which tokens arrive."""
 
     def __init__(self) -> None:
-        self.times: list[float] = []
+        self.token_times: list[float] = []
 
     async def write_token(self, text: str) -> None:
-        """Note the next token."""
+        """Record the time of the next token."""
         del text
-        self.times.append(trio.current_time())
+        self.token_times.append(trio.current_time())
 
 
-class Site:
-    """The routing parts of one daemon."""
+class RoutingDaemon:
+    """Routing, admission and dispatch components of one daemon."""
 
     def __init__(
         self,
@@ -78,7 +78,7 @@
         client: Any,
         seed: str,
     ) -> None:
-        me = messages.MemberUpdate(
+        own_update = messages.MemberUpdate(
             member=f"{partner}.{zone}.{seed}",
             partner=partner,
             zone=zone,
@@ -86,16 +86,16 @@
         )
         rng = random.Random(seed)
         self.partner = partner
-        self.members = table.MemberTable(me, 5)
+        self.members = table.MemberTable(own_update, 5)
         self.runners = directory.RunnerDirectory(config, self.members)
-        self.loads = loads.LoadBook(_LOAD_POLL_S)
+        self.loads = loads.LoadBook(_LOAD_POLL_INTERVAL_S)
         self.index = prefixes.PrefixIndex()
         ejector = ejection.Ejector()
         self._config = config
-        self._gate = route_directory.RouteDirectory(
+        self._routes = route_directory.RouteDirectory(
             partner, config, self.runners, self.members
         )
-        self.admission = admission.Admission(self._gate.find_capacity)
+        self.admission = admission.Admission(self._routes.find_capacity)
         placer: Any = placement.Placer(
             zone, self.runners, self.loads, self.index, ejector, rng
         )
@@ -120,26 +120,26 @@
             config,
             self.loads,
             self.index,
-            me.member,
-            _LOAD_POLL_S,
+            own_update.member,
+            _LOAD_POLL_INTERVAL_S,
         )
 
     async def serve(self, name: str, arrival: workloads.Arrival) -> Outcome:
-        """Serve one request as the caller gateway does."""
-        at = trio.current_time()
-        known = self._gate.find_route(arrival.urgency.value, arrival.team).ok
+        """Admit and dispatch a request as the caller gateway does."""
+        arrived_at = trio.current_time()
+        route = self._routes.find_route(arrival.urgency.value, arrival.team).ok
         team = teams.KnownTeam(
             arrival.team, self._config.find_team(self.partner, arrival.team)
         )
         cost = blocks.count_tokens(arrival.prompt) + arrival.max_tokens
         permit = await self.admission.enter(
-            self._gate.build_ask(team, known, cost)
+            self._routes.build_ask(team, route, cost)
         )
         if permit.is_error():
             return Outcome(
-                self.partner, arrival.urgency, at, None, [], True, None
+                self.partner, arrival.urgency, arrived_at, None, [], True, None
             )
-        sink = _TimingSink()
+        recorder = _TokenTimeRecorder()
         request = request_progress.ModelRequest(
             name,
             self.partner,
@@ -147,51 +147,53 @@
             arrival.urgency,
             arrival.prompt,
             arrival.max_tokens,
-            at + DEADLINE_S,
+            arrived_at + DEADLINE_S,
         )
         try:
-            answered = await self.dispatcher.answer(request, sink)
+            answered = await self.dispatcher.answer(request, recorder)
         finally:
             self.admission.leave(permit.ok)
-        times = sink.times
-        gaps_s = [after - before for before, after in itertools.pairwise(times)]
+        times = recorder.token_times
+        token_gaps_s = [
+            after - before for before, after in itertools.pairwise(times)
+        ]
         [after - before for before, after in itertools.pairwise(times)]
         return Outcome(
             self.partner,
             arrival.urgency,
-            at,
-            times[0] - at if times else None,
-            gaps_s,
+            arrived_at,
+            times[0] - arrived_at if times else None,
+            token_gaps_s,
             answered.is_error(),
             trio.current_time() if answered.is_ok() else None,
         )
 
 
 class Fleet:
-    """Both partners' daemons and runners.
+    """Daemons and runners of both partners.
 
     Attributes:
-        sites: The daemons by partner.
-        engines: The engines by address.
-        tally: What the engines computed.
+        daemons: Daemons by partner.
+        engines: Engines by address.
+        tally: Prompt tokens that the engines computed.
     """
 
     def __init__(
         self,
         policy: str,
         engine_model: engines.EngineModel,
-        runners_each: int,
-        share: float,
+        runners_per_partner: int,
+        lent_fraction: float,
     ) -> None:
-        self.tally = engines.Tally()
+        self.tally = engines.TokenTally()
         self.engines: dict[str, engines.FakeEngine] = {}
         self._model = engine_model
         self._runners: dict[str, instances.Instance] = {}
-        self._config = _build_config(share)
+        self._config = _build_config(lent_fraction)
         client = engines.FakeEngineClient(self.engines)
-        self.sites = {
+        self.daemons = {
             partner: [
-                Site(
+                RoutingDaemon(
                     self._config,
                     partner,
                     f"{partner}-{'abc'[number % 3]}",
@@ -199,16 +201,16 @@
                     client,
                     f"{partner}-{number}",
                 )
-                for number in range(_DAEMONS)
+                for number in range(_DAEMONS_PER_PARTNER)
             ]
             for partner in PARTNERS
         }
-        for sites in self.sites.values():
-            for site in sites:
-                for other in sites:
-                    site.members.merge(other.members.me)
+        for daemons in self.daemons.values():
+            for daemon in daemons:
+                for other in daemons:
+                    daemon.members.merge(other.members.me)
         for partner in PARTNERS:
-            for number in range(runners_each):
+            for number in range(runners_per_partner):
                 self.add_runner(partner, number)
 
     def add_runner(self, partner: str, number: int) -> None:
@@ -224,35 +226,35 @@
             pool=POOL,
             slots=self._model.slots,
         )
-        self._publish()
+        self._update_directories()
 
     def give_notice(self, name: str) -> None:
-        """Announce a reclaim to all daemons, as the links do."""
-        for sites in self.sites.values():
-            for site in sites:
-                site.members.merge(messages.RunnerLeaving(name))
+        """Notify all daemons that a runner is about to be reclaimed."""
+        for daemons in self.daemons.values():
+            for daemon in daemons:
+                daemon.members.merge(messages.RunnerLeaving(name))
 
     def kill(self, name: str) -> None:
-        """End a runner and take it off the list."""
-        self.engines[name].dead = True
+        """Kill a runner's engine and remove it from the instance list."""
+        self.engines[name].is_dead = True
         self._runners.pop(name, None)
-        self._publish()
+        self._update_directories()
 
     def list_zone(self, partner: str, zone: str) -> list[str]:
-        """Return the runners of a zone."""
+        """Return the names of a partner's runners in a zone."""
         return [
             name
             for name, runner in self._runners.items()
             if runner.partner == partner and runner.zone == zone
         ]
 
-    def _publish(self) -> None:
-        for sites in self.sites.values():
-            for site in sites:
-                site.runners.replace_all(list(self._runners.values()))
+    def _update_directories(self) -> None:
+        for daemons in self.daemons.values():
+            for daemon in daemons:
+                daemon.runners.replace_all(list(self._runners.values()))
 
 
-def _build_config(share: float) -> store.ConfigStore:
+def _build_config(lent_fraction: float) -> store.ConfigStore:
     keys = {partner: records.generate_key() for partner in PARTNERS}
     verifier = records.create_verifier(
         {partner: public for partner, (_, public) in keys.items()}
@@ -260,7 +262,7 @@
     config = store.ConfigStore(list(PARTNERS), verifier)
     for partner in PARTNERS:
         signer = records.create_signer(partner, keys[partner][0])
-        for kind, name, fields in _list_objects(partner, share):
+        for kind, name, fields in _create_objects(partner, lent_fraction):
             offset = config.applied.value + 1
             change = records.Change(
                 partner,
@@ -276,11 +278,11 @@
     return config
 
 
-def _list_objects(
-    partner: str, share: float
+def _create_objects(
+    partner: str, lent_fraction: float
 ) -> list[tuple[objects.Kind, str, dict[str, Any]]]:
     kind = objects.Kind
-    found: list[tuple[objects.Kind, str, dict[str, Any]]] = [
+    created: list[tuple[objects.Kind, str, dict[str, Any]]] = [
         (kind.POOL, POOL, {"kind": "model"})
     ]
     for number in range(5):
@@ -289,16 +291,21 @@
             "concurrency": 5000,
             "token_rate": 1e7,
         }
-        found.append((kind.TEAM, f"team-{number}", fields))
+        created.append((kind.TEAM, f"team-{number}", fields))
     for urgency in objects.Urgency:
         fields = {
             "pool": POOL,
             "urgency": urgency.value,
             "deadline_s": DEADLINE_S,
         }
-        found.append((kind.ROUTE, urgency.value, fields))
-    if share:
+        created.append((kind.ROUTE, urgency.value, fields))
+    if lent_fraction:
         other = PARTNERS[1 - PARTNERS.index(partner)]
-        fields = {"pool": POOL, "to": other, "serves": POOL, "fraction": share}
-        found.append((kind.SHARE, "lend", fields))
-    return found
+        fields = {
+            "pool": POOL,
+            "to": other,
+            "serves": POOL,
+            "fraction": lent_fraction,
+        }
+        created.append((kind.SHARE, "lend", fields))
+    return created
--- a/bench/routing/policies.py
+++ b/bench/routing/policies.py
@@ -1,4 +1,4 @@
-"""Place requests in the plain ways that the placer is compared with."""
+"""Implement baseline load balancing policies to compare the placer with."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class BaselinePlacer:
-    """Place by one plain rule, with the same knowledge as the placer."""
+    """Placer with a baseline policy and the state of the daemon's placer."""
 
     def __init__(
         self,
@@ -42,20 +42,20 @@
         self._loads = load_book
         self._index = index
         self._rng = rng
-        self._turn = itertools.count(rng.randrange(100))
+        self._next_index = itertools.count(rng.randrange(100))
 
     def place(
-        self, ask: placement.PlacementRequest
+        self, request: placement.PlacementRequest
     ) -> placement.Placement | None:
-        """Return the runner that the rule chooses."""
+        """Return the runner that the policy selects; None if none is usable."""
         usable = [
             runner
-            for runner in self._runners.list_pool(ask.partner, ask.pool)
-            if runner.name not in ask.excluded
+            for runner in self._runners.list_pool(request.partner, request.pool)
+            if runner.name not in request.excluded
         ]
         if not usable:
             return None
-        held = self._index.measure_held(ask.chain)
+        held = self._index.measure_held(request.chain)
         runner = self._choose(usable, held)
         candidate = placement.Candidate(
             runner.name,
@@ -72,14 +72,17 @@
             case "random":
                 return self._rng.choice(usable)
             case "round robin":
-                return usable[next(self._turn) % len(usable)]
+                return usable[next(self._next_index) % len(usable)]
             case "least loaded":
-                return min(usable, key=self._count)
+                return min(usable, key=self._count_pending)
             case _:
                 return min(
                     usable,
-                    key=lambda r: (-held.get(r.name, 0), self._count(r)),
+                    key=lambda r: (
+                        -held.get(r.name, 0),
+                        self._count_pending(r),
+                    ),
                 )
 
-    def _count(self, runner: instances.Instance) -> int:
+    def _count_pending(self, runner: instances.Instance) -> int:
         return self._loads.count_ahead(runner.name)
--- a/bench/routing/workloads.py
+++ b/bench/routing/workloads.py
@@ -1,4 +1,4 @@
-"""Make the two partners' model workloads, from a seed."""
+"""Generate the two partners' model workloads from a seed."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 from martenquay_core.config import objects
 
-__all__ = ["Arrival", "Mix", "BUREAU", "FLOWER_SHOP", "make_arrivals"]
+__all__ = ["Arrival", "Workload", "BUREAU", "FLOWER_SHOP", "make_arrivals"]
 
-_WORDS = 400
+_VOCABULARY_WORDS = 400
 _URGENCY = objects.Urgency
 
 
@@ -18,14 +18,14 @@
     """One request of a workload.
 
     Attributes:
-        at: When it comes, in seconds.
-        team: Who asks.
-        urgency: How long it may wait.
-        prompt: The prompt.
-        max_tokens: How many tokens it wants.
+        at_s: Arrival time in seconds since the start.
+        team: Team that sends the request.
+        urgency: Urgency of the request.
+        prompt: Text of the prompt.
+        max_tokens: Length of the answer in tokens.
     """
 
-    at: float
+    at_s: float
     team: str
     urgency: objects.Urgency
     prompt: str
@@ -33,78 +33,84 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Mix:
-    """A partner's workload.
+class Workload:
+    """Parameters of a partner's workload.
 
     Attributes:
-        name: The partner.
-        rate: Requests a second.
-        subjects: Customers or orders that requests come back to.
-        history_tokens: Range of a subject's history at first.
-        turn_tokens: Range of what each request adds to it.
+        name: Name of the partner.
+        requests_per_s: Mean arrival rate.
+        conversations: Number of conversations that requests continue.
+        history_tokens: Range of a conversation's initial length.
+        new_tokens: Range of the tokens that each request appends.
         answer_tokens: Range of an answer's length.
-        deferrable_share: Part of the requests that may wait.
-        urgent_share: Part of the requests that are urgent.
+        deferrable_share: Fraction of deferrable requests.
+        urgent_share: Fraction of urgent requests.
     """
 
     name: str
-    rate: float
-    subjects: int
+    requests_per_s: float
+    conversations: int
     history_tokens: tuple[int, int]
-    turn_tokens: tuple[int, int]
+    new_tokens: tuple[int, int]
     answer_tokens: tuple[int, int]
     deferrable_share: float
     urgent_share: float
 
 
-# Reviews and quotes from long order histories, and the counter page's chats.
-BUREAU = Mix("serrana", 9.0, 60, (500, 3000), (20, 120), (20, 60), 0.45, 0.15)
-# Long briefs that planners come back to, care cards, notes to drivers.
-FLOWER_SHOP = Mix(
+BUREAU = Workload(
+    "serrana", 9.0, 60, (500, 3000), (20, 120), (20, 60), 0.45, 0.15
+)
+FLOWER_SHOP = Workload(
     "lindqvist", 9.0, 45, (800, 3500), (20, 160), (20, 50), 0.15, 0.25
 )
 
 
 def make_arrivals(
-    mix: Mix, seconds: float, seed: int, *, rate_factor: float = 1.0
+    workload: Workload,
+    duration_s: float,
+    seed: int,
+    *,
+    rate_factor: float = 1.0,
 ) -> list[Arrival]:
-    """Return the requests of a stretch of time, in order."""
-    rng = random.Random(f"{mix.name} {seed}")
+    """Return the requests of `duration_s` seconds by arrival time."""
+    rng = random.Random(f"{workload.name} {seed}")
     histories = [
-        _make_text(rng, rng.randint(*mix.history_tokens))
-        for _ in range(mix.subjects)
+        _make_text(rng, rng.randint(*workload.history_tokens))
+        for _ in range(workload.conversations)
     ]
-    # A few subjects are in everyone's hands, many are looked at rarely.
-    weights = [1 / (place + 1) ** 0.7 for place in range(mix.subjects)]
+    # Zipf-like popularity: few conversations get most of the requests.
+    weights = [1 / (rank + 1) ** 0.7 for rank in range(workload.conversations)]
     arrivals = []
-    at = 0.0
+    at_s = 0.0
     while True:
-        at += rng.expovariate(mix.rate * rate_factor)
-        if at >= seconds:
+        at_s += rng.expovariate(workload.requests_per_s * rate_factor)
+        if at_s >= duration_s:
             return arrivals
-        subject = rng.choices(range(mix.subjects), weights)[0]
-        histories[subject] += " " + _make_text(
-            rng, rng.randint(*mix.turn_tokens)
+        conversation = rng.choices(range(workload.conversations), weights)[0]
+        histories[conversation] += " " + _make_text(
+            rng, rng.randint(*workload.new_tokens)
         )
         arrivals.append(
             Arrival(
-                at,
-                f"team-{subject % 5}",
-                _choose_urgency(rng, mix),
-                histories[subject],
-                rng.randint(*mix.answer_tokens),
+                at_s,
+                f"team-{conversation % 5}",
+                _choose_urgency(rng, workload),
+                histories[conversation],
+                rng.randint(*workload.answer_tokens),
             )
         )
 
 
-def _choose_urgency(rng: random.Random, mix: Mix) -> objects.Urgency:
+def _choose_urgency(rng: random.Random, workload: Workload) -> objects.Urgency:
     drawn = rng.random()
-    if drawn < mix.urgent_share:
+    if drawn < workload.urgent_share:
         return _URGENCY.URGENT
-    if drawn < mix.urgent_share + mix.deferrable_share:
+    if drawn < workload.urgent_share + workload.deferrable_share:
         return _URGENCY.DEFERRABLE
     return _URGENCY.INTERACTIVE
 
 
 def _make_text(rng: random.Random, tokens: int) -> str:
-    return " ".join(f"w{rng.randrange(_WORDS)}" for _ in range(tokens))
+    return " ".join(
+        f"w{rng.randrange(_VOCABULARY_WORDS)}" for _ in range(tokens)
+    )
