--- a/bench/baseline_forwarder.py
+++ b/bench/baseline_forwarder.py
@@ -1,6 +1,6 @@
-"""Forward requests with hypercorn and httpcore and nothing else.
+"""Forward requests with hypercorn and httpcore alone.
 
-The baseline that a daemon's cost is measured against.
+The gateway benchmark compares a daemon's overhead with this baseline.
 """
 
 from __future__ import annotations
--- a/bench/figures.py
+++ b/bench/figures.py
@@ -1,4 +1,4 @@
-"""Compute and print the figures that the benchmarks report."""
+"""Compute percentiles and print tables for the benchmarks."""
 
 from __future__ import annotations
 
--- a/bench/idle_cost.py
+++ b/bench/idle_cost.py
@@ -1,7 +1,7 @@
-"""Measure what idle daemons cost as their number grows.
+"""Measure processor time and memory of idle daemons by fleet size.
 
-Real processes with the default timing; no callers. Processor time and memory
-come from the system's own accounts of each process.
+The daemons are separate processes without callers. Processor time and memory
+are read from /proc.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 _SIZES = flags.DEFINE_list("sizes", ["2", "4", "8", "16", "32"], "Daemons.")
 _SECONDS = flags.DEFINE_float("seconds", 12.0, "Seconds a measurement.")
 _HEARTBEAT_S = flags.DEFINE_float("heartbeat_s", 1.0, "Heartbeat interval.")
-_TIMING = {
+_DAEMON_TIMING = {
     "dead_after_s": 5.0,
     "list_poll_s": 1.0,
     "load_poll_s": 0.5,
@@ -37,19 +37,19 @@
 
 async def _measure(size: int) -> list[str]:
     async with trio.open_nursery() as nursery:
-        place = world.World(nursery)
-        await place.start_platform()
-        place.put_standard_config()
+        platform_world = world.World(nursery)
+        await platform_world.start_platform()
+        platform_world.put_standard_config()
         daemons = []
         for number in range(size):
-            plan = place.plans[number % 2]
-            zone = plan.zones[number // 2 % len(plan.zones)]
+            partner_plan = platform_world.plans[number % 2]
+            zone = partner_plan.zones[number // 2 % len(partner_plan.zones)]
             daemons.append(
-                await place.start_process(
-                    plan,
+                await platform_world.start_process(
+                    partner_plan,
                     zone,
                     f"entry-{number}",
-                    timing=_TIMING
+                    timing=_DAEMON_TIMING
                     | {
                         "heartbeat_s": _HEARTBEAT_S.value,
                         "suspect_after_s": 3 * _HEARTBEAT_S.value,
@@ -58,20 +58,20 @@
             )
         await trio.sleep(5.0)
         pids = [daemon.process.pid for daemon in daemons]
-        before = [processes.read_cpu_s(pid) for pid in pids]
+        cpu_before_s = [processes.read_cpu_s(pid) for pid in pids]
         await trio.sleep(_SECONDS.value)
-        after = [processes.read_cpu_s(pid) for pid in pids]
-        memory = [processes.read_resident_mb(pid) for pid in pids]
-        place.end_processes()
+        cpu_after_s = [processes.read_cpu_s(pid) for pid in pids]
+        resident_mb = [processes.read_resident_mb(pid) for pid in pids]
+        platform_world.end_processes()
         nursery.cancel_scope.cancel()
-    shares = [
+    core_fractions = [
         (later - earlier) / _SECONDS.value
-        for earlier, later in zip(before, after, strict=True)
+        for earlier, later in zip(cpu_before_s, cpu_after_s, strict=True)
     ]
     return [
         str(size),
-        f"{100 * sum(shares) / size:.2f}%",
-        f"{sum(memory) / size:.1f}",
+        f"{100 * sum(core_fractions) / size:.2f}%",
+        f"{sum(resident_mb) / size:.1f}",
         f"{_count_links(size)}",
     ]
 
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -1,4 +1,4 @@
-"""Start programs of this repository and read the address they print."""
+"""Start programs as subprocesses and read their processor and memory use."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class Program:
-    """A running program.
+    """A running subprocess that listens at an address.
 
     Attributes:
         process: The process.
-        address: Where it listens.
+        address: Host and port where it listens.
     """
 
     def __init__(self, process: trio.Process, address: str) -> None:
@@ -23,22 +23,26 @@
         self.address = address
 
     def end(self) -> None:
-        """Kill it."""
+        """Kill the process if it still runs."""
         if self.process.poll() is None:
             self.process.kill()
 
 
-async def start_program(module: str, *words: str) -> Program:
-    """Start `python -m module words` and wait until it listens."""
+async def start_program(module: str, *arguments: str) -> Program:
+    """Run `python -m module arguments` and wait until it prints its address.
+
+    Raises:
+        RuntimeError: The process exited before it printed its address.
+    """
     process = await trio.lowlevel.open_process(
-        [sys.executable, "-m", module, *words], stdout=-1
+        [sys.executable, "-m", module, *arguments], stdout=-1
     )
     line = b""
     while not line.endswith(b"\n"):
-        piece = await process.stdout.receive_some(4096)
-        if not piece:
-            raise RuntimeError(f"{module} ended before it listened")
-        line += piece
+        chunk = await process.stdout.receive_some(4096)
+        if not chunk:
+            raise RuntimeError(f"{module} exited before it printed its address")
+        line += chunk
     return Program(process, json.loads(line)["address"])
 
 
