--- a/bench/routing/fleets.py
+++ b/bench/routing/fleets.py
@@ -228,7 +228,7 @@
         )
         self._update_directories()
 
-    def give_notice(self, name: str) -> None:
+    def announce_reclaim(self, name: str) -> None:
         """Notify all daemons that a runner is about to be reclaimed."""
         for daemons in self.daemons.values():
             for daemon in daemons:
