--- a/bench/routing/cases.py
+++ b/bench/routing/cases.py
@@ -61,7 +61,7 @@
     """
 
     outcomes: list[fleets.Outcome]
-    tally: engines.Tally
+    tally: engines.TokenTally
     duration_s: float
 
 
