--- a/packages/daemon/src/martenquay_daemon/fleet/roster.py
+++ b/packages/daemon/src/martenquay_daemon/fleet/roster.py
@@ -130,12 +130,12 @@
         return count / len(self._listed)
 
     def reset_heard_times(self) -> None:
-        """Count silence from now, as others could not be heard before."""
+        """Count silence from now; before, not all others sent digests here."""
         now = trio.current_time()
         self._heard_at = dict.fromkeys(self._listed, now)
 
     def list_silent(self, silent_s: float) -> list[str]:
-        """Return the other instances that have been silent for some seconds."""
+        """Return the other instances that have been silent for `silent_s`."""
         oldest = trio.current_time() - silent_s
         others = sorted(self._listed - {self._instance})
         return [one for one in others if self._heard_at[one] < oldest]
--- a/packages/daemon/src/martenquay_daemon/membership/table.py
+++ b/packages/daemon/src/martenquay_daemon/membership/table.py
@@ -78,7 +78,7 @@
                 return self._merge_member(update)
 
     def suspect(self, member: str) -> None:
-        """Mark a daemon as suspect that did not answer heartbeats."""
+        """Mark a daemon that did not answer heartbeats as suspect."""
         known = self.find(member)
         if known is not None and known.state < _State.SUSPECT:
             self.merge(msgspec.structs.replace(known, state=_State.SUSPECT))
@@ -118,8 +118,8 @@
     def tick(self) -> None:
         """Count one heartbeat interval; mark long suspect daemons as dead.
 
-        Time counts in ticks, as a clock would go on while this process is
-        frozen and declare daemons dead that could not be heard meanwhile.
+        Time counts in ticks. A clock would go on while this process is frozen,
+        and daemons whose heartbeats it missed would count as dead.
         """
         for name, entry in list(self._entries.items()):
             entry.ticks += 1
